--- a/crates/gateway-server/src/attempts.rs
+++ b/crates/gateway-server/src/attempts.rs
@@ -203,13 +203,13 @@
 }
 
 fn log_leaving(inbound: &InboundRequest, choice: &Choice, basis: &ChoiceBasis) {
-    let Some(leaving) = &basis.leaving else {
+    let Some(relocation) = &basis.relocation else {
         return;
     };
     tracing::info!(
         id = inbound.id,
-        from = %leaving.from,
-        from_ms = milliseconds(leaving.expected.finish()),
+        from = %relocation.from,
+        from_ms = milliseconds(relocation.expected.finish()),
         to = %choice.backend.id,
         to_ms = milliseconds(basis.expected.finish()),
         view_age_ms = milliseconds(basis.view_age),
--- a/crates/gateway-server/src/inbound.rs
+++ b/crates/gateway-server/src/inbound.rs
@@ -64,7 +64,7 @@
     /// When nobody wants an answer any more.
     pub(crate) deadline: Instant,
     /// Differs between requests; the same for all requests of a program.
-    pub(crate) draw: u64,
+    pub(crate) affinity_hash: u64,
 }
 
 impl InboundRequest {
@@ -185,7 +185,7 @@
         prompt,
         arrived,
         deadline,
-        draw,
+        affinity_hash: draw,
     })
 }
 
--- a/crates/gateway-server/src/list.rs
+++ b/crates/gateway-server/src/list.rs
@@ -29,7 +29,7 @@
             was_stale = is_stale;
             tracing::info!(is_stale, ?age, "list of replicas from the control members");
         }
-        let reader = ListReader::Gateway(gateway.gateways.get());
+        let reader = ListReader::Gateway(gateway.gateway_count.get());
         reading.expect_replicas(gateway.list.borrow().list().len());
         if reading.is_due(reader, age, gateway.now(), gateway.draw()) {
             read(&gateway, &mut client, &mut reading).await;
--- a/crates/gateway-server/src/move_watch.rs
+++ b/crates/gateway-server/src/move_watch.rs
@@ -285,7 +285,7 @@
             to = %to.id,
             events = self.events,
             waited_ms = milliseconds(waiting.waited),
-            usual_ms = milliseconds(waiting.first_event.usual),
+            usual_ms = milliseconds(waiting.first_event.p90),
             gain_ms = milliseconds(gain),
             left_ms = milliseconds(waiting.left),
             "a request is moved"
@@ -307,7 +307,7 @@
             replica = %at.id,
             reason,
             waited_ms = milliseconds(waiting.waited),
-            usual_ms = milliseconds(waiting.first_event.usual),
+            usual_ms = milliseconds(waiting.first_event.p90),
             left_ms = milliseconds(waiting.left),
             "a waiting request stays"
         );
--- a/crates/gateway-server/src/news.rs
+++ b/crates/gateway-server/src/news.rs
@@ -73,7 +73,7 @@
             self.is_current.set(true);
         }
         if news.gateways > 0 {
-            self.gateways.set(news.gateways);
+            self.gateway_count.set(news.gateways);
         }
         if let Some(view) = news.stores {
             tracing::info!(%member, epoch = view.epoch, stores = view.len(), "new view of the stores");
--- a/crates/gateway-server/src/placement.rs
+++ b/crates/gateway-server/src/placement.rs
@@ -133,7 +133,7 @@
     let candidates = {
         let pool = gateway.pool.borrow();
         let (service, now) = (&inbound.service, gateway.now());
-        pool.candidates_by_finish(service, inbound.draw, work, CANDIDATES, now)
+        pool.candidates_by_finish(service, inbound.affinity_hash, work, CANDIDATES, now)
     };
     look_at_each(gateway, candidates).await
 }
@@ -147,7 +147,13 @@
     let candidates = {
         let pool = gateway.pool.borrow();
         let service = &inbound.service;
-        pool.candidates(service, inbound.draw, reach, CANDIDATES, gateway.now())
+        pool.candidates(
+            service,
+            inbound.affinity_hash,
+            reach,
+            CANDIDATES,
+            gateway.now(),
+        )
     };
     look_at_each(gateway, candidates).await
 }
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -29,7 +29,7 @@
     /// The turns that it goes on from, oldest first.
     pub(crate) chain: Vec<Rc<TurnRecord>>,
     /// The replica that holds the prompt's beginning, or at which the program begins.
-    pub(crate) place: Option<BackendId>,
+    pub(crate) preferred_replica: Option<BackendId>,
     /// Whether it is not its program's first.
     pub(crate) goes_on: bool,
     /// The whole prompt, when it differs from what the caller sent.
@@ -62,12 +62,12 @@
 
 impl Reservation {
     /// Notes tokens that go to the caller.
-    pub(crate) fn give(&self, tokens: u64) {
+    pub(crate) fn add_delivered(&self, tokens: u64) {
         self.given.set(self.given.get() + tokens);
     }
 
     /// Tokens that went to the caller.
-    pub(crate) fn given(&self) -> u64 {
+    pub(crate) fn delivered(&self) -> u64 {
         self.given.get()
     }
 
@@ -133,16 +133,16 @@
 
 /// Reserves a turn's tokens, takes one of its tenant's quota, and finds the turns that it goes on
 /// from.
-pub(crate) async fn begin(
+pub(crate) async fn prepare_turn(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
 ) -> Result<PreparedTurn, Refusal> {
     let Some(program) = &inbound.program else {
-        quota::take(gateway, inbound, Purpose::Continues).await?;
+        quota::take_token(gateway, inbound, Purpose::Continues).await?;
         return Ok(PreparedTurn {
             reservation: None,
             chain: Vec::new(),
-            place: None,
+            preferred_replica: None,
             goes_on: false,
             prompt: None,
             _under_way: None,
@@ -170,14 +170,14 @@
         (None, Purpose::Continues) => reserved.served_by,
     };
     // Only for a turn that will be sent: one that names no turn or is over its budget takes none.
-    quota::take(gateway, inbound, reserved.purpose).await?;
+    quota::take_token(gateway, inbound, reserved.purpose).await?;
     let prompt = match chain.is_empty() {
         true => None,
         false => Some(prompt(&chain, inbound)?),
     };
     Ok(PreparedTurn {
         reservation: reserved.reservation,
-        place,
+        preferred_replica: place,
         goes_on: reserved.purpose == Purpose::Continues,
         chain,
         prompt,
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -49,7 +49,7 @@
     in_flight: InFlight,
 ) -> Result<Response<Body>, Refusal> {
     refuse_hopeless(gateway, &inbound)?;
-    let start = program::begin(gateway, &inbound).await?;
+    let start = program::prepare_turn(gateway, &inbound).await?;
     refuse_hopeless(gateway, &inbound)?;
     let extra = Extra {
         body: start.prompt.clone(),
@@ -113,10 +113,10 @@
     start: &PreparedTurn,
 ) -> Option<BackendId> {
     let pool = gateway.pool.borrow();
-    let known = start.place.clone();
+    let known = start.preferred_replica.clone();
     known
         .filter(|id| pool.usable(id).is_some())
-        .or_else(|| pool.home(&inbound.service, inbound.draw))
+        .or_else(|| pool.home(&inbound.service, inbound.affinity_hash))
 }
 
 /// A turn whose answer's head has arrived.
@@ -381,7 +381,7 @@
         self.moves.note_event(&self.inbound);
         self.note_pause(source);
         if let Some(reservation) = &self.start.reservation {
-            reservation.give(self.tokens_per_event);
+            reservation.add_delivered(self.tokens_per_event);
         }
         if self.inbound.route.keeps_history {
             self.output.extend_from_slice(data);
@@ -566,7 +566,7 @@
                 .map(|program| tracing::field::display(&program.name)),
             chain = self.start.chain.len(),
             events = self.events,
-            given = reservation.map(|reservation| reservation.given()),
+            given = reservation.map(|reservation| reservation.delivered()),
             resumptions = self.resumptions,
             first_ms = self.wait.delay().map(milliseconds),
             ms = milliseconds(self.inbound.arrived.elapsed()),
--- a/crates/gateway-server/tests/gateway/moves.rs
+++ b/crates/gateway-server/tests/gateway/moves.rs
@@ -149,7 +149,7 @@
     let got = ask("/resumable/x", "single").send(to).await;
     assert_eq!((got.status, runs_of(&replicas, "single")), (504, 1));
     for replica in &replicas {
-        replica.set(Script::StreamSilent(2));
+        replica.set_script(Script::StreamSilent(2));
     }
     for (path, id, allowed) in [("/movable/x", "two", 2), ("/resumable/x", "one", 1)] {
         let got = ask(path, id).send(to).await;
@@ -185,7 +185,7 @@
         let ask = TestRequest::get("/safe/x", &format!("s{number}"));
         assert_eq!(ask.send(to).await.status, 200);
     }
-    replicas[0].set(Script::Mute);
+    replicas[0].set_script(Script::Mute);
     ask_safe_until_met(&fleet, &replicas[0]).await;
     let early = metric(&fleet, "luglink_hedges_total{when=\"early\"}").await;
     assert!(early >= 1.0, "{early}");
@@ -199,7 +199,7 @@
         let ask = TestRequest::get("/safe/x", &format!("s{number}"));
         assert_eq!(ask.send(to).await.status, 200);
     }
-    replicas[0].set(Script::Mute);
+    replicas[0].set_script(Script::Mute);
     ask_safe_until_met(&fleet, &replicas[0]).await;
     let early = metric(&fleet, "luglink_hedges_total{when=\"early\"}").await;
     assert_eq!(early, 0.0);
--- a/crates/gateway-server/tests/gateway/overload.rs
+++ b/crates/gateway-server/tests/gateway/overload.rs
@@ -107,7 +107,7 @@
     assert_eq!(replica.requests(), 1, "a refused program has run");
 
     // A sub-agent of the program under way needs no leave, and small ones find room.
-    replica.set(Script::Stream);
+    replica.set_script(Script::Stream);
     let sub = large_turn("begun", "begun-2").send(gateway).await;
     assert_eq!(sub.status, 200);
     assert_eq!(turn("small", "small-1").send(gateway).await.status, 200);
@@ -126,7 +126,7 @@
     let fleet = Fleet::start_with_features(vec![replica.clone()], by_working_set()).await;
     fleet.configure(&configuration(1)).await;
     wait_in_vain(fleet.gateway_address, SMALL).await;
-    replica.set(Script::Stream);
+    replica.set_script(Script::Stream);
     // Those that waited in vain have ended; nothing is under way.
     wait_until("there is room again", || async {
         let got = small_turn("after").send(fleet.gateway_address).await;
--- a/crates/gateway-server/tests/gateway/programs.rs
+++ b/crates/gateway-server/tests/gateway/programs.rs
@@ -66,7 +66,7 @@
         Script::StreamEndsInside(2),
     ];
     for (number, script) in scripts.into_iter().enumerate() {
-        replica.set(script.clone());
+        replica.set_script(script.clone());
         let before = replica.requests();
         let id = format!("t{number}");
         let broken = send(&fleet, turn("/kept/x", &id, "x")).await;
@@ -112,7 +112,7 @@
     let (fleet, replica) = fleet(Script::StreamBroken(1)).await;
     let ask = |id: &str| turn("/kept/x", id, "x").with("luglink-token-budget", 70);
     assert!(!send(&fleet, ask("t1")).await.is_whole);
-    replica.set(Script::Stream);
+    replica.set_script(Script::Stream);
     wait_until("10 tokens count, not 50", || async {
         send(&fleet, ask("t2")).await.status == 200
     })
--- a/crates/gateway-server/tests/gateway/replicas.rs
+++ b/crates/gateway-server/tests/gateway/replicas.rs
@@ -67,7 +67,7 @@
     ];
     for (number, script) in scripts.iter().enumerate() {
         for replica in &replicas {
-            replica.set(script.clone());
+            replica.set_script(script.clone());
         }
         let before = runs(&replicas);
         let got = ask_unsafe(&fleet, &format!("u{number}")).await;
@@ -84,7 +84,7 @@
         .iter()
         .enumerate()
     {
-        replicas[0].set(script.clone());
+        replicas[0].set_script(script.clone());
         for round in 0..4 {
             let id = format!("s{number}-{round}");
             let got = ask_safe(&fleet, &id).await;
@@ -131,7 +131,7 @@
         .send(fleet.gateway_address)
         .await;
     assert_eq!((got.status, got.is_whole), (200, true));
-    replicas[0].set(Script::Answer);
+    replicas[0].set_script(Script::Answer);
     let got = ask_unsafe(&fleet, "two").await;
     assert_eq!(got.body, "answer of r0 to two");
     assert_eq!(replicas[0].last().id(), "two");
@@ -144,13 +144,13 @@
         let got = ask_unsafe(&fleet, &format!("d{number}")).await;
         assert_eq!(got.status, 200);
     }
-    replicas[0].set(Script::Misdirected);
+    replicas[0].set_script(Script::Misdirected);
     for number in 0..6 {
         let got = ask_unsafe(&fleet, &format!("m{number}")).await;
         assert_eq!(got.status, 200);
     }
-    replicas[1].set(Script::Decline);
-    replicas[0].set(Script::Decline);
+    replicas[1].set_script(Script::Decline);
+    replicas[0].set_script(Script::Decline);
     let got = ask_unsafe(&fleet, "all").await;
     assert_eq!(got.status, 503);
     let pause: f64 = got.header("retry-after").unwrap().parse().unwrap();
@@ -167,7 +167,7 @@
             replicas.iter().all(|replica| replica.requests() > 0)
         })
         .await;
-        replicas[0].set(Script::Answer);
+        replicas[0].set_script(Script::Answer);
     };
     let (got, ()) = futures_util::future::join(asking, making_room).await;
     assert_eq!(got.status, 200);
@@ -207,7 +207,7 @@
         replicas[0].closed.get() == 1
     })
     .await;
-    replicas[0].set(Script::StreamEndless);
+    replicas[0].set_script(Script::StreamEndless);
     let ask = TestRequest::post("/resumable/x", "two", "body");
     ask.send_and_leave(to).await;
     crate::support::wait_until("the replica is free", || async {
@@ -237,7 +237,7 @@
         assert_eq!(got.body, format!("answer of r1 to {id}"));
     }
     // What may not be repeated waits for the replica that has it, and runs nowhere else.
-    replicas[1].set(Script::Mute);
+    replicas[1].set_script(Script::Mute);
     let before = runs(&replicas);
     let got = TestRequest::post("/unsafe/x", "u", "body")
         .with("luglink-deadline-ms", "900")
@@ -261,7 +261,7 @@
     for number in 0..6 {
         assert_eq!(ask_safe(&fleet, &format!("s{number}")).await.status, 200);
     }
-    replicas[1].set(Script::Fail);
+    replicas[1].set_script(Script::Fail);
     let got = ask_safe(&fleet, "all").await;
     assert_eq!((got.status, got.body.as_str()), (500, "oops"));
     assert_eq!(got.header("luglink-signature"), Some("of-all"));
--- a/crates/gateway-server/tests/gateway/support/replica.rs
+++ b/crates/gateway-server/tests/gateway/support/replica.rs
@@ -121,7 +121,7 @@
         replica
     }
 
-    pub fn set(&self, script: Script) {
+    pub fn set_script(&self, script: Script) {
         *self.script.borrow_mut() = script;
     }
 
--- a/crates/scheduling/src/moves.rs
+++ b/crates/scheduling/src/moves.rs
@@ -50,14 +50,14 @@
     /// Half of them are over by then.
     pub median: Duration,
     /// [`USUAL_SHARE`] of them are over by then.
-    pub usual: Duration,
+    pub p90: Duration,
 }
 
 impl WaitQuantiles {
     /// Whether a wait for a first event is unusual.
     #[must_use]
     pub fn is_exceeded_by(&self, wait: Duration) -> bool {
-        wait > self.usual.mul_f64(UNUSUAL_TIMES)
+        wait > self.p90.mul_f64(UNUSUAL_TIMES)
     }
 
     /// For a route of which too little was seen: callers want answers within its aim, so most
@@ -67,7 +67,7 @@
         let usual = if aim.is_zero() { DEFAULT_WAIT } else { aim };
         Self {
             median: usual,
-            usual,
+            p90: usual,
         }
     }
 }
@@ -212,7 +212,7 @@
 
 /// Wait from which the request starts anew.
 fn unusual_from(waiting: &Waiting, elsewhere: Duration) -> Duration {
-    let usual = waiting.first_event.usual;
+    let usual = waiting.first_event.p90;
     match waiting.awaited {
         AwaitedEvent::FirstEvent { program } => {
             let worth_it = usual.mul_f64(UNUSUAL_TIMES).max(elsewhere);
--- a/crates/scheduling/src/pool/by_finish.rs
+++ b/crates/scheduling/src/pool/by_finish.rs
@@ -65,7 +65,7 @@
 
 /// A turn that goes elsewhere although the replica which holds its prompt may get it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Leaving {
+pub struct Relocation {
     /// The replica that holds its prompt.
     pub from: BackendId,
     /// What was expected there.
@@ -78,7 +78,7 @@
     /// What is expected of the chosen replica.
     pub expected: Expected,
     /// Set when the turn leaves the replica that holds its prompt.
-    pub leaving: Option<Leaving>,
+    pub relocation: Option<Relocation>,
     /// Age of what is known from other gateways.
     pub view_age: Duration,
 }
@@ -183,9 +183,9 @@
         let most = (cost(drawn) * KEEPS_PROMPT).max(middle_cost(&weighed) * OUTLIER);
         let stays = holder.filter(|holder| cost(holder) <= most);
         let chosen = stays.unwrap_or(drawn);
-        let leaving = holder
+        let relocation = holder
             .filter(|holder| holder.candidate.backend.id != chosen.candidate.backend.id)
-            .map(|holder| Leaving {
+            .map(|holder| Relocation {
                 from: holder.candidate.backend.id.clone(),
                 expected: holder.expected,
             });
@@ -194,7 +194,7 @@
             in_flight: chosen.candidate.record.in_flight,
             basis: Some(ChoiceBasis {
                 expected: chosen.expected,
-                leaving,
+                relocation,
                 view_age: self.view.age(now),
             }),
         })
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -256,7 +256,7 @@
 fn a_program_that_is_short_of_time_moves_sooner_but_not_at_once() {
     let usual = WaitQuantiles {
         median: AIM / 2,
-        usual: AIM,
+        p90: AIM,
     };
     let mut waiting = waiting(usual);
     let calm = moves_at(&waiting).unwrap();
@@ -389,7 +389,7 @@
             awaited,
             waited: ms(waited),
             left: ms(left),
-            first_event: WaitQuantiles { median: ms(median), usual: ms(median + more) },
+            first_event: WaitQuantiles { median: ms(median), p90: ms(median + more) },
             outlier_ratio,
             restart: Restart { tokens, step: step.map(ms) },
             reruns: RerunLimits { is_repeatable, may_have_run, max_attempts, has_untried_replica },
