--- a/crates/program/src/account.rs
+++ b/crates/program/src/account.rs
@@ -1,22 +1,22 @@
-//! A program's budget account.
+//! Budget account of a program.
 
 use luglink_types::{Budget, BudgetDimension, Charge};
 use serde::{Deserialize, Serialize};
 
-/// What happens to the unused part of a reservation once a call's use is known.
+/// Rule for the unused part of a reservation once the usage of a call is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefundRule {
-    /// The unused part is given back when the engine's report is final (completed calls) or
-    /// when certainly nothing ran.
+    /// Releases the unused part if the call completed, so that the engine's usage report is
+    /// final, or if it certainly did not run.
     #[default]
     UnusedPart,
-    /// Nothing is ever given back, as in "Model Budget Policy v1 (issue #179)".
+    /// Charges every reservation in full.
     Never,
 }
 
-/// Spent and reserved amounts. The invariant is that `spent + reserved` never passes the
-/// budget, so that no order of outcomes can overspend it.
+/// Spent and reserved amounts. Invariant: `spent + reserved` never exceeds the budget, so that
+/// no order of outcomes can overspend it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
     spent: Charge,
@@ -24,30 +24,30 @@
 }
 
 impl Account {
-    /// What has been spent for good.
+    /// Amount that has been spent.
     #[must_use]
     pub fn spent(&self) -> Charge {
         self.spent
     }
 
-    /// What calls in flight may still spend.
+    /// Amount that calls in flight may still spend.
     #[must_use]
     pub fn reserved(&self) -> Charge {
         self.reserved
     }
 
-    /// The first dimension in which `amount` no longer fits into `budget`.
+    /// Returns the first dimension in which adding `amount` would exceed `budget`.
     #[must_use]
-    pub fn lacks_room(&self, budget: &Budget, amount: &Charge) -> Option<BudgetDimension> {
+    pub fn exceeded_dimension(&self, budget: &Budget, amount: &Charge) -> Option<BudgetDimension> {
         budget.exceeded_by(&self.spent.plus(&self.reserved), amount)
     }
 
-    /// Reserves `amount`. The caller has checked that it fits.
+    /// Reserves `amount`. The caller must have checked that it fits into the budget.
     pub(crate) fn reserve(&mut self, amount: &Charge) {
         self.reserved = self.reserved.plus(amount);
     }
 
-    /// Turns a reservation into what was used and gives the rest back.
+    /// Replaces a reservation by the amount that was used.
     pub(crate) fn settle(&mut self, reservation: &Charge, used: &Charge) {
         self.reserved = self.reserved.minus(reservation);
         self.spent = self.spent.plus(used);
--- a/crates/program/src/call.rs
+++ b/crates/program/src/call.rs
@@ -1,4 +1,4 @@
-//! One call of a program, as the replicated state keeps it.
+//! Calls of a program in the replicated state.
 
 use crate::window::StartWindow;
 use luglink_types::{
@@ -7,45 +7,45 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// A completed call's answer.
+/// Answer of a completed call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
-    /// The call's place in its program.
+    /// Position of the call in its program.
     pub sequence: Sequence,
-    /// The whole text.
+    /// Complete text.
     pub text: String,
-    /// What the engine reported.
+    /// Token usage that the engine reported.
     pub usage: TokenUsage,
     /// Number of attempts made.
     pub attempts: u32,
 }
 
-/// Where a call stands.
+/// State of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallState {
-    /// The intent is durable, the outcome is not known yet.
+    /// The intent is durable and the outcome is not known yet.
     InFlight {
-        /// Epoch of the owner that may dispatch it.
+        /// Epoch of the owner that may dispatch the call.
         epoch: Epoch,
-        /// The attempt under way.
+        /// Current attempt.
         attempt: AttemptNumber,
-        /// The engine of that attempt.
+        /// Engine of the current attempt.
         engine: EngineId,
-        /// When it may start.
+        /// Interval in which the current attempt may start.
         window: StartWindow,
     },
-    /// Answered.
+    /// The call has an answer.
     Completed {
         /// Index of the answer in the program's history.
         history_index: usize,
-        /// What the engine reported.
+        /// Token usage that the engine reported.
         usage: TokenUsage,
         /// Number of attempts made.
         attempts: u32,
     },
-    /// Nobody can tell whether it ran.
+    /// It is unknown whether the call ran.
     Uncertain {
-        /// The last attempt made.
+        /// Last attempt.
         attempt: AttemptNumber,
     },
 }
@@ -53,37 +53,37 @@
 /// A call and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// Place in the program.
+    /// Position in the program.
     pub sequence: Sequence,
-    /// The caller's name for the call.
+    /// Idempotency key of the call, if the caller set one.
     pub key: Option<IdempotencyKey>,
-    /// Tells a repeated request from a different one under the same key.
+    /// Digest that distinguishes a repeated request from a different one with the same key.
     pub fingerprint: u64,
-    /// Whether the caller allows it to run twice after a failure.
+    /// True if the caller allows the call to run twice after a failure.
     pub repeatable: bool,
-    /// The most that one attempt can spend.
+    /// Maximum that one attempt can spend.
     pub ceiling: Charge,
-    /// What is reserved for all its attempts while it is in flight.
+    /// Amount that is reserved for all attempts while the call is in flight.
     pub reservation: Charge,
     /// Price of one token in millionths of the currency unit.
     pub cost_per_token_micros: u64,
-    /// Tokens of the new messages.
+    /// Tokens in the new messages.
     pub input_tokens: u64,
     /// New messages that are not yet part of the history.
     pub pending: Vec<ChatMessage>,
-    /// Where it stands.
+    /// Current state.
     pub state: CallState,
 }
 
 impl CallRecord {
-    /// Whether the call has an intent without an outcome.
+    /// Returns true if the call has an intent and no outcome.
     #[must_use]
     pub fn in_flight(&self) -> bool {
         matches!(self.state, CallState::InFlight { .. })
     }
 }
 
-/// A digest of what a caller asked for, equal for equal requests on every replica.
+/// Computes a digest of a request. Equal requests have equal digests on every replica.
 #[must_use]
 pub fn request_fingerprint(messages: &[ChatMessage], output_tokens: Option<u64>) -> u64 {
     let mut hasher = Sha256::new();
--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands that a replication group applies to the programs it holds.
+//! Commands that a replication group applies to its programs.
 
 use luglink_types::{
     AttemptNumber, Budget, ChatMessage, ClassName, DaemonId, EngineId, Epoch, IdempotencyKey,
@@ -6,12 +6,12 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What a caller says of a program when it creates it.
+/// Specification of a program, set by the caller at creation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramSpec {
-    /// Who pays.
+    /// Tenant that is charged.
     pub tenant: TenantName,
-    /// Program class, which names the defaults.
+    /// Program class, which determines the defaults.
     pub class: ClassName,
     /// Model pool that serves the program.
     pub model: ModelName,
@@ -21,30 +21,31 @@
     pub priority: Priority,
     /// Zone of the caller.
     pub zone: ZoneName,
-    /// The program that started this one; its account pays too and its end ends this one.
+    /// Program that started this one. Its account is charged too, and this program ends with it.
     pub parent: Option<ProgramId>,
-    /// Ceilings for the whole life of the program.
+    /// Limits for the whole life of the program.
     pub budget: Budget,
-    /// Longest pause between two calls before the program counts as abandoned, in milliseconds.
+    /// Idle time after which the program counts as abandoned, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
-/// Creates a program owned by `owner`. Repeating it with the same spec changes nothing.
+/// Creates a program that `owner` owns. Repeating it with the same specification and claim
+/// does not create a second one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CreateProgram {
     /// Identifier chosen by the daemon.
     pub program: ProgramId,
-    /// What the caller asked for, defaults filled in.
+    /// Specification from the caller with the defaults filled in.
     pub spec: ProgramSpec,
-    /// The daemon that serves the program.
+    /// Daemon that serves the program.
     pub owner: DaemonId,
-    /// Its name for this claim to ownership.
+    /// Identifier of this claim to ownership.
     pub claim: Claim,
 }
 
-/// A daemon's name for one claim to a program, drawn at random. A request that was sent twice
-/// claims once: without it, a take-over that the network repeats would take the program away
-/// from its own sender, and the call that runs by then would be lost.
+/// Random identifier of one claim of a daemon to a program. It makes claims idempotent: without
+/// it, a take-over that the network duplicates would take the program away from its own sender,
+/// and the call that is in flight by then would become uncertain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Claim(pub u64);
 
@@ -55,64 +56,64 @@
     pub program: ProgramId,
     /// The new owner.
     pub daemon: DaemonId,
-    /// Its name for this claim. The claim that holds the program already changes nothing; one
-    /// that another claim has followed is refused.
+    /// Identifier of this claim. The current claim of the program has no further effect; a
+    /// superseded claim is refused.
     pub claim: Claim,
 }
 
-/// The intent of a call: checks order, owner and budget, and reserves the call's ceiling.
+/// Records the intent of a call: checks order, owner and budget, and reserves the call's ceiling.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeginCall {
     /// The program.
     pub program: ProgramId,
-    /// Epoch of the daemon that asks.
+    /// Epoch of the requesting daemon.
     pub epoch: Epoch,
-    /// The owner's number for the intent, rising within its epoch. An intent that arrives after
-    /// a later one is a late copy that nobody waits for.
+    /// Number of the intent, which the owner increments within its epoch. An intent with a lower
+    /// number than an earlier arrival is a late duplicate whose sender no longer waits for it.
     pub intent: u64,
-    /// Place of the call, when the caller states it.
+    /// Position of the call, if the caller states it.
     pub sequence: Option<Sequence>,
-    /// The caller's name for the call.
+    /// Idempotency key of the call, if the caller set one.
     pub key: Option<IdempotencyKey>,
-    /// New messages; the history before them is luglink's.
+    /// New messages. The history before them is part of the replicated state.
     pub messages: Vec<ChatMessage>,
     /// Tokens in `messages`.
     pub input_tokens: u64,
-    /// Ceiling of generated tokens, enforced by the engine.
+    /// Maximum number of generated tokens, enforced by the engine.
     pub max_output_tokens: u64,
-    /// The ceiling that the caller asked for. What it leaves open may be filled in differently
-    /// when it asks again, which does not make it another request.
+    /// Maximum that the caller requested, if any. Only this value is part of the fingerprint: a
+    /// default may differ when the same request is sent again.
     pub requested_output_tokens: Option<u64>,
     /// Price of one token in millionths of the currency unit.
     pub cost_per_token_micros: u64,
-    /// Whether the caller allows the call to run twice after a failure.
+    /// True if the caller allows the call to run twice after a failure.
     pub repeatable: bool,
-    /// Ceiling of the program's class and tenant in force at the daemon.
+    /// Budget limit of the program's class and tenant, as configured at the daemon.
     pub ceiling: Budget,
-    /// The engine of the first attempt.
+    /// Engine of the first attempt.
     pub engine: EngineId,
 }
 
-/// Another attempt of a call after a safe failure.
+/// Starts another attempt of a call after a failure that is safe to retry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryCall {
     /// The program.
     pub program: ProgramId,
-    /// Epoch of the daemon that asks.
+    /// Epoch of the requesting daemon.
     pub epoch: Epoch,
     /// The call.
     pub sequence: Sequence,
-    /// The attempt that failed.
+    /// The failed attempt.
     pub failed: AttemptNumber,
-    /// How it failed.
+    /// Outcome of the failed attempt.
     pub class: OutcomeClass,
-    /// Ceiling of the program's class and tenant in force at the daemon.
+    /// Budget limit of the program's class and tenant, as configured at the daemon.
     pub ceiling: Budget,
-    /// The engine of the next attempt.
+    /// Engine of the next attempt.
     pub engine: EngineId,
 }
 
-/// The outcome of a call.
+/// Records the outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishCall {
     /// The program.
@@ -123,45 +124,45 @@
     pub sequence: Sequence,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub class: OutcomeClass,
-    /// The whole answer when `class` is completed, else empty.
+    /// Complete answer if `class` is completed, otherwise empty.
     pub answer: String,
-    /// Tokens the engine reported.
+    /// Token usage that the engine reported.
     pub usage: TokenUsage,
 }
 
-/// A live owner keeps its program.
+/// Renews the ownership of programs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewLease {
-    /// The owner's programs.
+    /// Programs of the owner and the epochs under which it owns them.
     pub programs: Vec<(ProgramId, Epoch)>,
 }
 
-/// Why a program ended.
+/// Reason for the end of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndReason {
-    /// Its caller ended it.
+    /// The caller ended it.
     Finished,
-    /// Its caller or its lease gave it up.
+    /// The caller abandoned it, or it exceeded its idle timeout.
     Abandoned,
     /// Its deadline passed.
     DeadlinePassed,
-    /// The program that started it ended.
+    /// Its parent program ended.
     ParentEnded,
 }
 
-/// Ends a program and everything below it.
+/// Ends a program and all its descendants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndProgram {
     /// The program.
     pub program: ProgramId,
-    /// Why.
+    /// Reason for the end.
     pub reason: EndReason,
 }
 
-/// An engine has confirmed that it holds nothing more of a program.
+/// Records that an engine has released all memory of a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfirmRelease {
     /// The program.
@@ -170,7 +171,7 @@
     pub engine: EngineId,
 }
 
-/// A command to the programs of one group.
+/// Command to the programs of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// See [`CreateProgram`].
@@ -189,12 +190,14 @@
     End(EndProgram),
     /// See [`ConfirmRelease`].
     ConfirmRelease(ConfirmRelease),
-    /// Ends whatever is past its lease, deadline or retention at the entry's time.
+    /// Applies every lease, deadline, idle timeout and retention that has expired at the entry's
+    /// timestamp.
     Expire,
 }
 
 impl Command {
-    /// The program the command is about; `None` when it concerns a whole group.
+    /// Program that the command refers to, or `None` if it applies to a whole group. For a
+    /// renewal, the first program of the list.
     #[must_use]
     pub fn program(&self) -> Option<ProgramId> {
         match self {
--- a/crates/program/src/lib.rs
+++ b/crates/program/src/lib.rs
@@ -1,12 +1,13 @@
-//! The replicated state of agent programs: ownership, order, history, budget and outcomes.
+//! Replicated state of agent programs: ownership, call order, history, budget and outcomes.
 //!
-//! [`ProgramStore`] is a deterministic state machine. A replication group applies the same
-//! [`Command`]s in the same order on every replica, each with the time its leader gave it, and
-//! every replica reaches the same state. No I/O, no clock, no randomness.
+//! [`ProgramStore`] is a deterministic state machine. Every replica of a group applies the same
+//! [`Command`]s in the same order, each with the timestamp that the leader assigned to it, and
+//! reaches the same state. It uses no I/O, no clock and no randomness.
 //!
-//! The life of a call: [`Command::Begin`] makes its intent durable and reserves its ceiling in
-//! the budget; only then may a daemon dispatch it. [`Command::Finish`] makes its outcome
-//! durable; only then may a daemon answer. An intent whose owner is gone becomes uncertain.
+//! Life cycle of a call: [`Command::Begin`] makes the intent durable and reserves the call's
+//! ceiling in the budget; only then may a daemon dispatch the call. [`Command::Finish`] makes the
+//! outcome durable; only then may a daemon respond to the caller. If the owner of an intent fails,
+//! the call becomes uncertain.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -29,4 +30,4 @@
 pub use program::{OwnerLease, Program, ProgramStatus};
 pub use reply::{Begun, Owned, ProgramView, Reply};
 pub use store::{ProgramStore, Release};
-pub use window::{CLOCK_SKEW_BOUND, StartWindow};
+pub use window::{MAX_CLOCK_SKEW, StartWindow};
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -1,4 +1,4 @@
-//! One program and the rules for its calls.
+//! State of one program and the transitions of its calls.
 
 use crate::account::{Account, RefundRule};
 use crate::call::{CallRecord, CallState, StoredAnswer};
@@ -12,37 +12,37 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Whether a program runs.
+/// Status of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProgramStatus {
-    /// It may make calls.
+    /// The program may make calls.
     Active,
-    /// It has ended.
+    /// The program has ended.
     Ended {
-        /// Why.
+        /// Reason for the end.
         reason: EndReason,
-        /// When, in the group's time.
+        /// Time of the end, in the group's time.
         at: Timestamp,
     },
 }
 
-/// Who serves a program.
+/// Ownership of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerLease {
-    /// The daemon.
+    /// Daemon that serves the program.
     pub daemon: DaemonId,
-    /// Its epoch; every take-over raises it.
+    /// Epoch of the owner, incremented by every take-over.
     pub epoch: Epoch,
-    /// The claim by which it holds the program.
+    /// Claim under which the daemon owns the program.
     pub claim: Claim,
-    /// Its latest intent.
+    /// Number of the owner's latest intent.
     pub last_intent: u64,
-    /// Last time the owner was heard of.
+    /// Time of the last renewal or other command of the owner that renews the lease.
     pub renewed_at: Timestamp,
 }
 
-/// A program and everything that must survive of it.
+/// Replicated state of one program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Program {
     pub(crate) id: ProgramId,
@@ -56,16 +56,16 @@
     pub(crate) children: BTreeSet<ProgramId>,
     pub(crate) engines: BTreeSet<EngineId>,
     pub(crate) created_at: Timestamp,
-    pub(crate) active_at: Timestamp,
-    /// Until when an attempt that was taken for lost may still start at an engine.
-    pub(crate) quiet_until: Timestamp,
-    /// Claims that another one has followed, the latest last.
-    pub(crate) old_claims: VecDeque<Claim>,
+    pub(crate) last_active_at: Timestamp,
+    /// Time until which an attempt with an uncertain outcome may still start at an engine.
+    pub(crate) earliest_next_start: Timestamp,
+    /// Superseded claims, most recent last.
+    pub(crate) superseded_claims: VecDeque<Claim>,
 }
 
-/// Old claims that are remembered. A copy of a request that is older than this many take-overs
-/// has outlived every timeout of its sender.
-const OLD_CLAIMS: usize = 8;
+/// Maximum number of superseded claims that are remembered. A duplicate of a request that is
+/// older than this many take-overs has outlived every timeout of its sender.
+const MAX_SUPERSEDED_CLAIMS: usize = 8;
 
 impl Program {
     pub(crate) fn new(create: &CreateProgram, at: Timestamp) -> Self {
@@ -87,17 +87,17 @@
             children: BTreeSet::new(),
             engines: BTreeSet::new(),
             created_at: at,
-            active_at: at,
-            quiet_until: Timestamp::ZERO,
-            old_claims: VecDeque::new(),
+            last_active_at: at,
+            earliest_next_start: Timestamp::ZERO,
+            superseded_claims: VecDeque::new(),
         }
     }
 
-    /// Gives the program to the daemon of a new claim.
+    /// Transfers ownership to the daemon of a new claim.
     pub(crate) fn change_owner(&mut self, daemon: DaemonId, claim: Claim) {
-        self.old_claims.push_back(self.owner.claim);
-        if self.old_claims.len() > OLD_CLAIMS {
-            self.old_claims.pop_front();
+        self.superseded_claims.push_back(self.owner.claim);
+        if self.superseded_claims.len() > MAX_SUPERSEDED_CLAIMS {
+            self.superseded_claims.pop_front();
         }
         self.owner.daemon = daemon;
         self.owner.claim = claim;
@@ -105,37 +105,37 @@
         self.owner.epoch = self.owner.epoch.next();
     }
 
-    /// Whether the program may make calls.
+    /// Returns true if the program may make calls.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.status == ProgramStatus::Active
     }
 
-    /// The budget account.
+    /// Budget account of the program.
     #[must_use]
     pub fn account(&self) -> &Account {
         &self.account
     }
 
-    /// The conversation.
+    /// Messages of the conversation.
     #[must_use]
     pub fn history(&self) -> &[ChatMessage] {
         &self.history
     }
 
-    /// What the program is.
+    /// Specification of the program.
     #[must_use]
     pub fn spec(&self) -> &ProgramSpec {
         &self.spec
     }
 
-    /// Who serves it.
+    /// Current ownership.
     #[must_use]
     pub fn owner(&self) -> OwnerLease {
         self.owner
     }
 
-    /// Its calls, by sequence.
+    /// Calls of the program, ordered by sequence.
     #[must_use]
     pub fn calls(&self) -> &[CallRecord] {
         &self.calls
@@ -151,8 +151,8 @@
             .find(|call| call.key.as_ref() == Some(key))
     }
 
-    /// Ends of the program's life that time alone brings about.
-    pub(crate) fn overdue(&self, at: Timestamp, owner_lease: Duration) -> Option<EndReason> {
+    /// Returns the reason for which elapsed time ends the program at `at`, if any.
+    pub(crate) fn due_end_reason(&self, at: Timestamp, owner_lease: Duration) -> Option<EndReason> {
         if self.call_in_flight().is_some() && at.since(self.owner.renewed_at) < owner_lease {
             return None;
         }
@@ -160,7 +160,7 @@
             return Some(EndReason::DeadlinePassed);
         }
         let idle = Duration::from_millis(self.spec.idle_timeout_ms);
-        (at.since(self.active_at) > idle).then_some(EndReason::Abandoned)
+        (at.since(self.last_active_at) > idle).then_some(EndReason::Abandoned)
     }
 
     pub(crate) fn deadline_passed(&self, budget: &Budget, at: Timestamp) -> bool {
@@ -169,7 +169,7 @@
             .is_some_and(|deadline| at.since(self.created_at) > deadline)
     }
 
-    /// Checks that `epoch` is the current owner's.
+    /// Checks that `epoch` is the epoch of the current owner.
     pub(crate) fn check_epoch(&self, epoch: Epoch) -> Result<(), Refusal> {
         if epoch == self.owner.epoch {
             return Ok(());
@@ -177,14 +177,14 @@
         Err(Refusal::not_run(
             RefusalCode::StaleOwner,
             format!(
-                "program {} is owned under epoch {}, not {epoch}",
+                "stale owner of program {}: current epoch is {}, request has {epoch}",
                 self.id, self.owner.epoch
             ),
         ))
     }
 
-    /// A call without an outcome whose owner is gone has become uncertain. Its reservation
-    /// counts as spent, because the engine may have spent it.
+    /// Marks the call in flight as uncertain after its owner was lost. Returns its reservation,
+    /// which the caller must charge in full because the engine may have spent it.
     pub(crate) fn abandon_call_in_flight(&mut self) -> Option<Charge> {
         let call = self.calls.last_mut().filter(|call| call.in_flight())?;
         let CallState::InFlight {
@@ -193,16 +193,16 @@
         else {
             return None;
         };
-        self.quiet_until = self.quiet_until.max(window.surely_over());
+        self.earliest_next_start = self.earliest_next_start.max(window.latest_possible_start());
         call.state = CallState::Uncertain { attempt };
         let reservation = std::mem::take(&mut call.reservation);
         self.next_sequence = call.sequence.next();
         Some(reservation)
     }
 
-    /// Moves the new messages of a closed, uncertain call into the history: the caller's words
-    /// are kept even when the answer is not known. Returns whether there were any.
-    pub(crate) fn absorb_uncertain_messages(&mut self) -> bool {
+    /// Moves the messages of the last call into the history if that call is uncertain, so that
+    /// they are kept although the answer is unknown. Returns true if the history changed.
+    pub(crate) fn append_uncertain_messages(&mut self) -> bool {
         let Some(call) = self.calls.last_mut() else {
             return false;
         };
@@ -214,8 +214,8 @@
         true
     }
 
-    /// Applies the outcome of the call in flight. Returns the reservation and what of it was
-    /// used.
+    /// Applies the outcome of the call in flight. Returns its reservation and the part of it that
+    /// was used.
     pub(crate) fn close_call(
         &mut self,
         finish: &FinishCall,
@@ -225,7 +225,7 @@
             return (Charge::default(), Charge::default());
         };
         let reservation = call.reservation;
-        let used = used_of_reservation(&call, finish, refund);
+        let used = used_charge(&call, finish, refund);
         match finish.class {
             OutcomeClass::Completed => {
                 self.history.append(&mut call.pending);
@@ -244,7 +244,8 @@
             }
             OutcomeClass::Uncertain => {
                 if let CallState::InFlight { window, .. } = call.state {
-                    self.quiet_until = self.quiet_until.max(window.surely_over());
+                    self.earliest_next_start =
+                        self.earliest_next_start.max(window.latest_possible_start());
                 }
                 call.state = CallState::Uncertain {
                     attempt: finish.attempt,
@@ -253,7 +254,7 @@
                 self.next_sequence = call.sequence.next();
                 self.calls.push(call);
             }
-            // The request did not take effect: its place and its key are free again.
+            // The request did not take effect, so its sequence and its key can be used again.
             OutcomeClass::NotDispatched
             | OutcomeClass::RejectedBeforeProcessing
             | OutcomeClass::EngineRetryable => {}
@@ -261,7 +262,7 @@
         (reservation, used)
     }
 
-    /// The stored answer of a completed call.
+    /// Returns the stored answer of a completed call.
     pub(crate) fn stored_answer(&self, call: &CallRecord) -> Option<StoredAnswer> {
         let CallState::Completed {
             history_index,
@@ -292,7 +293,7 @@
         }
     }
 
-    /// What anyone may see of the program.
+    /// Returns the public view of the program.
     #[must_use]
     pub fn view(&self) -> ProgramView {
         let uncertain = |call: &&CallRecord| matches!(call.state, CallState::Uncertain { .. });
@@ -316,14 +317,15 @@
     }
 }
 
-/// What the call has used of its reservation. Only the last attempt can have left a part
-/// unused for certain; earlier ones that an engine worked on stay charged in full.
-fn used_of_reservation(call: &CallRecord, finish: &FinishCall, refund: RefundRule) -> Charge {
+/// Computes the part of a call's reservation that was used. Only the last attempt can leave a
+/// part that is certainly unused; earlier attempts that an engine may have processed stay charged
+/// in full.
+fn used_charge(call: &CallRecord, finish: &FinishCall, refund: RefundRule) -> Charge {
     if refund == RefundRule::Never {
         return call.reservation;
     }
     if finish.class.spent_nothing() {
-        // Retries stay charged, so that a flapping engine cannot be tried for ever.
+        // Retries stay charged, so that a flapping engine cannot be retried without limit.
         return call.reservation.minus(&call.ceiling);
     }
     if finish.class != OutcomeClass::Completed {
@@ -342,13 +344,13 @@
     call.reservation.minus(&unused)
 }
 
-/// The ceiling of one call: what it can spend at the most.
+/// Computes the maximum charge of one call.
 pub(crate) fn call_ceiling(input_tokens: u64, max_output_tokens: u64, price_micros: u64) -> Charge {
     let tokens = input_tokens.saturating_add(max_output_tokens);
     Charge {
         calls: 1,
         tokens,
-        // An unlimited ceiling must not turn a free token into an unlimited price.
+        // Unlimited tokens with a price of zero cost nothing.
         cost_micros: if tokens == UNLIMITED && price_micros == 0 {
             0
         } else {
--- a/crates/program/src/reply.rs
+++ b/crates/program/src/reply.rs
@@ -1,4 +1,4 @@
-//! Replies of the replicated state to commands and queries.
+//! Replies to commands and queries.
 
 use crate::call::StoredAnswer;
 use crate::command::ProgramSpec;
@@ -9,81 +9,81 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Ownership of a program, given to the daemon that created it or took it over.
+/// Ownership of a program, granted to the daemon that created it or took it over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owned {
     /// The program.
     pub program: ProgramId,
-    /// The owner's epoch.
+    /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Place of the next call.
+    /// Sequence of the next call.
     pub next_sequence: Sequence,
-    /// What the program is.
+    /// Specification of the program.
     pub spec: ProgramSpec,
-    /// The history so far.
+    /// Messages of the conversation so far.
     pub history: Vec<ChatMessage>,
-    /// Engines that may hold some of the program's cache.
+    /// Engines that may hold cached prompts of the program.
     pub engines: Vec<EngineId>,
-    /// Time of creation in microseconds of the control members' clock.
+    /// Time of creation in microseconds, by the control members' clock.
     pub created_at_micros: u64,
 }
 
-/// An intent is durable: the daemon may dispatch the attempt.
+/// Reply to a durable intent, which permits the daemon to dispatch the attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Begun {
-    /// Place of the call.
+    /// Sequence of the call.
     pub sequence: Sequence,
-    /// The attempt to dispatch.
+    /// Attempt to dispatch.
     pub attempt: AttemptNumber,
-    /// The history before the call's new messages, when the owner's copy may lack some of it:
-    /// the messages of an earlier, uncertain call have just become part of it, or the reply to
-    /// an earlier send of the same intent was lost.
+    /// History before the call's new messages. Set if the owner's copy may be incomplete because
+    /// the messages of an earlier, uncertain call were appended with this intent, or because the
+    /// reply to an earlier send of this intent was lost.
     pub history: Option<Vec<ChatMessage>>,
-    /// When the attempt may be dispatched and until when an engine may start it.
+    /// Interval in which the attempt may be dispatched and started.
     pub window: StartWindow,
 }
 
-/// What anyone may see of a program.
+/// Public view of a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramView {
     /// The program.
     pub program: ProgramId,
-    /// What it is.
+    /// Specification of the program.
     pub spec: ProgramSpec,
-    /// Whether it runs.
+    /// Current status.
     pub status: ProgramStatus,
-    /// The daemon that serves it.
+    /// Daemon that serves the program.
     pub owner: DaemonId,
-    /// The owner's epoch.
+    /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Place of the next call.
+    /// Sequence of the next call.
     pub next_sequence: Sequence,
-    /// Spent for good.
+    /// Amount that has been spent.
     pub spent: Charge,
-    /// Reserved by calls in flight.
+    /// Amount that calls in flight reserve.
     pub reserved: Charge,
-    /// The conversation.
+    /// Messages of the conversation.
     pub history: Vec<ChatMessage>,
-    /// Calls that nobody can tell the outcome of.
+    /// Calls with an unknown outcome.
     pub uncertain_calls: Vec<Sequence>,
 }
 
-/// The reply to a command.
+/// Reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// The daemon owns the program.
     Owned(Box<Owned>),
     /// The attempt may be dispatched.
     Begun(Begun),
-    /// The call had been answered before; this is its answer.
+    /// The call is already completed, with this answer.
     AlreadyAnswered(StoredAnswer),
     /// The outcome is durable.
     Finished {
-        /// Place of the program's next call.
+        /// Sequence of the program's next call.
         next_sequence: Sequence,
     },
-    /// The command took effect and has nothing to tell.
+    /// The command took effect and returns no value.
     Done,
-    /// The command changed nothing but, for a refused retry, closed its call.
+    /// The command was refused and changed nothing, except that a refused retry closes its call.
     Refused(Refusal),
 }
--- a/crates/program/src/rules.rs
+++ b/crates/program/src/rules.rs
@@ -1,29 +1,31 @@
-//! Rules that a command must keep, and the refusals when it does not.
+//! Preconditions of commands and the refusals for violations.
 
 use crate::call::{CallRecord, CallState};
 use crate::command::{BeginCall, CreateProgram, FinishCall, ProgramSpec};
 use crate::program::Program;
 use luglink_types::{Budget, Charge, Executed, OutcomeClass, ProgramId, Refusal, RefusalCode};
 
-/// A repeated creation must ask for the same program; the zone is the asking daemon's.
+/// Checks that a repeated creation has the same specification. The zone may differ, because it is
+/// that of the requesting daemon.
 pub(crate) fn check_same_spec(existing: &Program, create: &CreateProgram) -> Result<(), Refusal> {
-    let asked = ProgramSpec {
+    let requested = ProgramSpec {
         zone: existing.spec.zone.clone(),
         ..create.spec.clone()
     };
-    if existing.spec == asked {
+    if existing.spec == requested {
         return Ok(());
     }
     Err(Refusal::not_run(
         RefusalCode::KeyReused,
         format!(
-            "program {} exists with another specification",
+            "program {} already exists with a different specification",
             create.program
         ),
     ))
 }
 
-/// The class ceiling binds the program that makes the call; its parents answer for their own.
+/// Returns the budget that applies to `payer` for a call of `caller`. The class ceiling limits the
+/// calling program only; its ancestors are limited by their own budgets.
 pub(crate) fn effective_budget(payer: &Program, caller: ProgramId, ceiling: &Budget) -> Budget {
     if payer.id == caller {
         payer.spec.budget.intersect(ceiling)
@@ -42,8 +44,8 @@
     ))
 }
 
-/// An intent that was overtaken by a later one is a copy that the network kept back: its sender
-/// has long had an answer to it and will not look at another.
+/// Checks that an intent is newer than the owner's latest one. An older intent is a duplicate
+/// that the network delayed; its sender already has a reply and ignores another.
 pub(crate) fn check_intent(program: &Program, begin: &BeginCall) -> Result<(), Refusal> {
     if begin.intent > program.owner.last_intent {
         return Ok(());
@@ -51,7 +53,7 @@
     Err(Refusal::not_run(
         RefusalCode::StaleOwner,
         format!(
-            "intent {} comes after intent {}",
+            "intent {} is not newer than intent {}",
             begin.intent, program.owner.last_intent
         ),
     ))
@@ -61,14 +63,14 @@
     if program.call_in_flight().is_some() {
         return Err(Refusal::not_run(
             RefusalCode::CallInProgress,
-            "the program's previous call is still running",
+            "the program's previous call is still in flight",
         ));
     }
     match begin.sequence {
         Some(sequence) if sequence != program.next_sequence => Err(Refusal::not_run(
             RefusalCode::OutOfOrder,
             format!(
-                "sequence {sequence} is not the program's next, {}",
+                "sequence {sequence} is out of order: the program's next sequence is {}",
                 program.next_sequence
             ),
         )),
@@ -76,7 +78,7 @@
     }
 }
 
-pub(crate) fn matching_call(
+pub(crate) fn find_call_in_flight(
     program: &Program,
     sequence: luglink_types::Sequence,
 ) -> Result<&CallRecord, Refusal> {
@@ -99,8 +101,8 @@
     }
 }
 
-/// What another attempt reserves. An attempt that an engine may have worked on is paid for
-/// beside the next one.
+/// Computes the additional reservation for a retry. If an engine may have processed the failed
+/// attempt, that attempt stays charged besides the next one.
 pub(crate) fn retry_charge(call: &CallRecord, failed_as: OutcomeClass) -> Charge {
     if failed_as.spent_nothing() {
         return ONE_RETRY;
@@ -112,7 +114,7 @@
     attempt.plus(&ONE_RETRY)
 }
 
-/// The charge of an attempt beyond the first, besides its tokens.
+/// Charge of each attempt after the first, not including its tokens.
 pub(crate) const ONE_RETRY: Charge = Charge {
     calls: 0,
     tokens: 0,
@@ -131,13 +133,13 @@
 pub(crate) fn unknown_program(id: ProgramId) -> Refusal {
     Refusal::not_run(
         RefusalCode::UnknownProgram,
-        format!("no program {id}, or it is past its retention"),
+        format!("program {id} does not exist or is past its retention"),
     )
 }
 
 pub(crate) fn unknown_outcome() -> Refusal {
     Refusal::uncertain(
         RefusalCode::OutcomeUnknown,
-        "nobody can tell whether the request ran, and it must not run twice",
+        "unknown whether the request ran, and it must not run twice",
     )
 }
--- a/crates/program/src/store.rs
+++ b/crates/program/src/store.rs
@@ -1,4 +1,4 @@
-//! All programs of one replication group, and the commands that change them.
+//! State machine over all programs of one replication group.
 
 use crate::account::RefundRule;
 use crate::call::{CallRecord, CallState, request_fingerprint};
@@ -11,7 +11,7 @@
 use crate::reply::{Begun, Reply};
 use crate::rules::{
     ONE_RETRY, already_finished, check_active, check_intent, check_order, check_same_spec,
-    effective_budget, executed_after, matching_call, retry_charge, unknown_outcome,
+    effective_budget, executed_after, find_call_in_flight, retry_charge, unknown_outcome,
     unknown_program,
 };
 use crate::window::StartWindow;
@@ -21,10 +21,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Levels of parents above a program that are followed at the most.
-const PARENT_DEPTH_LIMIT: usize = 32;
+/// Maximum number of ancestors of a program.
+const MAX_PARENT_DEPTH: usize = 32;
 
-/// An engine that must give up what it holds of an ended program.
+/// Pending release of an ended program's memory at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Release {
     /// The program.
@@ -33,18 +33,19 @@
     pub engine: EngineId,
 }
 
-/// The state machine of one program group.
+/// State machine of one program group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgramStore {
     programs: BTreeMap<ProgramId, Program>,
     releases: BTreeSet<Release>,
     refund: RefundRule,
-    /// Latest time seen; a new leader's slower clock must not turn time back.
+    /// Latest timestamp of all entries. It never decreases, even if the clock of a new leader is
+    /// behind that of the previous one.
     now: Timestamp,
 }
 
 impl ProgramStore {
-    /// An empty store with the given refund rule.
+    /// Creates an empty store with the given refund rule.
     #[must_use]
     pub fn new(refund: RefundRule) -> Self {
         Self {
@@ -53,23 +54,23 @@
         }
     }
 
-    /// A program by its identifier.
+    /// Returns the program with the given identifier.
     #[must_use]
     pub fn program(&self, id: ProgramId) -> Option<&Program> {
         self.programs.get(&id)
     }
 
-    /// All programs, ended ones within their retention included.
+    /// Iterates over all programs, including ended ones within their retention.
     pub fn programs(&self) -> impl Iterator<Item = &Program> {
         self.programs.values()
     }
 
-    /// Engine memory that is still to be released.
+    /// Iterates over the releases that engines have not confirmed yet.
     pub fn releases(&self) -> impl Iterator<Item = Release> + '_ {
         self.releases.iter().copied()
     }
 
-    /// Whether [`Command::Expire`] at `at` would change anything.
+    /// Returns true if [`Command::Expire`] at `at` would change any program.
     #[must_use]
     pub fn has_overdue(&self, at: Timestamp) -> bool {
         self.programs
@@ -77,7 +78,7 @@
             .any(|program| expiry(program, at) != Expiry::Nothing)
     }
 
-    /// Applies one command at the time its leader gave it.
+    /// Applies one command with the timestamp that the leader assigned to it.
     pub fn apply(&mut self, at: Timestamp, command: &Command) -> Reply {
         self.now = self.now.max(at);
         let outcome = match command {
@@ -97,7 +98,7 @@
     fn create(&mut self, create: &CreateProgram) -> Result<Reply, Refusal> {
         if let Some(existing) = self.programs.get(&create.program) {
             check_same_spec(existing, create)?;
-            // The same request again, perhaps at another daemon because the first one died.
+            // A repeated request, possibly sent to another daemon because the first one failed.
             return self.take_over(&TakeOver {
                 program: create.program,
                 daemon: create.owner,
@@ -117,13 +118,13 @@
         if parent.family != child.family {
             return Err(Refusal::not_run(
                 RefusalCode::InvalidRequest,
-                "a sub-program must share its parent's family",
+                "parent: a child program must have the same family as its parent",
             ));
         }
-        if self.lineage(parent).len() >= PARENT_DEPTH_LIMIT {
+        if self.lineage(parent).len() >= MAX_PARENT_DEPTH {
             return Err(Refusal::not_run(
                 RefusalCode::InvalidRequest,
-                format!("parent: programs nest at most {PARENT_DEPTH_LIMIT} deep"),
+                format!("parent: nesting depth exceeds the limit of {MAX_PARENT_DEPTH}"),
             ));
         }
         let parent = self.active_mut(parent)?;
@@ -134,20 +135,20 @@
     fn take_over(&mut self, take_over: &TakeOver) -> Result<Reply, Refusal> {
         let now = self.now;
         let program = self.active_mut(take_over.program)?;
-        if program.old_claims.contains(&take_over.claim) {
+        if program.superseded_claims.contains(&take_over.claim) {
             return Err(Refusal::not_run(
                 RefusalCode::StaleOwner,
-                "another daemon has taken the program over since",
+                "the program has been taken over under a later claim",
             ));
         }
         if program.owner.claim != take_over.claim {
             program.change_owner(take_over.daemon, take_over.claim);
-            let lost = program.abandon_call_in_flight();
-            self.spend_lost(take_over.program, lost);
+            let abandoned = program.abandon_call_in_flight();
+            self.charge_abandoned_call(take_over.program, abandoned);
         }
         let program = self.active_mut(take_over.program)?;
         program.owner.renewed_at = now;
-        program.active_at = now;
+        program.last_active_at = now;
         Ok(Reply::Owned(Box::new(program.owned())))
     }
 
@@ -155,7 +156,7 @@
         let fingerprint = request_fingerprint(&begin.messages, begin.requested_output_tokens);
         let program = self.existing(begin.program)?;
         if let Some(call) = begin.key.as_ref().and_then(|key| program.call_by_key(key)) {
-            return self.begin_repeated(begin, call.clone(), fingerprint);
+            return self.begin_with_known_key(begin, call.clone(), fingerprint);
         }
         check_active(program)?;
         program.check_epoch(begin.epoch)?;
@@ -171,8 +172,8 @@
         let now = self.now;
         let program = self.active_mut(begin.program)?;
         program.owner.last_intent = begin.intent;
-        let absorbed = program.absorb_uncertain_messages();
-        let window = StartWindow::after(program.quiet_until, now);
+        let history_changed = program.append_uncertain_messages();
+        let window = StartWindow::after(program.earliest_next_start, now);
         let sequence = program.next_sequence;
         program.calls.push(CallRecord {
             sequence,
@@ -192,18 +193,19 @@
             },
         });
         program.engines.insert(begin.engine);
-        program.active_at = now;
+        program.last_active_at = now;
         program.owner.renewed_at = now;
         Ok(Reply::Begun(Begun {
             sequence,
             attempt: AttemptNumber(0),
-            history: absorbed.then(|| program.history.clone()),
+            history: history_changed.then(|| program.history.clone()),
             window,
         }))
     }
 
-    /// A key that was used before: never a second run unless the caller allowed one.
-    fn begin_repeated(
+    /// Handles a call whose idempotency key was used before. It runs again only if the caller
+    /// permits that.
+    fn begin_with_known_key(
         &mut self,
         begin: &BeginCall,
         call: CallRecord,
@@ -228,7 +230,7 @@
                 window,
             } => {
                 program.check_epoch(begin.epoch)?;
-                // The same owner asks again because it lost the reply: same intent, same reply.
+                // The owner repeats the intent because the reply was lost, so the reply is repeated.
                 if epoch == begin.epoch && engine == begin.engine {
                     return Ok(Reply::Begun(Begun {
                         sequence: call.sequence,
@@ -239,16 +241,16 @@
                 }
                 Err(Refusal::uncertain(
                     RefusalCode::CallInProgress,
-                    "the same request is still running",
+                    "a call with the same idempotency key is still in flight",
                 ))
             }
-            CallState::Uncertain { attempt } => self.begin_again(begin, &call, attempt),
+            CallState::Uncertain { attempt } => self.rerun_uncertain_call(begin, &call, attempt),
         }
     }
 
-    /// Runs an uncertain call again. Only its caller's permission (`repeatable`) allows that,
-    /// and only while no later call has been made.
-    fn begin_again(
+    /// Runs an uncertain call again. This requires the caller's permission (`repeatable`) and that
+    /// the program has made no later call.
+    fn rerun_uncertain_call(
         &mut self,
         begin: &BeginCall,
         call: &CallRecord,
@@ -274,9 +276,9 @@
         let program = self.active_mut(begin.program)?;
         program.next_sequence = call.sequence;
         program.engines.insert(begin.engine);
-        program.active_at = now;
+        program.last_active_at = now;
         let attempt = attempt.next();
-        let window = StartWindow::after(program.quiet_until, now);
+        let window = StartWindow::after(program.earliest_next_start, now);
         if let Some(record) = program.calls.last_mut() {
             record.ceiling = reservation.minus(&ONE_RETRY);
             record.reservation = reservation;
@@ -298,7 +300,7 @@
     fn retry(&mut self, retry: &RetryCall) -> Result<Reply, Refusal> {
         let program = self.existing(retry.program)?;
         program.check_epoch(retry.epoch)?;
-        let in_flight = matching_call(program, retry.sequence)?;
+        let in_flight = find_call_in_flight(program, retry.sequence)?;
         let CallState::InFlight {
             attempt, window, ..
         } = in_flight.state
@@ -306,7 +308,7 @@
             return Err(unknown_outcome());
         };
         if attempt == retry.failed.next() {
-            // The reply to this very command was lost.
+            // The command is repeated because its reply was lost.
             return Ok(Reply::Begun(Begun {
                 sequence: retry.sequence,
                 attempt,
@@ -333,7 +335,7 @@
         let attempt = retry.failed.next();
         let now = self.now;
         let program = self.active_mut(retry.program)?;
-        let window = StartWindow::after(program.quiet_until, now);
+        let window = StartWindow::after(program.earliest_next_start, now);
         program.engines.insert(retry.engine);
         if let Some(call) = program.calls.last_mut() {
             call.reservation = call.reservation.plus(&amount);
@@ -370,12 +372,12 @@
             .iter()
             .any(|call| call.sequence == finish.sequence && already_finished(call, finish));
         if repeated {
-            // The reply to this very command was lost.
+            // The command is repeated because its reply was lost.
             return Ok(Reply::Finished {
                 next_sequence: program.next_sequence,
             });
         }
-        let call = matching_call(program, finish.sequence)?;
+        let call = find_call_in_flight(program, finish.sequence)?;
         let current =
             matches!(call.state, CallState::InFlight { attempt, .. } if attempt == finish.attempt);
         if !current {
@@ -384,14 +386,14 @@
         self.close(finish);
         let now = self.now;
         let program = self.existing_mut(finish.program)?;
-        program.active_at = now;
+        program.last_active_at = now;
         program.owner.renewed_at = now;
         Ok(Reply::Finished {
             next_sequence: program.next_sequence,
         })
     }
 
-    /// Applies an outcome to the call and settles it in every account that paid for it.
+    /// Applies an outcome to the call and settles its reservation in all charged accounts.
     fn close(&mut self, finish: &FinishCall) {
         let refund = self.refund;
         let Some(program) = self.programs.get_mut(&finish.program) else {
@@ -424,8 +426,8 @@
     }
 
     fn end_tree(&mut self, root: ProgramId, reason: EndReason) {
-        let mut waiting = vec![(root, reason)];
-        while let Some((id, reason)) = waiting.pop() {
+        let mut pending = vec![(root, reason)];
+        while let Some((id, reason)) = pending.pop() {
             let now = self.now;
             let Some(program) = self.programs.get_mut(&id) else {
                 continue;
@@ -434,16 +436,16 @@
                 continue;
             }
             program.status = ProgramStatus::Ended { reason, at: now };
-            let lost = program.abandon_call_in_flight();
+            let abandoned = program.abandon_call_in_flight();
             let engines: Vec<EngineId> = program.engines.iter().copied().collect();
             let children = program.children.iter().copied();
-            waiting.extend(children.map(|child| (child, EndReason::ParentEnded)));
+            pending.extend(children.map(|child| (child, EndReason::ParentEnded)));
             let releases = engines.into_iter().map(|engine| Release {
                 program: id,
                 engine,
             });
             self.releases.extend(releases);
-            self.spend_lost(id, lost);
+            self.charge_abandoned_call(id, abandoned);
         }
     }
 
@@ -467,20 +469,20 @@
             match expiry {
                 Expiry::Nothing => {}
                 Expiry::End(reason) => self.end_tree(id, reason),
-                Expiry::Forget => self.forget(id),
-                Expiry::LoseCall => {
-                    let lost = self
+                Expiry::Remove => self.remove_program(id),
+                Expiry::AbandonCall => {
+                    let abandoned = self
                         .programs
                         .get_mut(&id)
                         .and_then(Program::abandon_call_in_flight);
-                    self.spend_lost(id, lost);
+                    self.charge_abandoned_call(id, abandoned);
                 }
             }
         }
         Reply::Done
     }
 
-    fn forget(&mut self, id: ProgramId) {
+    fn remove_program(&mut self, id: ProgramId) {
         let Some(program) = self.programs.remove(&id) else {
             return;
         };
@@ -490,9 +492,9 @@
         }
     }
 
-    /// Counts a lost call's reservation as spent in every account that paid for it.
-    fn spend_lost(&mut self, id: ProgramId, lost: Option<Charge>) {
-        let Some(reservation) = lost else {
+    /// Charges the reservation of an abandoned call in full to all accounts that reserved it.
+    fn charge_abandoned_call(&mut self, id: ProgramId, abandoned: Option<Charge>) {
+        let Some(reservation) = abandoned else {
             return;
         };
         for payer in self.lineage(id) {
@@ -502,16 +504,16 @@
         }
     }
 
-    /// Reserves `amount` with the program and all its parents, or with none of them.
+    /// Reserves `amount` in the accounts of the program and all its ancestors, or in none of them.
     fn reserve(&mut self, id: ProgramId, ceiling: &Budget, amount: &Charge) -> Result<(), Refusal> {
         let payers = self.lineage(id);
         for payer in &payers {
             let program = self.existing(*payer)?;
             let budget = effective_budget(program, id, ceiling);
-            if let Some(dimension) = program.account.lacks_room(&budget, amount) {
+            if let Some(dimension) = program.account.exceeded_dimension(&budget, amount) {
                 return Err(Refusal::not_run(
                     RefusalCode::BudgetExhausted,
-                    format!("{} of program {payer} has no room", dimension.field()),
+                    format!("budget of program {payer} exhausted: {}", dimension.field()),
                 ));
             }
         }
@@ -530,19 +532,19 @@
             if program.deadline_passed(&budget, self.now) {
                 return Err(Refusal::not_run(
                     RefusalCode::DeadlineExceeded,
-                    format!("the deadline of program {payer} has passed"),
+                    format!("deadline of program {payer} has passed"),
                 ));
             }
         }
         Ok(())
     }
 
-    /// The program and its parents, the program first.
+    /// Returns the program and its ancestors, starting with the program.
     fn lineage(&self, id: ProgramId) -> Vec<ProgramId> {
         let mut lineage = Vec::new();
         let mut next = Some(id);
         while let Some(current) = next {
-            if lineage.len() > PARENT_DEPTH_LIMIT {
+            if lineage.len() > MAX_PARENT_DEPTH {
                 break;
             }
             lineage.push(current);
--- a/crates/program/src/window.rs
+++ b/crates/program/src/window.rs
@@ -1,44 +1,44 @@
-//! Start windows: how a call that was taken for lost is kept from starting later.
+//! Start windows, which prevent a call with an uncertain outcome from starting late.
 //!
-//! A dispatch can lie in a cut network or a hung engine for long. If it started after the
-//! program's next call, the two would have run in the wrong order. So each attempt has a window:
-//! engines refuse it after the window's end, and no later attempt of the program starts before
-//! that end has passed on every clock.
+//! A dispatch can be delayed for long by a network partition or a hung engine. If it started after
+//! the program's next call, the two would run in the wrong order. Each attempt therefore has a
+//! start window: engines refuse the attempt after the window's end, and the program's next
+//! attempt does not start before that end has passed on every clock.
 
 use luglink_types::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Time from an attempt's intent within which an engine may start it. Intents become durable and
-/// reach engines within milliseconds; this leaves room for an election in between.
-const START_WINDOW: Duration = Duration::from_millis(1_500);
+/// Time after an attempt's intent within which an engine may start it. Intents become durable and
+/// reach engines within milliseconds; the rest allows for a leader election in between.
+const START_WINDOW_DURATION: Duration = Duration::from_millis(1_500);
 
-/// Largest difference between any two machines' clocks that the order of calls allows for.
-pub const CLOCK_SKEW_BOUND: Duration = Duration::from_millis(500);
+/// Maximum difference between the clocks of any two machines for which call order is guaranteed.
+pub const MAX_CLOCK_SKEW: Duration = Duration::from_millis(500);
 
-/// When an attempt may start, in the clock of the control members.
+/// Interval in which an attempt may start, in the time of the control members' clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartWindow {
-    /// The daemon dispatches it no earlier.
+    /// Earliest time at which the daemon may dispatch the attempt.
     pub not_before: Timestamp,
-    /// Engines refuse it later.
+    /// Latest time at which an engine may start the attempt.
     pub start_by: Timestamp,
 }
 
 impl StartWindow {
-    /// The window of an attempt whose intent was recorded at `now`, after everything that may
-    /// still start until `quiet_until`.
+    /// Creates the window of an attempt whose intent is recorded at `now` and that must not start
+    /// before `earliest_next_start`, because an earlier attempt may start until then.
     #[must_use]
-    pub fn after(quiet_until: Timestamp, now: Timestamp) -> Self {
+    pub fn after(earliest_next_start: Timestamp, now: Timestamp) -> Self {
         Self {
-            not_before: quiet_until,
-            start_by: now.max(quiet_until).plus(START_WINDOW),
+            not_before: earliest_next_start,
+            start_by: now.max(earliest_next_start).plus(START_WINDOW_DURATION),
         }
     }
 
-    /// From when on the attempt certainly does not start any more.
+    /// Time after which no engine starts the attempt, whatever the engine's clock shows.
     #[must_use]
-    pub fn surely_over(&self) -> Timestamp {
-        self.start_by.plus(CLOCK_SKEW_BOUND)
+    pub fn latest_possible_start(&self) -> Timestamp {
+        self.start_by.plus(MAX_CLOCK_SKEW)
     }
 }
--- a/crates/program/tests/common/mod.rs
+++ b/crates/program/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Commands and replies that the tests of this crate share.
-#![allow(dead_code)] // Each test file uses some of it.
+//! Commands and replies for the tests of this crate.
+#![allow(dead_code)] // Each test file uses a part of this module.
 
 use luglink_program::{
     BeginCall, Claim, Command, CreateProgram, EndProgram, EndReason, FinishCall, Owned,
@@ -10,16 +10,16 @@
     Priority, ProgramId, Refusal, Role, Sequence, Timestamp, TokenUsage,
 };
 
-/// The program that most tests are about.
+/// Program that most tests use.
 pub const PROGRAM: ProgramId = ProgramId {
     family: 1,
     member: 1,
 };
 
-/// Tokens of each test message.
+/// Tokens in each test message.
 pub const INPUT_TOKENS: u64 = 2;
 
-/// Ceiling of each test call.
+/// Maximum output tokens of each test call.
 pub const MAX_OUTPUT_TOKENS: u64 = 10;
 
 pub fn claim(name: u64) -> Claim {
--- a/crates/program/tests/expiry.rs
+++ b/crates/program/tests/expiry.rs
@@ -1,4 +1,4 @@
-//! What time alone does: leases, abandonment, releases, forgetting.
+//! Changes caused by elapsed time: leases, idle timeouts, deadlines, releases and removal.
 
 mod common;
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_call_whose_owner_is_silent_is_lost_and_a_renewed_one_is_not() {
+fn a_call_becomes_uncertain_unless_its_owner_renews_the_lease() {
     let mut silent = running();
     silent.apply(after(16), &Command::Expire);
     assert!(!silent.program(common::PROGRAM).unwrap().calls()[0].in_flight());
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn children_end_with_their_parent_and_ended_programs_are_forgotten() {
+fn children_end_with_their_parent_and_ended_programs_are_removed() {
     let mut store = ProgramStore::new(RefundRule::UnusedPart);
     owned(store.apply(
         Timestamp::ZERO,
--- a/crates/program/tests/order.rs
+++ b/crates/program/tests/order.rs
@@ -1,4 +1,4 @@
-//! The calls of one program run in the order in which it issued them.
+//! Order of the calls of one program.
 
 mod common;
 
@@ -10,7 +10,7 @@
     store.program(PROGRAM).expect("the program").view().epoch
 }
 
-/// A call with a key of its own, so that nothing but order can tell it from another.
+/// Begins a call with a unique key, so that only the order check can refuse it.
 fn begin_at(epoch: Epoch, intent: u64, sequence: Option<u64>) -> Command {
     let mut call = begin_call(PROGRAM, epoch, intent, &format!("key-{intent}"));
     call.sequence = sequence.map(Sequence);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_second_call_does_not_start_beside_the_first() {
+fn a_second_call_does_not_start_while_the_first_is_in_flight() {
     let mut store = store_with_program();
     let epoch = epoch(&store);
     let now = Timestamp::from_millis(10);
@@ -32,7 +32,7 @@
         store.apply(now, &begin_at(epoch, 1, Some(0))),
         Reply::Begun(_)
     ));
-    // As its caller sends two at once: the next sequence, the same one again, or none.
+    // Concurrent calls with the next sequence, the same sequence, or none.
     for (intent, sequence) in [(2, Some(1)), (3, Some(0)), (4, None)] {
         let reply = store.apply(now, &begin_at(epoch, intent, sequence));
         assert_refused(reply, RefusalCode::CallInProgress);
@@ -53,7 +53,7 @@
         store.apply(now, &begin_at(epoch, sequence + 1, Some(sequence)));
         store.apply(now, &finish(epoch, sequence, OutcomeClass::Completed));
     }
-    // An old sequence under a new key is another call out of order, and so is one too far on.
+    // A past sequence with a new key is out of order, and so is one beyond the next.
     for (intent, sequence) in [(10, 0), (11, 2), (12, 4), (13, u64::MAX)] {
         let reply = store.apply(now, &begin_at(epoch, intent, Some(sequence)));
         assert_refused(reply, RefusalCode::OutOfOrder);
--- a/crates/program/tests/ownership.rs
+++ b/crates/program/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Ownership: claims, epochs, and copies of requests that the network kept back.
+//! Ownership: claims, epochs and delayed duplicates of requests.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_claim_that_comes_twice_takes_the_program_once() {
+fn a_repeated_claim_takes_the_program_over_once() {
     let mut store = store_with_program();
     let first = owned(store.apply(Timestamp::ZERO, &take_over(2, 20)));
     assert_eq!(first.epoch, Epoch(2));
@@ -23,7 +23,7 @@
         store.apply(Timestamp::ZERO, &begin(Epoch(2), 1, "a")),
         Reply::Begun(_)
     ));
-    // The copy must not take the call in flight for lost.
+    // The duplicate must not make the call in flight uncertain.
     let second = owned(store.apply(Timestamp::ZERO, &take_over(2, 20)));
     assert_eq!(second.epoch, Epoch(2));
     let reply = store.apply(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_claim_that_another_has_followed_is_refused() {
+fn a_superseded_claim_is_refused() {
     let mut store = store_with_program();
     owned(store.apply(Timestamp::ZERO, &take_over(2, 20)));
     owned(store.apply(Timestamp::ZERO, &take_over(3, 30)));
@@ -51,14 +51,14 @@
     assert_eq!(
         again.epoch,
         Epoch(2),
-        "another process cannot know the calls of the first"
+        "a different process does not know the calls of the first"
     );
     let same = owned(store.apply(Timestamp::ZERO, &create(1, 99)));
     assert_eq!(same.epoch, Epoch(2));
 }
 
 #[test]
-fn an_intent_that_a_later_one_has_overtaken_starts_nothing() {
+fn an_intent_that_is_not_newer_than_the_latest_is_refused() {
     let mut store = store_with_program();
     assert!(matches!(
         store.apply(Timestamp::ZERO, &begin(Epoch(1), 7, "a")),
@@ -69,7 +69,7 @@
         store.apply(Timestamp::ZERO, &closed),
         Reply::Finished { .. }
     ));
-    // The place is free again, but this is only a late copy of the same intent.
+    // The sequence can be used again, but this is a late duplicate of the same intent.
     let late = refused(store.apply(Timestamp::ZERO, &begin(Epoch(1), 7, "a")));
     assert_eq!(late.code, RefusalCode::StaleOwner);
     let next = store.apply(Timestamp::ZERO, &begin(Epoch(1), 8, "b"));
--- a/crates/program/tests/properties.rs
+++ b/crates/program/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Whatever the order of commands: budgets hold, order holds, and every replica agrees.
+//! Invariants for arbitrary sequences of commands: budgets, call order, and agreement of replicas.
 
 mod common;
 
@@ -134,7 +134,7 @@
     }
 }
 
-/// What a program had answered stays answered, word for word.
+/// Checks that the history only grows and that its earlier messages do not change.
 fn check_history(store: &ProgramStore, id: ProgramId, before: &mut Vec<String>) {
     let Some(program) = store.program(id) else {
         return;
@@ -157,7 +157,7 @@
     })]
 
     #[test]
-    fn budgets_order_and_history_hold_whatever_comes(
+    fn budgets_order_and_history_hold_for_any_commands(
         commands in proptest::collection::vec((command(), 0..4_000_u64), 1..150),
         never_refund in any::<bool>(),
     ) {
@@ -177,10 +177,10 @@
         }
         let bytes = postcard::to_stdvec(&store).unwrap();
         let restored: ProgramStore = postcard::from_bytes(&bytes).unwrap();
-        prop_assert_eq!(store, restored, "a snapshot is the state");
+        prop_assert_eq!(store, restored, "restored snapshot differs from the state");
     }
 
-    /// The same intent under the same key never opens a second run by itself.
+    /// Repeating an intent with the same key never starts a second run.
     #[test]
     fn a_key_runs_once_unless_it_is_repeatable(repeats in 1..6_usize, class in class()) {
         let mut store = ProgramStore::new(RefundRule::UnusedPart);
@@ -195,7 +195,8 @@
                 store.apply(Timestamp::ZERO, &Command::Finish(finish));
             }
         }
-        // An engine-reported retryable failure frees the key: the engine says nothing took effect.
+        // After a retryable failure the key can be used again, because the engine reported that
+        // the request had no effect.
         let expected = match class {
             OutcomeClass::Completed | OutcomeClass::Uncertain => 1,
             OutcomeClass::EngineRetryable => repeats,
--- a/crates/program/tests/start_window.rs
+++ b/crates/program/tests/start_window.rs
@@ -1,23 +1,23 @@
-//! A call that was taken for lost cannot start after the call that follows it.
+//! A call with an uncertain outcome cannot start after the call that follows it.
 
 mod common;
 
 use common::{begin, finish, owned, store_with_program};
-use luglink_program::{Begun, CLOCK_SKEW_BOUND, Claim, Command, Reply, TakeOver};
+use luglink_program::{Begun, Claim, Command, MAX_CLOCK_SKEW, Reply, TakeOver};
 use luglink_types::{DaemonId, Epoch, OutcomeClass, Timestamp};
 use std::time::Duration;
 
 fn begun(reply: Reply) -> Begun {
     match reply {
         Reply::Begun(begun) => begun,
-        other => panic!("expected an intent, got {other:?}"),
+        other => panic!("expected a begun call, got {other:?}"),
     }
 }
 
 const NOW: Timestamp = Timestamp::from_millis(100);
 
 #[test]
-fn the_call_after_a_lost_one_waits_until_the_lost_one_cannot_start() {
+fn after_a_take_over_the_next_call_waits_until_the_abandoned_call_cannot_start() {
     let mut store = store_with_program();
     let lost = begun(store.apply(NOW, &begin(Epoch(1), 1, "a")));
     assert!(lost.window.not_before <= NOW);
@@ -31,12 +31,15 @@
     ));
     let next = begun(store.apply(NOW, &begin(Epoch(2), 1, "b")));
     let gap = next.window.not_before.since(lost.window.start_by);
-    assert!(gap >= CLOCK_SKEW_BOUND, "clocks may be {gap:?} apart");
+    assert!(
+        gap >= MAX_CLOCK_SKEW,
+        "gap of {gap:?} is less than the clock skew"
+    );
     assert!(next.window.start_by > next.window.not_before);
 }
 
 #[test]
-fn the_call_after_an_uncertain_one_waits_too() {
+fn the_call_after_an_uncertain_one_waits() {
     let mut store = store_with_program();
     let lost = begun(store.apply(NOW, &begin(Epoch(1), 1, "a")));
     store.apply(NOW, &finish(Epoch(1), 0, OutcomeClass::Uncertain));
@@ -45,7 +48,7 @@
 }
 
 #[test]
-fn the_call_after_an_answered_one_starts_at_once() {
+fn the_call_after_a_completed_one_starts_at_once() {
     let mut store = store_with_program();
     begun(store.apply(NOW, &begin(Epoch(1), 1, "a")));
     store.apply(NOW, &finish(Epoch(1), 0, OutcomeClass::Completed));
@@ -54,7 +57,7 @@
 }
 
 #[test]
-fn nothing_waits_for_a_lost_call_whose_window_is_long_over() {
+fn a_call_does_not_wait_for_a_start_window_that_has_passed() {
     let mut store = store_with_program();
     begun(store.apply(NOW, &begin(Epoch(1), 1, "a")));
     store.apply(NOW, &finish(Epoch(1), 0, OutcomeClass::Uncertain));
