--- a/crates/store-server/src/errors.rs
+++ b/crates/store-server/src/errors.rs
@@ -1,38 +1,38 @@
-//! Errors of this crate.
+//! Error type of the store server.
 
 use luglink_storage::StorageError;
 use luglink_turns::TurnsError;
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// A store cannot start.
+/// Error that prevents a store server from starting.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StoreServerError {
-    /// The address is taken or not ours.
+    /// The address is in use or does not belong to this machine.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the socket.
         source: std::io::Error,
     },
     /// The data folder cannot be used.
-    #[snafu(display("storage: {source}"), context(false))]
+    #[snafu(display("cannot open the data folder: {source}"), context(false))]
     Storage {
-        /// Why not.
+        /// Error of the disk.
         source: StorageError,
     },
-    /// The data folder is damaged.
-    #[snafu(display("turns: {source}"), context(false))]
+    /// The stored turns and accounts cannot be loaded.
+    #[snafu(display("cannot load the stored turns: {source}"), context(false))]
     Turns {
-        /// How.
+        /// Error of the turn store.
         source: TurnsError,
     },
-    /// The metrics cannot be set up.
-    #[snafu(display("metrics: {source}"), context(false))]
+    /// The metrics cannot be registered.
+    #[snafu(display("cannot register the metrics: {source}"), context(false))]
     Metrics {
-        /// Why not.
+        /// Error of the metrics registry.
         source: luglink_telemetry::TelemetryError,
     },
 }
--- a/crates/store-server/src/lib.rs
+++ b/crates/store-server/src/lib.rs
@@ -1,4 +1,4 @@
-//! The actix shell of a turn store: sockets, disk and clock around [`luglink_turns::StoreNode`].
+//! Server process of a turn store: sockets, disk and clock around [`luglink_turns::StoreNode`].
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/store-server/src/metrics.rs
+++ b/crates/store-server/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a turn store counts.
+//! Metrics of a turn store.
 
 use crate::errors::StoreServerError;
 use luglink_telemetry::Metrics;
@@ -11,15 +11,15 @@
     pub(crate) registry: Metrics,
     /// Requests by kind.
     pub(crate) requests: IntCounterVec,
-    /// Requests that the disk or their own form made fail.
+    /// Requests that failed because of a disk error or because they were malformed.
     pub(crate) failures: IntCounter,
-    /// Time to make what arrived together durable.
+    /// Time to make a batch of requests durable.
     pub(crate) flush_seconds: Histogram,
-    /// Turns that are held.
+    /// Stored turns.
     pub(crate) turns: Gauge,
-    /// Accounts that are held.
+    /// Stored accounts.
     pub(crate) accounts: Gauge,
-    /// Epoch of the view of the stores.
+    /// Epoch of the current view of the stores.
     pub(crate) epoch: Gauge,
 }
 
@@ -33,16 +33,19 @@
             failures,
             flush_seconds: registry
                 .seconds("store_flush_seconds", "Time to make a batch durable")?,
-            turns: registry.gauge("store_turns", "Turns that are held")?,
-            accounts: registry.gauge("store_accounts", "Accounts that are held")?,
-            epoch: registry.gauge("store_view_epoch", "Epoch of the view of the stores")?,
+            turns: registry.gauge("store_turns", "Stored turns")?,
+            accounts: registry.gauge("store_accounts", "Stored accounts")?,
+            epoch: registry.gauge(
+                "store_view_epoch",
+                "Epoch of the current view of the stores",
+            )?,
             registry,
         })
     }
 }
 
-/// The label of a request.
-pub(crate) fn kind(request: &StoreRequest) -> &'static str {
+/// Returns the value of the metric label `kind` for a request.
+pub(crate) fn request_kind(request: &StoreRequest) -> &'static str {
     match request {
         StoreRequest::Spend { .. } => "spend",
         StoreRequest::Keep { .. } => "keep",
--- a/crates/store-server/src/peers.rs
+++ b/crates/store-server/src/peers.rs
@@ -1,4 +1,4 @@
-//! Links to other stores, for handing over.
+//! Connections to other stores for the hand-over of records.
 
 use luglink_fleet::{StoreName, StoreView};
 use luglink_net::RequestClient;
@@ -10,13 +10,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest wait for another store's answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(1);
+/// Maximum time to wait for the response of another store.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for a new link to come up.
-const LINK_TIME: Duration = Duration::from_millis(30);
+/// Time to wait before the first request on a new connection, so that it can be established.
+const CONNECT_DELAY: Duration = Duration::from_millis(30);
 
-/// Links to other stores, opened when they are first needed.
+/// Connections to other stores, opened on first use.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
     links: RefCell<BTreeMap<StoreName, Rc<RequestClient>>>,
@@ -52,20 +52,21 @@
         Some((link, true))
     }
 
-    /// Hands over; returns whether the other store has it on disk.
+    /// Sends a hand-over request. Returns true if the other store acknowledged that the records
+    /// are on disk.
     pub(crate) async fn hand_over(&self, to: &StoreName, request: &StoreRequest) -> bool {
         let Some((link, is_new)) = self.link(to) else {
             return false;
         };
         if is_new {
-            actix_rt::time::sleep(LINK_TIME).await;
+            actix_rt::time::sleep(CONNECT_DELAY).await;
         }
         let Ok(body) = encode_body(request) else {
             return false;
         };
-        let Ok(answer) = link.request(body, ANSWER_LIMIT).await else {
+        let Ok(response) = link.request(body, RESPONSE_TIMEOUT).await else {
             return false;
         };
-        matches!(decode_body(&answer), Ok(StoreResponse::Done))
+        matches!(decode_body(&response), Ok(StoreResponse::Done))
     }
 }
--- a/crates/store-server/src/server.rs
+++ b/crates/store-server/src/server.rs
@@ -1,8 +1,8 @@
-//! A running store.
+//! Turn store server.
 
 use crate::clock::now;
 use crate::errors::{ListenSnafu, StoreServerError};
-use crate::metrics::{StoreMetrics, kind};
+use crate::metrics::{StoreMetrics, request_kind};
 use crate::peers::Peers;
 use luglink_fleet::{KnownVersions, ObserverUpdate, Presence, Role, StoreName, StorePresence};
 use luglink_fleet_client::{ListSource, Observer, ObserverConfig, ObserverDelegate};
@@ -24,65 +24,67 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// Time between looks at timers.
+/// Time between checks of the store's timers.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between tries to read a disk that fails.
+/// Time between attempts to open the store on a disk that fails.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Requests that are taken together before the disk is asked to sync.
-const BATCH_REQUESTS: u32 = 256;
+/// Number of requests in a batch after which the disk is synced.
+const MAX_BATCH_REQUESTS: u32 = 256;
 
-/// How a store runs.
+/// Configuration of a store server.
 #[derive(Clone, Debug)]
 pub struct StoreServerConfig {
     /// Name of the machine.
     pub name: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
     /// Internal address.
     pub listen: SocketAddr,
-    /// Folder of everything durable.
+    /// Folder of the journal and of the store's incarnation.
     pub data_folder: PathBuf,
-    /// Whether the whole deployment starts for the first time.
+    /// True if the whole deployment starts for the first time.
     pub first_start: bool,
-    /// How many copies there are.
+    /// Number of copies.
     pub replication: Replication,
-    /// Longest segment of the journal, in bytes.
+    /// Maximum size of a journal segment in bytes.
     pub segment_bytes: u64,
-    /// How far beyond their limits the requests of tenants may come.
+    /// Amount by which the requests of tenants may exceed their quotas.
     pub quota_tolerance: Tolerance,
-    /// Control members.
+    /// Configuration of the connection to the control members.
     pub observer: ObserverConfig,
-    /// Address of the metrics, when they are wanted.
+    /// Address at which metrics are served, if any.
     pub metrics_listen: Option<SocketAddr>,
 }
 
-/// The store and what hangs on it.
+/// State that the tasks of the server share.
 struct Shared {
     config: StoreServerConfig,
     node: RefCell<StoreNode<FileDisk>>,
     clients: RefCell<BTreeMap<u64, FrameSender>>,
     peers: Peers,
-    taken: Cell<u32>,
-    wake: Notify,
+    /// Requests handled since the last flush.
+    unflushed_requests: Cell<u32>,
+    /// Wakes the task that flushes.
+    flush_needed: Notify,
     metrics: StoreMetrics,
 }
 
-/// A running store. Dropping it does not stop it; the process ends it.
+/// Running store server. It runs until the process exits; dropping this value does not stop it.
 pub struct StoreServer {
     /// Internal address.
     pub address: SocketAddr,
-    /// Address of the metrics, when they are served.
+    /// Address at which metrics are served, if any.
     pub metrics_address: Option<SocketAddr>,
     shared: Rc<Shared>,
     observer: Rc<Observer<Shared>>,
 }
 
-/// Starts a store on the current actix thread.
+/// Starts a store server on the current actix thread.
 ///
 /// # Errors
-/// The address is taken.
+/// Fails if the address cannot be bound or the metrics cannot be registered.
 pub async fn start(config: StoreServerConfig) -> Result<StoreServer, StoreServerError> {
     let listener = TcpListener::bind(config.listen)
         .await
@@ -109,8 +111,8 @@
         node: RefCell::new(node),
         clients: RefCell::default(),
         peers: Peers::default(),
-        taken: Cell::new(0),
-        wake: Notify::new(),
+        unflushed_requests: Cell::new(0),
+        flush_needed: Notify::new(),
         metrics,
         config,
     });
@@ -129,13 +131,13 @@
     })
 }
 
-/// Reads the store from its data folder. While the disk takes nothing it is tried again: a store
-/// that ended would only be started again.
+/// Opens the store in its data folder and retries until that succeeds. If the process exited
+/// instead, it would only be restarted.
 async fn open_node(config: &StoreServerConfig) -> StoreNode<FileDisk> {
     loop {
         match try_open_node(config) {
             Ok(node) => return node,
-            Err(error) => tracing::warn!(%error, "the turn store cannot use its disk"),
+            Err(error) => tracing::warn!(%error, "cannot open the turn store; retrying"),
         }
         actix_rt::time::sleep(REOPEN_INTERVAL).await;
     }
@@ -151,27 +153,28 @@
             segment_bytes: config.segment_bytes,
         },
     };
-    let fresh = rand::rng().next_u64();
-    Ok(StoreNode::start(node_config, disk, fresh, now())?)
+    let new_incarnation = rand::rng().next_u64();
+    Ok(StoreNode::start(node_config, disk, new_incarnation, now())?)
 }
 
 impl StoreServer {
-    /// Observes these control members too, as when the settings have come to name others.
+    /// Adds control members to observe, for example after a change of the settings.
     pub fn add_members(&self, members: &[SocketAddr]) {
         self.observer.add(members);
     }
 
-    /// Turns and accounts that the store holds.
+    /// Numbers of stored turns and accounts.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         self.shared.node.borrow().counts()
     }
 }
 
-/// Lets what arrived together go to disk together: it runs behind everything that is ready.
+/// Flushes on request. It first yields to all tasks that are ready, so that requests that arrive
+/// together are written with one sync.
 async fn flush_when_woken(shared: Rc<Shared>) {
     loop {
-        shared.wake.notified().await;
+        shared.flush_needed.notified().await;
         tokio::task::yield_now().await;
         shared.flush();
     }
@@ -181,13 +184,13 @@
     loop {
         actix_rt::time::sleep(TICK_INTERVAL).await;
         shared.node.borrow_mut().tick(now());
-        shared.show_state();
-        shared.wake.notify_one();
+        shared.update_gauges();
+        shared.flush_needed.notify_one();
     }
 }
 
 impl Shared {
-    fn show_state(&self) {
+    fn update_gauges(&self) {
         let node = self.node.borrow();
         let (turns, accounts) = node.counts();
         self.metrics.turns.set(turns as f64);
@@ -209,7 +212,7 @@
                 },
             } => self.on_request(connection, correlation, &body),
             Accepted::Frame { connection, .. } => {
-                tracing::warn!(connection, "unexpected frame");
+                tracing::warn!(connection, "unexpected frame from client");
             }
             Accepted::Closed { connection } => {
                 self.clients.borrow_mut().remove(&connection);
@@ -222,17 +225,18 @@
         match decode_body::<StoreRequest>(body) {
             Ok(request) => {
                 let requests = &self.metrics.requests;
-                requests.with_label_values(&[kind(&request)]).inc();
+                requests.with_label_values(&[request_kind(&request)]).inc();
                 self.node.borrow_mut().handle(token, request, now());
-                self.taken.set(self.taken.get() + 1);
-                if self.taken.get() >= BATCH_REQUESTS {
+                self.unflushed_requests
+                    .set(self.unflushed_requests.get() + 1);
+                if self.unflushed_requests.get() >= MAX_BATCH_REQUESTS {
                     self.flush();
                 } else {
-                    self.wake.notify_one();
+                    self.flush_needed.notify_one();
                 }
             }
             Err(error) => {
-                tracing::warn!(%error, "malformed request");
+                tracing::warn!(%error, "cannot decode request");
                 self.metrics.failures.inc();
                 let reason = error.to_string();
                 self.reply(token, &StoreResponse::Failed { reason });
@@ -241,17 +245,17 @@
     }
 
     fn flush(self: &Rc<Self>) {
-        let began = Instant::now();
+        let started = Instant::now();
         let outputs = self.node.borrow_mut().flush();
-        if self.taken.replace(0) > 0 {
-            let seconds = began.elapsed().as_secs_f64();
+        if self.unflushed_requests.replace(0) > 0 {
+            let seconds = started.elapsed().as_secs_f64();
             self.metrics.flush_seconds.observe(seconds);
         }
         for output in outputs {
             match output {
                 Output::Reply { token, response } => {
                     if let StoreResponse::Failed { reason } = &*response {
-                        tracing::error!(reason, "a write failed");
+                        tracing::error!(reason, "write failed");
                         self.metrics.failures.inc();
                     }
                     self.reply(token, &response);
@@ -274,19 +278,19 @@
             Ok(body) => {
                 client.send(Frame::response(token.request, body));
             }
-            Err(error) => tracing::error!(%error, "cannot encode a response"),
+            Err(error) => tracing::error!(%error, "cannot encode response"),
         }
     }
 
     fn hand_over(self: &Rc<Self>, to: StoreName, number: u64, request: StoreRequest) {
         let shared = Rc::clone(self);
         actix_rt::spawn(async move {
-            let taken = shared.peers.hand_over(&to, &request).await;
-            tracing::info!(store = %to, taken, "handed over");
-            if taken {
+            let acknowledged = shared.peers.hand_over(&to, &request).await;
+            tracing::info!(store = %to, taken = acknowledged, "hand-over request finished");
+            if acknowledged {
                 let mut node = shared.node.borrow_mut();
-                node.on_hand_over_taken(&to, number, now());
-                shared.wake.notify_one();
+                node.on_hand_over_acknowledged(&to, number, now());
+                shared.flush_needed.notify_one();
             }
         });
     }
@@ -316,17 +320,17 @@
         }
     }
 
-    fn on_update(&self, member: SocketAddr, news: ObserverUpdate) {
-        if news.fresh {
+    fn on_update(&self, member: SocketAddr, update: ObserverUpdate) {
+        if update.fresh {
             self.node.borrow_mut().note_leader_contact(now());
         }
-        let Some(view) = news.stores else { return };
+        let Some(view) = update.stores else { return };
         if view.epoch <= self.node.borrow().epoch() {
             return;
         }
-        tracing::info!(%member, epoch = view.epoch, stores = view.len(), "new view of the stores");
+        tracing::info!(%member, epoch = view.epoch, stores = view.len(), "received a newer view of the stores");
         self.peers.set_view(&view);
         self.node.borrow_mut().set_view(view, now());
-        self.wake.notify_one();
+        self.flush_needed.notify_one();
     }
 }
--- a/crates/turns/src/account.rs
+++ b/crates/turns/src/account.rs
@@ -1,15 +1,15 @@
-//! What a program has spent.
+//! Token account of a program.
 
 use crate::record::TurnId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What one turn takes from the budget.
+/// Tokens that one turn takes from the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Spend {
-    /// It is under way and may take this many tokens.
+    /// The turn is in progress and may take up to this many tokens.
     Reserved(u64),
-    /// It is over and took this many.
+    /// The turn is finished and took this many tokens.
     Settled(u64),
 }
 
@@ -22,8 +22,8 @@
         }
     }
 
-    /// What two stores' words about one turn come to. The end of a turn outlasts its beginning,
-    /// whichever arrives first.
+    /// Merges the records of two stores about one turn. A settled record takes precedence over a
+    /// reserved one, in whatever order they arrive.
     #[must_use]
     pub fn merge(self, other: Self) -> Self {
         match (self, other) {
@@ -35,15 +35,15 @@
     }
 }
 
-/// What all turns of a program take. Merging is commutative, associative and idempotent, so
-/// copies agree once they have seen the same words, in whatever order.
+/// Tokens taken by all turns of a program. Merging is commutative, associative and idempotent, so
+/// copies that have received the same records agree, in whatever order they received them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
     spends: BTreeMap<TurnId, Spend>,
 }
 
 impl Account {
-    /// Notes what a turn takes. Returns whether that changed anything.
+    /// Records the tokens of a turn. Returns true if the account changed.
     pub fn note(&mut self, turn: &TurnId, spend: Spend) -> bool {
         let known = self.spends.get(turn).copied();
         let merged = known.map_or(spend, |known| known.merge(spend));
@@ -54,7 +54,7 @@
         true
     }
 
-    /// Takes in another copy.
+    /// Merges another copy into this one.
     pub fn merge(&mut self, other: &Self) {
         for (turn, spend) in &other.spends {
             self.note(turn, *spend);
@@ -67,25 +67,26 @@
         self.spends.values().map(|spend| spend.tokens()).sum()
     }
 
-    /// Each turn's part.
+    /// Iterates over all turns and their tokens.
     pub fn spends(&self) -> impl Iterator<Item = (&TurnId, Spend)> {
         self.spends.iter().map(|(turn, spend)| (turn, *spend))
     }
 
-    /// What a turn takes, when it is known.
+    /// Returns the tokens of a turn if the account has a record of it.
     #[must_use]
     pub fn spend_of(&self, turn: &TurnId) -> Option<Spend> {
         self.spends.get(turn).copied()
     }
 
-    /// Whether no turn but `turn` has taken or holds anything, as when `turn` begins the program.
+    /// Returns true if no turn other than `turn` has spent or reserved tokens, which means that
+    /// `turn` is the first of the program.
     #[must_use]
     pub fn is_begun_by(&self, turn: &TurnId) -> bool {
         let mut others = self.spends().filter(|(other, _)| *other != turn);
         others.all(|(_, spend)| spend == Spend::Settled(0))
     }
 
-    /// Whether nothing was noted.
+    /// Returns true if the account has no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.spends.is_empty()
--- a/crates/turns/src/admission.rs
+++ b/crates/turns/src/admission.rs
@@ -1,39 +1,41 @@
-//! Whether a turn's reservation fits its program's budget.
+//! Admission of a turn's reservation against the budget of its program.
 
-/// Turns' worth of tokens that must be left of a budget for one look at it to do.
+/// Number of further turns that must fit into the budget for a single read of the account to
+/// suffice.
 ///
-/// Of two turns that race, at least one sees the other on a store that both wrote to, so of `n`
-/// that race one sees half of the others. With room for four more than it sees, nine can race
-/// without passing the budget together.
-const CALM_TURNS: u64 = 4;
+/// Of two concurrent turns, at least one sees the other on a store that both wrote to. So of `n`
+/// concurrent turns, at least one sees half of the others. With a margin of four turns beyond
+/// those seen, nine concurrent turns cannot exceed the budget together.
+const FIRST_READ_MARGIN_TURNS: u64 = 4;
 
-/// What a look at a program's account, with the turn's own reservation in it, comes to.
+/// Decision after a read of a program's account that includes the turn's own reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// The turn may be sent.
     Admit,
-    /// The budget is nearly spent: others that reserve at the same moment may not be in sight
-    /// yet. The account must be read from a quorum once more, now that the turn's own
-    /// reservation is on one; of all that race, the one that reads last sees every other.
+    /// The budget is nearly exhausted, and concurrent reservations may not be visible yet. The
+    /// account must be read again from a quorum now that the turn's own reservation is on a
+    /// quorum. Of all concurrent turns, the one that reads last then sees every other.
     LookAgain,
-    /// The turn does not fit.
+    /// The turn does not fit into the budget.
     Refuse,
 }
 
 impl Admission {
-    /// Judges a first look: `total` tokens of the account, the turn's own `ceiling` included.
+    /// Decides after the first read. `total` is the sum of the account, including the turn's own
+    /// `ceiling`.
     #[must_use]
     pub fn at_first_look(total: u64, ceiling: u64, budget: u64) -> Self {
         if total > budget {
             return Self::Refuse;
         }
-        if total + CALM_TURNS * ceiling <= budget {
+        if total + FIRST_READ_MARGIN_TURNS * ceiling <= budget {
             return Self::Admit;
         }
         Self::LookAgain
     }
 
-    /// Judges a second look.
+    /// Decides after the second read.
     #[must_use]
     pub fn at_second_look(total: u64, budget: u64) -> Self {
         if total > budget {
--- a/crates/turns/src/errors.rs
+++ b/crates/turns/src/errors.rs
@@ -1,28 +1,28 @@
-//! Errors of this crate.
+//! Error type of turn stores.
 
 use luglink_storage::StorageError;
 use snafu::Snafu;
 
-/// A failure of a store.
+/// Error of a turn store.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum TurnsError {
-    /// The disk failed.
-    #[snafu(display("storage: {source}"), context(false))]
+    /// A disk operation failed.
+    #[snafu(display("disk operation failed: {source}"), context(false))]
     Storage {
-        /// How.
+        /// Error of the disk.
         source: StorageError,
     },
-    /// A stored record cannot be understood.
-    #[snafu(display("cannot read a journal record: {source}"))]
+    /// A stored record cannot be decoded.
+    #[snafu(display("cannot decode journal record: {source}"))]
     Decode {
-        /// Why not.
+        /// Decoding error.
         source: postcard::Error,
     },
-    /// A record cannot be written.
-    #[snafu(display("cannot encode a journal record: {source}"))]
+    /// A record cannot be encoded.
+    #[snafu(display("cannot encode journal record: {source}"))]
     Encode {
-        /// Why not.
+        /// Encoding error.
         source: postcard::Error,
     },
 }
--- a/crates/turns/src/hand_over.rs
+++ b/crates/turns/src/hand_over.rs
@@ -1,4 +1,4 @@
-//! Handing over to stores that should hold something and may lack it.
+//! Transfer of records to stores that own them and may not have them yet.
 
 use crate::protocol::StoreRequest;
 use crate::record::TurnId;
@@ -8,55 +8,55 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Bytes of turns in one message at the most, passed by at most one turn.
-const BATCH_BYTES: usize = 512 << 10;
+/// Maximum size of the turns in one message. The last turn of a message may exceed it.
+const MAX_BATCH_BYTES: usize = 512 << 10;
 
-/// Time after which a message without an answer is sent again.
-const RESEND_AFTER: Duration = Duration::from_millis(700);
+/// Time after which an unacknowledged message is sent again.
+const RESEND_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What is on its way to one store.
+/// Messages to be sent to one store.
 #[derive(Debug, Default)]
 struct Queue {
     batches: VecDeque<StoreRequest>,
-    /// The first batch's number and when it was last sent, while it is under way.
+    /// Number and send time of the first batch while its acknowledgement is outstanding.
     sent: Option<(u64, Timestamp)>,
 }
 
-/// Turns that a store has on its disk, by its word, since the last view that was handed over for.
+/// Turns that a store has acknowledged since the last completed view.
 #[derive(Debug, Default)]
-struct Taken {
-    /// Names the disk.
+struct AcknowledgedTurns {
+    /// Identifies the disk of the store.
     incarnation: Option<u64>,
     turns: BTreeSet<TurnId>,
 }
 
-/// A message that is due.
-pub(crate) struct Due {
+/// Message that is to be sent now.
+pub(crate) struct DueMessage {
     pub(crate) to: StoreName,
-    /// Given back when the receiver has it.
+    /// Identifies the message in its acknowledgement.
     pub(crate) number: u64,
     pub(crate) request: StoreRequest,
 }
 
-/// Hand-overs under way.
+/// Hand-over of this store's records after changes of the view.
 #[derive(Debug, Default)]
 pub(crate) struct HandOver {
     view: StoreView,
-    /// Newest view for which everything was handed over.
-    done: StoreView,
+    /// Newest view for which the hand-over is complete.
+    completed_view: StoreView,
     queues: BTreeMap<StoreName, Queue>,
-    /// What need not be sent again when the view changes before everything was handed over.
-    taken: BTreeMap<StoreName, Taken>,
+    /// Turns that are not sent again if the view changes before the hand-over is complete.
+    acknowledged: BTreeMap<StoreName, AcknowledgedTurns>,
     last_number: u64,
 }
 
 impl HandOver {
-    pub(crate) fn new(done: StoreView) -> Self {
+    pub(crate) fn new(completed_view: StoreView) -> Self {
         Self {
-            view: done.clone(),
-            done,
+            view: completed_view.clone(),
+            completed_view,
             queues: BTreeMap::new(),
-            taken: BTreeMap::new(),
+            acknowledged: BTreeMap::new(),
             last_number: 0,
         }
     }
@@ -65,107 +65,111 @@
         &self.view
     }
 
-    pub(crate) fn done_epoch(&self) -> u64 {
-        self.done.epoch
+    pub(crate) fn completed_epoch(&self) -> u64 {
+        self.completed_view.epoch
     }
 
-    /// Takes a newer view and queues what its stores should hold and may lack.
+    /// Sets a newer view and queues the records that its stores own and may not have yet.
     pub(crate) fn set_view(
         &mut self,
         view: StoreView,
-        me: &StoreName,
+        own_name: &StoreName,
         copies: usize,
-        held: &State,
+        state: &State,
     ) {
         if view.epoch <= self.view.epoch {
             return;
         }
         self.view = view;
         self.queues.clear();
-        self.forget_lost_disks();
-        let mut parcels: BTreeMap<StoreName, Parcel> = BTreeMap::new();
-        for turn in held.turns.values() {
-            let newcomers = self.newcomers(&turn.record.program.0, me, copies);
-            for name in newcomers
+        self.discard_lost_disks();
+        let mut transfers: BTreeMap<StoreName, Transfer> = BTreeMap::new();
+        for turn in state.turns.values() {
+            let new_owners = self.new_owners(&turn.record.program.0, own_name, copies);
+            for name in new_owners
                 .into_iter()
-                .filter(|name| !self.has_taken(name, &turn.record.id))
+                .filter(|name| !self.has_acknowledged(name, &turn.record.id))
             {
-                parcels
+                transfers
                     .entry(name)
                     .or_default()
                     .add_turn(turn.record.clone());
             }
         }
-        for (program, account) in &held.accounts {
-            for name in self.newcomers(&program.0, me, copies) {
+        for (program, account) in &state.accounts {
+            for name in self.new_owners(&program.0, own_name, copies) {
                 let entry = (
                     program.clone(),
                     account.account.clone(),
                     account.retention_ms,
                 );
-                parcels.entry(name).or_default().accounts.push(entry);
+                transfers.entry(name).or_default().accounts.push(entry);
             }
         }
-        for (name, parcel) in parcels {
-            self.queues.insert(name, parcel.into_queue());
+        for (name, transfer) in transfers {
+            self.queues.insert(name, transfer.into_queue());
         }
     }
 
-    fn forget_lost_disks(&mut self) {
+    fn discard_lost_disks(&mut self) {
         let view = &self.view;
-        self.taken.retain(|name, taken| {
+        self.acknowledged.retain(|name, acknowledged| {
             let member = view.members.get(name);
-            member.map(|member| member.incarnation) == taken.incarnation
+            member.map(|member| member.incarnation) == acknowledged.incarnation
         });
     }
 
-    fn has_taken(&self, store: &StoreName, turn: &TurnId) -> bool {
-        let taken = self.taken.get(store);
-        taken.is_some_and(|taken| taken.turns.contains(turn))
+    fn has_acknowledged(&self, store: &StoreName, turn: &TurnId) -> bool {
+        let acknowledged = self.acknowledged.get(store);
+        acknowledged.is_some_and(|acknowledged| acknowledged.turns.contains(turn))
     }
 
-    fn note_taken(&mut self, store: &StoreName, batch: &StoreRequest) {
+    fn record_acknowledged(&mut self, store: &StoreName, batch: &StoreRequest) {
         let StoreRequest::HandOver { turns, .. } = batch else {
             return;
         };
         let member = self.view.members.get(store);
-        let taken = self.taken.entry(store.clone()).or_default();
-        taken.incarnation = member.map(|member| member.incarnation);
-        taken.turns.extend(turns.iter().map(|turn| turn.id.clone()));
+        let acknowledged = self.acknowledged.entry(store.clone()).or_default();
+        acknowledged.incarnation = member.map(|member| member.incarnation);
+        acknowledged
+            .turns
+            .extend(turns.iter().map(|turn| turn.id.clone()));
     }
 
-    /// Owners of a key that were not its owners in the last view that was handed over for.
-    fn newcomers(&self, key: &str, me: &StoreName, copies: usize) -> Vec<StoreName> {
-        let before = owners(&self.done, key, copies);
+    /// Returns the other owners of a key that did not own it with their present disk in the last
+    /// completed view.
+    fn new_owners(&self, key: &str, own_name: &StoreName, copies: usize) -> Vec<StoreName> {
+        let before = owners(&self.completed_view, key, copies);
         let disk = |view: &StoreView, name: &StoreName| {
             view.members.get(name).map(|member| member.incarnation)
         };
         owners(&self.view, key, copies)
             .into_iter()
-            .filter(|name| name != me)
+            .filter(|name| name != own_name)
             .filter(|name| {
-                !before.contains(name) || disk(&self.done, name) != disk(&self.view, name)
+                !before.contains(name) || disk(&self.completed_view, name) != disk(&self.view, name)
             })
             .collect()
     }
 
-    /// Queues something for one store beyond what a change of the view asks for.
+    /// Queues a request to one store independently of a change of the view.
     pub(crate) fn forward(&mut self, to: &StoreName, request: StoreRequest) {
         let queue = self.queues.entry(to.clone()).or_default();
         queue.batches.push_back(request);
     }
 
-    /// Messages that are due.
-    pub(crate) fn due(&mut self, now: Timestamp) -> Vec<Due> {
+    /// Returns the messages to send now: the first of each queue, unless its acknowledgement is
+    /// outstanding and has not timed out.
+    pub(crate) fn due(&mut self, now: Timestamp) -> Vec<DueMessage> {
         let mut due = Vec::new();
         for (name, queue) in &mut self.queues {
-            let waits = queue
+            let is_outstanding = queue
                 .sent
-                .is_some_and(|(_, at)| now.since(at) < RESEND_AFTER);
-            if let (false, Some(batch)) = (waits, queue.batches.front()) {
+                .is_some_and(|(_, sent_at)| now.since(sent_at) < RESEND_TIMEOUT);
+            if let (false, Some(batch)) = (is_outstanding, queue.batches.front()) {
                 self.last_number += 1;
                 queue.sent = Some((self.last_number, now));
-                due.push(Due {
+                due.push(DueMessage {
                     to: name.clone(),
                     number: self.last_number,
                     request: batch.clone(),
@@ -175,45 +179,51 @@
         due
     }
 
-    /// A store has the message of that number. A late word about an earlier one is passed over.
-    pub(crate) fn on_taken(&mut self, by: &StoreName, number: u64) {
+    /// Handles the acknowledgement of a message. Late acknowledgements of earlier sends are
+    /// ignored.
+    pub(crate) fn on_acknowledged(&mut self, by: &StoreName, number: u64) {
         let Some(queue) = self.queues.get_mut(by) else {
             return;
         };
-        if queue.sent.is_some_and(|(sent, _)| sent == number) {
+        if queue
+            .sent
+            .is_some_and(|(sent_number, _)| sent_number == number)
+        {
             queue.sent = None;
             let batch = queue.batches.pop_front();
             if queue.batches.is_empty() {
                 self.queues.remove(by);
             }
             if let Some(batch) = batch {
-                self.note_taken(by, &batch);
+                self.record_acknowledged(by, &batch);
             }
         }
     }
 
-    /// The view for which everything has just been handed over, once.
-    pub(crate) fn take_completed(&mut self) -> Option<StoreView> {
-        if !self.queues.is_empty() || self.done.epoch >= self.view.epoch {
+    /// Marks the current view as completed if no message is left to send. Returns the view if it
+    /// was not completed before.
+    pub(crate) fn complete_view(&mut self) -> Option<StoreView> {
+        if !self.queues.is_empty() || self.completed_view.epoch >= self.view.epoch {
             return None;
         }
-        self.done = self.view.clone();
-        self.taken.clear();
-        Some(self.done.clone())
+        self.completed_view = self.view.clone();
+        self.acknowledged.clear();
+        Some(self.completed_view.clone())
     }
 }
 
-/// Everything for one store.
+/// Turns and accounts to be transferred to one store, with the turns divided into batches.
 #[derive(Default)]
-struct Parcel {
+struct Transfer {
     turns: Vec<Vec<crate::record::TurnRecord>>,
+    /// Size of the last batch.
     bytes: usize,
     accounts: Vec<(crate::record::ProgramName, crate::account::Account, u64)>,
 }
 
-impl Parcel {
+impl Transfer {
     fn add_turn(&mut self, turn: crate::record::TurnRecord) {
-        if self.turns.is_empty() || self.bytes >= BATCH_BYTES {
+        if self.turns.is_empty() || self.bytes >= MAX_BATCH_BYTES {
             self.turns.push(Vec::new());
             self.bytes = 0;
         }
--- a/crates/turns/src/journal.rs
+++ b/crates/turns/src/journal.rs
@@ -1,4 +1,4 @@
-//! The store's journal: what it holds, on disk.
+//! Journal of a store: its turns and accounts on disk.
 
 use crate::account::Spend;
 use crate::errors::{DecodeSnafu, EncodeSnafu, TurnsError};
@@ -8,25 +8,25 @@
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
 
-const IDENTITY_FILE: &str = "store-identity";
+const INCARNATION_FILE: &str = "store-identity";
 
-/// One entry of a batch.
+/// Entry of a journal batch.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Entry {
-    /// A turn.
+    /// Completed turn.
     Turn(TurnRecord),
-    /// What a turn takes.
+    /// Tokens that a turn takes from its program's budget.
     Spend {
         program: ProgramName,
         turn: TurnId,
         spend: Spend,
         retention_ms: u64,
     },
-    /// Everything that others should hold in this view has been handed over.
+    /// The hand-over to the other owners of this view is complete.
     HandedOver(StoreView),
 }
 
-/// The journal of one store.
+/// Journal of one store.
 #[derive(Debug)]
 pub(crate) struct Journal<D> {
     disk: D,
@@ -34,25 +34,26 @@
     config: WalConfig,
 }
 
-/// What a journal held at start.
+/// Contents of a journal at start.
 pub(crate) struct Recovered {
+    /// Entries with the segments that contain them.
     pub(crate) entries: Vec<(u64, Entry)>,
     pub(crate) incarnation: u64,
 }
 
 impl<D: Disk> Journal<D> {
-    /// Opens the journal. `fresh` names the disk when it is empty.
+    /// Opens the journal. An empty disk gets the incarnation `new_incarnation`.
     pub(crate) fn open(
         mut disk: D,
         config: WalConfig,
-        fresh: u64,
+        new_incarnation: u64,
     ) -> Result<(Self, Recovered), TurnsError> {
-        let incarnation = identity(&mut disk, fresh)?;
+        let incarnation = load_incarnation(&mut disk, new_incarnation)?;
         let (wal, recovered) = Wal::open(&mut disk, config)?;
         let mut entries = Vec::new();
         for batch in recovered.batches {
-            let found: Vec<Entry> = postcard::from_bytes(&batch.payload).context(DecodeSnafu)?;
-            entries.extend(found.into_iter().map(|entry| (batch.segment, entry)));
+            let decoded: Vec<Entry> = postcard::from_bytes(&batch.payload).context(DecodeSnafu)?;
+            entries.extend(decoded.into_iter().map(|entry| (batch.segment, entry)));
         }
         let journal = Self { disk, wal, config };
         Ok((
@@ -64,14 +65,14 @@
         ))
     }
 
-    /// Makes entries durable with one sync. Returns the segment that holds them. After a
-    /// failure nothing of the batch is there.
+    /// Makes entries durable with one sync and returns the segment that contains them. If the
+    /// write fails, no entry of the batch is stored.
     pub(crate) fn append(&mut self, entries: &[Entry]) -> Result<u64, TurnsError> {
         let payload = postcard::to_stdvec(entries).context(EncodeSnafu)?;
         Ok(self.wal.append(&mut self.disk, &payload)?)
     }
 
-    /// Reads the journal's end anew after a failed write, whose torn frame is cut off.
+    /// Reopens the journal after a failed write, which truncates the incomplete frame.
     pub(crate) fn repair(&mut self) -> Result<(), TurnsError> {
         let (wal, _) = Wal::open(&mut self.disk, self.config)?;
         self.wal = wal;
@@ -94,7 +95,7 @@
         self.wal.start_segment();
     }
 
-    pub(crate) fn remove_before(&mut self, segment: u64) -> Result<(), TurnsError> {
+    pub(crate) fn remove_segments_before(&mut self, segment: u64) -> Result<(), TurnsError> {
         Ok(self.wal.remove_segments_before(&mut self.disk, segment)?)
     }
 
@@ -107,12 +108,13 @@
     }
 }
 
-fn identity(disk: &mut impl Disk, fresh: u64) -> Result<u64, TurnsError> {
-    if disk.list()?.iter().any(|file| file == IDENTITY_FILE) {
-        let bytes = disk.read(IDENTITY_FILE)?;
+/// Reads the incarnation of the disk, or stores `new_incarnation` on a disk that has none.
+fn load_incarnation(disk: &mut impl Disk, new_incarnation: u64) -> Result<u64, TurnsError> {
+    if disk.list()?.iter().any(|file| file == INCARNATION_FILE) {
+        let bytes = disk.read(INCARNATION_FILE)?;
         return postcard::from_bytes(&bytes).context(DecodeSnafu);
     }
-    let bytes = postcard::to_stdvec(&fresh).context(EncodeSnafu)?;
-    disk.replace(IDENTITY_FILE, &bytes)?;
-    Ok(fresh)
+    let bytes = postcard::to_stdvec(&new_incarnation).context(EncodeSnafu)?;
+    disk.replace(INCARNATION_FILE, &bytes)?;
+    Ok(new_incarnation)
 }
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -1,12 +1,12 @@
-//! Turns that were said and tokens that were spent, kept on several stores without a leader.
+//! Leaderless replicated storage of completed turns and token accounts.
 //!
-//! A turn never changes once it is written, and an account only grows: so copies need no order
-//! among writes, and any store that can be reached serves. A write counts once enough stores
-//! have it on disk to survive the losses that the deployment tolerates; what a reader does not
-//! find on one store it looks for on the others.
+//! A turn is immutable once written, and copies of an account merge in any order. Replicas
+//! therefore need no write order, and any reachable store can serve requests. A write is committed
+//! once enough stores have it on disk to survive the losses that the deployment tolerates. A
+//! reader that does not find a record on one store asks the others.
 //!
-//! [`StoreNode`] is one store as pure logic over a [`Disk`]; the rules for those who write to
-//! several of them are in [`Replication`].
+//! [`StoreNode`] implements one store as pure logic over a [`Disk`]. [`Replication`] defines how
+//! many stores clients write to and wait for.
 //!
 //! [`Disk`]: luglink_storage::Disk
 #![forbid(unsafe_code)]
--- a/crates/turns/src/node.rs
+++ b/crates/turns/src/node.rs
@@ -1,4 +1,4 @@
-//! The store itself: takes requests, makes them durable together, gives out answers.
+//! Logic of a store: collects requests, makes them durable in batches, and replies to them.
 
 use crate::account::{Account, Spend};
 use crate::errors::TurnsError;
@@ -14,65 +14,66 @@
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Time between looks for what was kept long enough.
+/// Time between removals of expired turns and accounts.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Segments that the journal keeps before it writes what is left of the oldest anew.
+/// Number of journal segments after which the live entries of the oldest are rewritten.
 const MAX_SEGMENTS: u64 = 4;
 
-/// Names one request of one client; its answer carries it back.
+/// Identifies one request of one client in its reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestToken {
-    /// The client, as the shell numbers them.
+    /// Number of the client, assigned by the server process.
     pub client: u64,
-    /// The client's number for the request.
+    /// Number of the request, assigned by the client.
     pub request: u64,
 }
 
-/// Something to do.
+/// Action that the server process performs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Answer a request.
+    /// Replies to a request.
     Reply {
         /// The request.
         token: RequestToken,
-        /// The answer.
+        /// The response.
         response: Box<StoreResponse>,
     },
-    /// Ask another store, and report its answer to [`StoreNode::on_hand_over_taken`].
+    /// Sends a request to another store. If that store acknowledges it, the server process calls
+    /// [`StoreNode::on_hand_over_acknowledged`].
     HandOver {
-        /// The store.
+        /// The receiving store.
         to: StoreName,
-        /// Given back with its answer.
+        /// Identifies the request in its acknowledgement.
         number: u64,
         /// The request.
         request: Box<StoreRequest>,
     },
 }
 
-/// How a store runs.
+/// Configuration of a store.
 #[derive(Clone, Debug)]
 pub struct StoreConfig {
-    /// Its name.
+    /// Name of the store.
     pub name: StoreName,
-    /// How many copies there are.
+    /// Number of copies.
     pub replication: Replication,
     /// Limits of the journal.
     pub wal: WalConfig,
-    /// How far beyond their limits the requests of tenants may come.
+    /// Amount by which the requests of tenants may exceed their quotas.
     pub quota_tolerance: Tolerance,
 }
 
-/// A request whose entries wait for the disk.
+/// Reply to a request whose entries are not on disk yet.
 #[derive(Debug)]
-struct Pending {
+struct PendingReply {
     token: RequestToken,
-    answer: Answer,
+    kind: ReplyKind,
 }
 
-/// What to answer once the entries are on disk.
+/// Kind of the reply that is sent once the entries are on disk.
 #[derive(Debug)]
-enum Answer {
+enum ReplyKind {
     Spent {
         program: ProgramName,
         chain: Option<ChainWish>,
@@ -81,7 +82,7 @@
     Done,
 }
 
-/// A turn store.
+/// State machine of a turn store.
 #[derive(Debug)]
 pub struct StoreNode<D> {
     config: StoreConfig,
@@ -91,32 +92,32 @@
     hand_over: HandOver,
     quota: QuotaOwner,
     entries: Vec<Entry>,
-    pending: Vec<Pending>,
+    pending: Vec<PendingReply>,
     outputs: Vec<Output>,
     now: Timestamp,
     expiry_due: Timestamp,
-    is_broken: bool,
+    needs_repair: bool,
 }
 
 impl<D: Disk> StoreNode<D> {
-    /// Starts a store from its disk. `fresh` names an empty disk and must not repeat between
-    /// starts.
+    /// Starts a store from its disk. An empty disk gets the incarnation `new_incarnation`, which
+    /// must be different at every start.
     ///
     /// # Errors
-    /// The disk is damaged, full or read-only.
+    /// Fails if the disk is damaged, full or read-only.
     pub fn start(
         config: StoreConfig,
         disk: D,
-        fresh: u64,
+        new_incarnation: u64,
         now: Timestamp,
     ) -> Result<Self, TurnsError> {
-        let (journal, recovered) = Journal::open(disk, config.wal, fresh)?;
+        let (journal, recovered) = Journal::open(disk, config.wal, new_incarnation)?;
         let mut state = State::default();
-        let mut handed_over = StoreView::default();
+        let mut completed_view = StoreView::default();
         for (segment, entry) in &recovered.entries {
             state.apply(entry, *segment, now);
             if let Entry::HandedOver(view) = entry {
-                handed_over = view.clone();
+                completed_view = view.clone();
             }
         }
         let mut quota = QuotaOwner::new(
@@ -124,59 +125,59 @@
             config.replication.quota_owners(),
             config.quota_tolerance,
         );
-        // Members tell a store its view only when it lacks it.
-        quota.set_view(handed_over.clone(), now);
+        // Members do not send the view to a store that already has it, so it is set here.
+        quota.set_view(completed_view.clone(), now);
         Ok(Self {
             config,
             quota,
             incarnation: recovered.incarnation,
             journal,
             state,
-            hand_over: HandOver::new(handed_over),
+            hand_over: HandOver::new(completed_view),
             entries: Vec::new(),
             pending: Vec::new(),
             outputs: Vec::new(),
             now,
             expiry_due: now,
-            is_broken: false,
+            needs_repair: false,
         })
     }
 
-    /// Names the store's disk.
+    /// Identifies the store's disk.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Newest view for which everything that others should hold was handed over.
+    /// Epoch of the newest view for which the hand-over to the other owners is complete.
     #[must_use]
     pub fn handed_over_epoch(&self) -> u64 {
-        self.hand_over.done_epoch()
+        self.hand_over.completed_epoch()
     }
 
-    /// Epoch of the view of the stores.
+    /// Epoch of the current view of the stores.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.hand_over.view().epoch
     }
 
-    /// Turns and accounts that the store holds.
+    /// Numbers of stored turns and accounts.
     #[must_use]
     pub fn counts(&self) -> (usize, usize) {
         (self.state.turns.len(), self.state.accounts.len())
     }
 
-    /// The disk, for bringing faults about.
+    /// Returns the disk for fault injection.
     pub fn disk_mut(&mut self) -> &mut D {
         self.journal.disk_mut()
     }
 
-    /// Gives the disk back, as a crash leaves it.
+    /// Returns the disk in the state that a crash leaves behind.
     pub fn into_disk(self) -> D {
         self.journal.into_disk()
     }
 
-    /// Takes a newer view of the stores.
+    /// Sets a newer view of the stores.
     pub fn set_view(&mut self, view: StoreView, now: Timestamp) {
         self.now = self.now.max(now);
         let copies = self.config.replication.copies();
@@ -185,13 +186,13 @@
             .set_view(view, &self.config.name, copies, &self.state);
     }
 
-    /// Notes the word of a control member that hears its leader.
+    /// Records a message from a control member that is in contact with its leader.
     pub fn note_leader_contact(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         self.quota.note_leader_contact(self.now);
     }
 
-    /// Takes a request. Its answer comes out of the next [`StoreNode::flush`].
+    /// Handles a request. The next [`StoreNode::flush`] returns the reply.
     pub fn handle(&mut self, token: RequestToken, request: StoreRequest, now: Timestamp) {
         self.now = self.now.max(now);
         match request {
@@ -206,9 +207,9 @@
             } => {
                 let entry = spend_entry(&program, &turn, spend, retention_ms);
                 self.write(epoch, &program, vec![entry]);
-                self.pending.push(Pending {
+                self.pending.push(PendingReply {
                     token,
-                    answer: Answer::Spent {
+                    kind: ReplyKind::Spent {
                         program,
                         chain,
                         served_by,
@@ -221,29 +222,31 @@
                 tokens,
                 carried,
             } => self.keep(token, epoch, *turn, tokens, carried),
-            StoreRequest::HandOver { turns, accounts } => self.take_over(token, turns, accounts),
+            StoreRequest::HandOver { turns, accounts } => {
+                self.accept_hand_over(token, turns, accounts)
+            }
             StoreRequest::Account(program) => {
                 let account = self.account(&program);
                 self.reply(token, StoreResponse::Account(account));
             }
-            StoreRequest::Lookup(wish) => {
-                let chain = self.chain(&wish);
+            StoreRequest::Lookup(query) => {
+                let chain = self.chain(&query);
                 self.reply(token, StoreResponse::Chain(chain));
             }
-            StoreRequest::Quota(ask) => {
-                let answer = self.quota.answer(&ask, self.now);
-                self.reply(token, StoreResponse::Quota(answer));
+            StoreRequest::Quota(request) => {
+                let response = self.quota.answer(&request, self.now);
+                self.reply(token, StoreResponse::Quota(response));
             }
         }
     }
 
-    /// A store has what was handed over to it under `number`.
-    pub fn on_hand_over_taken(&mut self, by: &StoreName, number: u64, now: Timestamp) {
+    /// Handles the acknowledgement of the hand-over request `number` by another store.
+    pub fn on_hand_over_acknowledged(&mut self, by: &StoreName, number: u64, now: Timestamp) {
         self.now = self.now.max(now);
-        self.hand_over.on_taken(by, number);
+        self.hand_over.on_acknowledged(by, number);
     }
 
-    /// Lets time pass.
+    /// Advances the time and removes what has expired.
     pub fn tick(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         if self.now >= self.expiry_due {
@@ -252,16 +255,16 @@
         }
     }
 
-    /// Makes everything durable that was taken, with one sync, and gives out the work.
+    /// Makes all collected entries durable with one sync and returns the actions to perform.
     pub fn flush(&mut self) -> Vec<Output> {
-        if let Some(view) = self.hand_over.take_completed() {
+        if let Some(view) = self.hand_over.complete_view() {
             self.entries.push(Entry::HandedOver(view));
         }
         let entries = std::mem::take(&mut self.entries);
         let pending = std::mem::take(&mut self.pending);
         match self.persist(&entries) {
-            Ok(()) => self.answer(pending),
-            Err(error) => self.refuse(pending, &error.to_string()),
+            Ok(()) => self.complete_pending(pending),
+            Err(error) => self.fail_pending(pending, &error.to_string()),
         }
         for due in self.hand_over.due(self.now) {
             self.outputs.push(Output::HandOver {
@@ -287,13 +290,13 @@
         entries.extend(carried.into_iter().map(Entry::Turn));
         entries.push(Entry::Turn(turn));
         self.write(epoch, &program, entries);
-        self.pending.push(Pending {
+        self.pending.push(PendingReply {
             token,
-            answer: Answer::Done,
+            kind: ReplyKind::Done,
         });
     }
 
-    fn take_over(
+    fn accept_hand_over(
         &mut self,
         token: RequestToken,
         turns: Vec<TurnRecord>,
@@ -307,14 +310,14 @@
                 spends.map(|(turn, spend)| spend_entry(&program, turn, spend, retention_ms));
             self.entries.extend(entries);
         }
-        self.pending.push(Pending {
+        self.pending.push(PendingReply {
             token,
-            answer: Answer::Done,
+            kind: ReplyKind::Done,
         });
     }
 
-    /// Queues entries for the disk. A writer with an older view does not know all who should
-    /// hold them; this store passes them on.
+    /// Queues entries for the disk. A writer with an older view may not know all current owners,
+    /// so this store forwards the entries to the other owners.
     fn write(&mut self, epoch: u64, program: &ProgramName, entries: Vec<Entry>) {
         if epoch < self.hand_over.view().epoch {
             let owners = self
@@ -329,19 +332,19 @@
     }
 
     fn persist(&mut self, entries: &[Entry]) -> Result<(), TurnsError> {
-        let news: Vec<Entry> = entries
+        let changes: Vec<Entry> = entries
             .iter()
-            .filter(|entry| self.state.is_news(entry))
+            .filter(|entry| self.state.changes_state(entry))
             .cloned()
             .collect();
-        if news.is_empty() {
+        if changes.is_empty() {
             return Ok(());
         }
-        if self.is_broken {
+        if self.needs_repair {
             self.journal.repair()?;
-            self.is_broken = false;
+            self.needs_repair = false;
         }
-        self.append(&news)?;
+        self.append(&changes)?;
         if self.journal.segment_is_full() {
             self.compact()?;
         }
@@ -357,13 +360,14 @@
                 Ok(())
             }
             Err(error) => {
-                self.is_broken = true;
+                self.needs_repair = true;
                 Err(error)
             }
         }
     }
 
-    /// Starts a segment; when there are many, what is left of the oldest goes into it.
+    /// Starts a new segment. If there are too many, rewrites the live entries of the oldest into
+    /// it and removes the oldest.
     fn compact(&mut self) -> Result<(), TurnsError> {
         self.journal.start_segment();
         self.state.expire(self.now);
@@ -371,17 +375,17 @@
         if self.journal.current_segment() - oldest < MAX_SEGMENTS {
             return Ok(());
         }
-        let entries = self.left_in(oldest);
+        let entries = self.live_entries_up_to(oldest);
         self.append(&entries)?;
         for held in self.state.accounts.values_mut() {
             if held.oldest_segment <= oldest {
                 held.oldest_segment = self.journal.current_segment();
             }
         }
-        self.journal.remove_before(oldest + 1)
+        self.journal.remove_segments_before(oldest + 1)
     }
 
-    fn left_in(&self, segment: u64) -> Vec<Entry> {
+    fn live_entries_up_to(&self, segment: u64) -> Vec<Entry> {
         let turns = self
             .state
             .turns
@@ -398,33 +402,33 @@
                 spends.map(|(turn, spend)| spend_entry(program, turn, spend, held.retention_ms))
             });
         let handed_over = Entry::HandedOver(self.hand_over.view().clone());
-        let done = self.hand_over.done_epoch() == self.hand_over.view().epoch;
+        let is_completed = self.hand_over.completed_epoch() == self.hand_over.view().epoch;
         turns
             .chain(accounts)
-            .chain(done.then_some(handed_over))
+            .chain(is_completed.then_some(handed_over))
             .collect()
     }
 
-    fn answer(&mut self, pending: Vec<Pending>) {
-        for Pending { token, answer } in pending {
-            let response = match answer {
-                Answer::Spent {
+    fn complete_pending(&mut self, pending: Vec<PendingReply>) {
+        for PendingReply { token, kind } in pending {
+            let response = match kind {
+                ReplyKind::Spent {
                     program,
                     chain,
                     served_by,
                 } => StoreResponse::Spent {
-                    served_by: self.last_replica(&program, served_by),
+                    served_by: self.update_last_replica(&program, served_by),
                     account: self.account(&program),
-                    chain: chain.map(|wish| self.chain(&wish)),
+                    chain: chain.map(|query| self.chain(&query)),
                 },
-                Answer::Done => StoreResponse::Done,
+                ReplyKind::Done => StoreResponse::Done,
             };
             self.reply(token, response);
         }
     }
 
-    fn refuse(&mut self, pending: Vec<Pending>, reason: &str) {
-        for Pending { token, .. } in pending {
+    fn fail_pending(&mut self, pending: Vec<PendingReply>, reason: &str) {
+        for PendingReply { token, .. } in pending {
             let reason = reason.to_owned();
             self.reply(token, StoreResponse::Failed { reason });
         }
@@ -438,8 +442,9 @@
             .unwrap_or_default()
     }
 
-    /// Notes the replica that served a turn of a program, when it is told, and tells the last one.
-    fn last_replica(
+    /// Records the replica that served a turn of a program, if it is given, and returns the last
+    /// recorded one.
+    fn update_last_replica(
         &mut self,
         program: &ProgramName,
         served_by: Option<BackendId>,
@@ -451,16 +456,16 @@
         held.served_by.clone()
     }
 
-    fn chain(&self, wish: &ChainWish) -> Chain {
-        let Some(held) = self.state.turns.get(&wish.turn) else {
+    fn chain(&self, query: &ChainWish) -> Chain {
+        let Some(held) = self.state.turns.get(&query.turn) else {
             return Chain::Absent {
                 incarnation: self.incarnation,
             };
         };
         let ancestors = held.record.ancestors.iter();
-        let here = ancestors.filter_map(|ancestor| self.state.turns.get(ancestor));
+        let found = ancestors.filter_map(|ancestor| self.state.turns.get(ancestor));
         Chain::Found {
-            ancestors: here.map(|held| held.record.clone()).collect(),
+            ancestors: found.map(|held| held.record.clone()).collect(),
             turn: Box::new(held.record.clone()),
         }
     }
--- a/crates/turns/src/protocol.rs
+++ b/crates/turns/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Requests to a turn store and its responses.
+//! Requests to turn stores and their responses.
 
 use crate::account::{Account, Spend};
 use crate::record::{ProgramName, TurnId, TurnRecord};
@@ -6,100 +6,102 @@
 use luglink_quota::{QuotaRequest, QuotaResponse};
 use serde::{Deserialize, Serialize};
 
-/// Asks for a turn and the turns that it goes on from.
+/// Query for a turn and its ancestors.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChainWish {
     /// The turn.
     pub turn: TurnId,
 }
 
-/// What a store has of a chain.
+/// Turn and ancestors that a store has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Chain {
-    /// The turn is here, with those of its ancestors that are here too.
+    /// The store has the turn and possibly some of its ancestors.
     Found {
         /// The turn.
         turn: Box<TurnRecord>,
-        /// Its ancestors.
+        /// Ancestors that the store has.
         ancestors: Vec<TurnRecord>,
     },
-    /// The turn is not here.
+    /// The store does not have the turn.
     Absent {
-        /// Names the store's disk, so that the asker can tell what its word is worth.
+        /// Identifies the store's disk, so that the client can check whether the response is
+        /// authoritative.
         incarnation: u64,
     },
 }
 
-/// What a store is asked.
+/// Request to a turn store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// Notes what a turn takes from its program's budget, and looks a chain up.
+    /// Records the tokens that a turn takes from its program's budget, and optionally looks up a
+    /// chain.
     Spend {
-        /// The writer's view of the stores.
+        /// Epoch of the writer's view of the stores.
         epoch: u64,
         /// The program.
         program: ProgramName,
         /// The turn.
         turn: TurnId,
-        /// What it takes.
+        /// Tokens that the turn takes.
         spend: Spend,
-        /// Time for which the account is kept, in milliseconds.
+        /// Retention time of the account in milliseconds.
         retention_ms: u64,
-        /// A chain to look up with it.
+        /// Chain to look up with the same request.
         chain: Option<ChainWish>,
-        /// The replica that served the turn, and holds the program's prompt in cache.
+        /// Replica that served the turn and has the program's prompt in its cache.
         served_by: Option<BackendId>,
     },
-    /// Reads a program's account.
+    /// Reads the account of a program.
     Account(ProgramName),
-    /// Keeps a turn, settles its account, and keeps its chain for as long.
+    /// Stores a turn, settles its tokens, and extends the retention of its ancestors to its own.
     Keep {
-        /// The writer's view of the stores.
+        /// Epoch of the writer's view of the stores.
         epoch: u64,
         /// The turn.
         turn: Box<TurnRecord>,
-        /// Tokens that it took.
+        /// Tokens that the turn took.
         tokens: u64,
-        /// Ancestors that another program said, and that may be kept elsewhere.
+        /// Ancestors that belong to another program, whose records other stores may own.
         carried: Vec<TurnRecord>,
     },
-    /// Looks a chain up.
+    /// Looks up a chain.
     Lookup(ChainWish),
-    /// Hands over what the receiver should hold too.
+    /// Transfers records that the receiver owns.
     HandOver {
         /// Turns.
         turns: Vec<TurnRecord>,
-        /// Accounts, with the time for which they are kept, in milliseconds.
+        /// Accounts with their retention times in milliseconds.
         accounts: Vec<(ProgramName, Account, u64)>,
     },
-    /// Asks for a token of a tenant's quota. Nothing of it goes to disk.
+    /// Requests a token of a tenant's quota. It is not stored on disk.
     Quota(QuotaRequest),
 }
 
-/// What a store answers.
+/// Response of a turn store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreResponse {
-    /// On disk. The account is as it is with it.
+    /// The tokens are recorded on disk.
     Spent {
-        /// The program's account at this store.
+        /// The program's account at this store, including the recorded tokens.
         account: Account,
-        /// The chain, when it was asked for.
+        /// Chain, if the request asked for one.
         chain: Option<Chain>,
-        /// The replica that served the program's last turn, as far as this store has heard. Not
-        /// on disk: a hint, lost with the process.
+        /// Replica that served the program's last turn, if this store knows it. The value is a
+        /// hint that is not stored on disk.
         served_by: Option<BackendId>,
     },
     /// The program's account at this store.
     Account(Account),
-    /// On disk.
+    /// The records are on disk.
     Done,
-    /// What this store has of the chain.
+    /// Result of a chain lookup.
     Chain(Chain),
-    /// Nothing was written.
+    /// The request failed and nothing was written.
     Failed {
-        /// Why.
+        /// Description of the error.
         reason: String,
     },
-    /// Whether a request may go by its tenant's quota.
+    /// Decision on a quota request.
     Quota(QuotaResponse),
 }
--- a/crates/turns/src/record.rs
+++ b/crates/turns/src/record.rs
@@ -1,81 +1,81 @@
-//! A turn as it is kept.
+//! Stored turns and their identifiers.
 
 use luglink_fleet::BackendId;
 use luglink_types::TenantName;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Ends a tenant's name in a scoped identifier. No name and no identifier of a caller holds it:
-/// both are visible ASCII.
-const SCOPE_END: char = '\u{1}';
+/// Separates the tenant's name from the rest of an identifier. Names and identifiers from callers
+/// cannot contain it, because they are visible ASCII.
+const TENANT_SEPARATOR: char = '\u{1}';
 
-/// What a caller calls a thing, kept apart by tenant: nobody can name what another tenant, or a
-/// caller without one, calls the same. Without a tenant it is the caller's word itself, which is
-/// how records were named before there were tenants.
-fn scoped(tenant: Option<&TenantName>, word: &str) -> String {
+/// Adds the tenant to an identifier from a caller, so that no caller can address records of
+/// another tenant, or of a caller without a tenant, by choosing the same identifier. Without a
+/// tenant the identifier stays unchanged, which keeps it equal to that of existing records.
+fn tenant_scoped(tenant: Option<&TenantName>, identifier: &str) -> String {
     match tenant {
-        Some(tenant) => format!("{tenant}{SCOPE_END}{word}"),
-        None => word.to_owned(),
+        Some(tenant) => format!("{tenant}{TENANT_SEPARATOR}{identifier}"),
+        None => identifier.to_owned(),
     }
 }
 
-/// Identifier of a turn: that of the request that brought it, within its tenant.
+/// Identifier of a turn: the identifier of its request, scoped by tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TurnId(pub String);
 
 impl TurnId {
-    /// The turn that a request of a tenant brings or names.
+    /// Creates the identifier of the turn that belongs to a tenant's request.
     #[must_use]
     pub fn of(tenant: Option<&TenantName>, request: &str) -> Self {
-        Self(scoped(tenant, request))
+        Self(tenant_scoped(tenant, request))
     }
 }
 
 impl fmt::Display for TurnId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.0.replace(SCOPE_END, "/"))
+        formatter.write_str(&self.0.replace(TENANT_SEPARATOR, "/"))
     }
 }
 
-/// Name of a program, as its caller chose it, within its tenant.
+/// Name of a program, chosen by the caller and scoped by tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProgramName(pub String);
 
 impl ProgramName {
-    /// The program that a caller of a tenant names.
+    /// Creates the scoped name of a tenant's program.
     #[must_use]
     pub fn of(tenant: Option<&TenantName>, name: &str) -> Self {
-        Self(scoped(tenant, name))
+        Self(tenant_scoped(tenant, name))
     }
 }
 
 impl fmt::Display for ProgramName {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        formatter.write_str(&self.0.replace(SCOPE_END, "/"))
+        formatter.write_str(&self.0.replace(TENANT_SEPARATOR, "/"))
     }
 }
 
-/// A turn that was answered whole. It never changes.
+/// Completed turn. It is immutable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRecord {
-    /// The turn.
+    /// Identifier of the turn.
     pub id: TurnId,
-    /// The program that it belongs to, which decides where it is kept.
+    /// Program of the turn, which determines the stores that own the record.
     pub program: ProgramName,
-    /// The turns that it goes on from, the oldest first.
+    /// Turns that this one continues, oldest first.
     pub ancestors: Vec<TurnId>,
-    /// What the caller sent.
+    /// Input from the caller.
     pub input: Vec<u8>,
-    /// What was answered, as later prompts repeat it.
+    /// Output of the model, in the form in which later prompts contain it.
     pub output: Vec<u8>,
-    /// The replica that holds its prompt in cache.
+    /// Replica that has the prompt of the turn in its cache.
     pub served_by: Option<BackendId>,
-    /// Time for which it is kept, in milliseconds.
+    /// Retention time in milliseconds.
     pub retention_ms: u64,
 }
 
 impl TurnRecord {
-    /// Bytes that the record takes, about.
+    /// Approximate size of the record in bytes.
     #[must_use]
     pub fn size(&self) -> usize {
         self.input.len() + self.output.len() + 64 * (self.ancestors.len() + 2)
--- a/crates/turns/src/replication.rs
+++ b/crates/turns/src/replication.rs
@@ -1,69 +1,70 @@
-//! The rules for those who write to and read from several stores.
+//! Quorum rules for clients that write to and read from several stores.
 
 use crate::protocol::Chain;
 use luglink_fleet::{StoreName, StoreView, owners};
 use std::collections::BTreeSet;
 
-/// How many copies there are, from the losses that a deployment tolerates at once.
+/// Number of copies, derived from the number of simultaneous losses that a deployment tolerates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Replication {
     tolerated_losses: usize,
 }
 
 impl Replication {
-    /// Copies that survive the loss of `tolerated_losses` disks at once.
+    /// Creates a replication that survives the loss of `tolerated_losses` disks at once.
     #[must_use]
     pub fn surviving(tolerated_losses: usize) -> Self {
         Self { tolerated_losses }
     }
 
-    /// Stores that each write goes to. Any two sets of [`Replication::quorum`] among them have
-    /// one in common, so that of two reservations at least one sees the other.
+    /// Number of stores that each write is sent to. Any two quorums ([`Replication::quorum`]) of
+    /// them have a store in common, so that of two reservations at least one sees the other.
     #[must_use]
     pub fn copies(&self) -> usize {
         2 * self.tolerated_losses + 1
     }
 
-    /// Stores that must have a write on disk before it counts.
+    /// Number of stores that must have a write on disk before it is committed.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.tolerated_losses + 1
     }
 
-    /// Stores that give out a tenant's quota: at least one outlasts the losses that are tolerated.
+    /// Number of stores that grant a tenant's quota. At least one survives the tolerated losses.
     #[must_use]
     pub fn quota_owners(&self) -> usize {
         self.tolerated_losses + 1
     }
 
-    /// The stores that a program's state goes to.
+    /// Returns the stores that own the state of a program.
     #[must_use]
     pub fn owners(&self, view: &StoreView, program: &str) -> Vec<StoreName> {
         owners(view, program, self.copies())
     }
 }
 
-/// Collects the words of stores that lack a turn, until it is sure that there is none.
+/// Collects stores that do not have a turn until their number proves that no store has it.
 #[derive(Debug, Default)]
 pub struct Absence {
-    lacking: BTreeSet<StoreName>,
+    stores_without_turn: BTreeSet<StoreName>,
 }
 
 impl Absence {
-    /// Takes a store's answer. One that may not have been filled yet proves nothing.
+    /// Records a store's response. It counts only if the view shows that the store is not still
+    /// being filled and that its disk was not replaced.
     pub fn note(&mut self, view: &StoreView, store: &StoreName, chain: &Chain) {
         if let Chain::Absent { incarnation } = chain
             && view.is_authoritative(store, *incarnation)
         {
-            self.lacking.insert(store.clone());
+            self.stores_without_turn.insert(store.clone());
         }
     }
 
-    /// Whether no store can hold the turn: it would be on at least a quorum of the disks that
-    /// ever counted, so fewer than a quorum may be left unasked.
+    /// Returns true if no store can have the turn. A committed turn is on at least a quorum of the
+    /// disks, so it cannot exist if fewer stores than a quorum have not been ruled out.
     #[must_use]
     pub fn is_certain(&self, view: &StoreView, replication: Replication) -> bool {
-        let unasked = view.len() - self.lacking.len().min(view.len());
-        !view.is_empty() && unasked < replication.quorum()
+        let remaining = view.len() - self.stores_without_turn.len().min(view.len());
+        !view.is_empty() && remaining < replication.quorum()
     }
 }
--- a/crates/turns/src/state.rs
+++ b/crates/turns/src/state.rs
@@ -1,4 +1,4 @@
-//! What a store holds, in memory.
+//! In-memory state of a store.
 
 use crate::account::{Account, Spend};
 use crate::journal::Entry;
@@ -8,27 +8,27 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A turn with its place and end.
+/// Stored turn with its journal segment and expiry time.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldTurn {
     pub(crate) record: TurnRecord,
     pub(crate) segment: u64,
-    pub(crate) until: Timestamp,
+    pub(crate) expires_at: Timestamp,
 }
 
-/// An account with its place and end.
+/// Stored account with its journal segment and expiry time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeldAccount {
     pub(crate) account: Account,
-    /// Oldest journal segment that holds a part of it.
+    /// Oldest journal segment that contains an entry of the account.
     pub(crate) oldest_segment: u64,
-    pub(crate) until: Timestamp,
+    pub(crate) expires_at: Timestamp,
     pub(crate) retention_ms: u64,
-    /// The replica that served the program's last turn.
+    /// Replica that served the program's last turn.
     pub(crate) served_by: Option<BackendId>,
 }
 
-/// Turns and accounts.
+/// Turns and accounts of a store.
 #[derive(Debug, Default)]
 pub(crate) struct State {
     pub(crate) turns: HashMap<TurnId, HeldTurn>,
@@ -36,8 +36,8 @@
 }
 
 impl State {
-    /// Whether an entry would change anything.
-    pub(crate) fn is_news(&self, entry: &Entry) -> bool {
+    /// Returns true if applying the entry would change the state.
+    pub(crate) fn changes_state(&self, entry: &Entry) -> bool {
         match entry {
             Entry::Turn(record) => !self.turns.contains_key(&record.id),
             Entry::Spend {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes in an entry that stands in `segment` of the journal.
+    /// Applies an entry from `segment` of the journal.
     pub(crate) fn apply(&mut self, entry: &Entry, segment: u64, now: Timestamp) {
         match entry {
             Entry::Turn(record) => self.keep(record, segment, now),
@@ -69,10 +69,10 @@
     }
 
     fn keep(&mut self, record: &TurnRecord, segment: u64, now: Timestamp) {
-        let until = now.plus(Duration::from_millis(record.retention_ms));
+        let expires_at = now.plus(Duration::from_millis(record.retention_ms));
         for ancestor in &record.ancestors {
             if let Some(held) = self.turns.get_mut(ancestor) {
-                held.until = held.until.max(until);
+                held.expires_at = held.expires_at.max(expires_at);
             }
         }
         self.turns.insert(
@@ -80,7 +80,7 @@
             HeldTurn {
                 record: record.clone(),
                 segment,
-                until,
+                expires_at,
             },
         );
     }
@@ -103,15 +103,15 @@
             });
         held.oldest_segment = held.oldest_segment.min(segment);
         held.retention_ms = held.retention_ms.max(retention_ms);
-        held.until = held
-            .until
+        held.expires_at = held
+            .expires_at
             .max(now.plus(Duration::from_millis(held.retention_ms)));
         held.account.note(turn, spend);
     }
 
-    /// Forgets what was kept long enough.
+    /// Removes turns and accounts whose retention has passed.
     pub(crate) fn expire(&mut self, now: Timestamp) {
-        self.turns.retain(|_, held| held.until > now);
-        self.accounts.retain(|_, held| held.until > now);
+        self.turns.retain(|_, held| held.expires_at > now);
+        self.accounts.retain(|_, held| held.expires_at > now);
     }
 }
--- a/crates/turns/tests/accounts.rs
+++ b/crates/turns/tests/accounts.rs
@@ -1,4 +1,4 @@
-//! Accounts merge to the same total in whatever order words arrive.
+//! Accounts merge to the same total in whatever order records arrive.
 
 use luglink_turns::{Account, Spend, TurnId};
 use proptest::prelude::*;
@@ -11,9 +11,9 @@
     prop::collection::vec((0_u8..6, any::<bool>(), 0_u64..500), 0..24)
 }
 
-fn account(words: &[(u8, bool, u64)]) -> Account {
+fn account(records: &[(u8, bool, u64)]) -> Account {
     let mut account = Account::default();
-    for (number, settled, tokens) in words {
+    for (number, settled, tokens) in records {
         let spend = if *settled {
             Spend::Settled(*tokens)
         } else {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_end_of_a_turn_outlasts_its_beginning_whichever_comes_first() {
+fn a_settled_record_replaces_a_reserved_one_in_either_order() {
     let forward = account(&[(1, false, 288), (1, true, 45)]);
     let backward = account(&[(1, true, 45), (1, false, 288)]);
     assert_eq!(forward.total(), 45);
@@ -33,15 +33,15 @@
 }
 
 #[test]
-fn a_turn_that_gave_nothing_costs_nothing() {
+fn a_turn_settled_with_zero_tokens_costs_nothing() {
     assert_eq!(account(&[(1, false, 288), (1, true, 0)]).total(), 0);
 }
 
 #[test]
-fn a_program_has_begun_once_another_turn_took_or_holds_something() {
+fn a_turn_is_the_first_unless_another_one_has_spent_or_reserved_tokens() {
     assert!(Account::default().is_begun_by(&turn(1)));
     assert!(account(&[(1, false, 288)]).is_begun_by(&turn(1)));
-    // A turn that was refused or failed before it generated anything began nothing.
+    // A turn that was refused, or failed before it generated a token, does not count.
     assert!(account(&[(1, false, 288), (2, true, 0)]).is_begun_by(&turn(1)));
     assert!(!account(&[(1, false, 288), (2, true, 9)]).is_begun_by(&turn(1)));
     assert!(!account(&[(1, false, 288), (2, false, 288)]).is_begun_by(&turn(1)));
@@ -49,18 +49,18 @@
 
 proptest! {
     #[test]
-    fn order_and_repetition_do_not_matter(words in spends(), again in spends()) {
-        let mut left = account(&words);
-        left.merge(&account(&again));
-        left.merge(&account(&words));
-        let mut right = account(&again);
-        right.merge(&account(&words));
+    fn order_and_repetition_do_not_matter(first in spends(), second in spends()) {
+        let mut left = account(&first);
+        left.merge(&account(&second));
+        left.merge(&account(&first));
+        let mut right = account(&second);
+        right.merge(&account(&first));
         prop_assert_eq!(left, right);
     }
 
     #[test]
-    fn notes_that_change_nothing_say_so(words in spends()) {
-        let mut known = account(&words);
+    fn repeated_records_report_no_change(records in spends()) {
+        let mut known = account(&records);
         let spends: Vec<(TurnId, Spend)> =
             known.spends().map(|(turn, spend)| (turn.clone(), spend)).collect();
         for (turn, spend) in spends {
--- a/crates/turns/tests/admission.rs
+++ b/crates/turns/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Turns that race for one budget, over stores that hear of them in any order.
+//! Admission of concurrent turns against one budget, with writes in any order at the stores.
 
 use luglink_turns::{Account, Admission, Spend, TurnId};
 use proptest::prelude::*;
@@ -7,18 +7,18 @@
 const QUORUM: usize = 2;
 const CEILING: u64 = 10;
 
-/// What a writer does next.
+/// Writer that reserves tokens for one turn and decides on its admission.
 #[derive(Clone, Debug)]
 struct Writer {
     turn: TurnId,
-    /// Stores in the order in which they hear of it.
+    /// Stores in the order in which the writes reach them.
     order: Vec<usize>,
     written: usize,
     seen: Account,
-    /// Stores that it reads at a second look, once it has to.
-    second_look: Option<Vec<usize>>,
+    /// Stores that the second read has not reached yet, if a second read is needed.
+    second_read: Option<Vec<usize>>,
     reads: Vec<usize>,
-    verdict: Option<Admission>,
+    decision: Option<Admission>,
 }
 
 impl Writer {
@@ -28,20 +28,20 @@
             order,
             written: 0,
             seen: Account::default(),
-            second_look: None,
+            second_read: None,
             reads,
-            verdict: None,
+            decision: None,
         }
     }
 
-    /// One message: a write reaches a store, or a read does.
+    /// Delivers one message: a write or a read reaches a store.
     fn step(&mut self, stores: &mut [Account], budget: u64) {
-        if let Some(reads) = &mut self.second_look {
+        if let Some(reads) = &mut self.second_read {
             let Some(store) = reads.pop() else { return };
             self.seen.merge(&stores[store]);
             if reads.is_empty() {
                 let total = self.seen.total();
-                self.verdict = Some(Admission::at_second_look(total, budget));
+                self.decision = Some(Admission::at_second_look(total, budget));
             }
             return;
         }
@@ -56,17 +56,17 @@
         }
         self.seen.merge(&stores[store]);
         if self.written == QUORUM {
-            self.judge(budget);
+            self.decide(budget);
         }
     }
 
-    fn judge(&mut self, budget: u64) {
+    fn decide(&mut self, budget: u64) {
         match Admission::at_first_look(self.seen.total(), CEILING, budget) {
             Admission::LookAgain => {
                 let reads = self.reads.iter().copied().take(QUORUM);
-                self.second_look = Some(reads.collect());
+                self.second_read = Some(reads.collect());
             }
-            verdict => self.verdict = Some(verdict),
+            decision => self.decision = Some(decision),
         }
     }
 }
@@ -90,7 +90,7 @@
         let writer = index.index(writers.len());
         writers[writer].step(&mut stores, budget);
     }
-    // Whoever is not through yet ends one after the other.
+    // The remaining writers finish one after the other.
     for writer in &mut writers {
         for _ in 0..2 * STORES {
             writer.step(&mut stores, budget);
@@ -98,13 +98,14 @@
     }
     let admitted = writers
         .iter()
-        .filter(|writer| writer.verdict == Some(Admission::Admit));
+        .filter(|writer| writer.decision == Some(Admission::Admit));
     admitted.count() as u64 * CEILING
 }
 
-/// Each of three sees just one other: one look would let all of them through.
+/// Guards against admission after a single read: each of three writers sees only one other, so
+/// that after the first read all of them would be admitted.
 #[test]
-fn three_that_see_each_other_in_a_circle_do_not_all_pass() {
+fn three_turns_that_see_each_other_in_a_cycle_are_not_all_admitted() {
     let writers = vec![
         (vec![0, 1, 2], vec![0, 1]),
         (vec![1, 2, 0], vec![1, 2]),
@@ -122,8 +123,8 @@
             writer.step(&mut stores, budget);
         }
     }
-    let first_looks: Vec<u64> = writers.iter().map(|writer| writer.seen.total()).collect();
-    assert!(first_looks.iter().any(|total| *total <= budget));
+    let first_reads: Vec<u64> = writers.iter().map(|writer| writer.seen.total()).collect();
+    assert!(first_reads.iter().any(|total| *total <= budget));
     for _ in 0..2 * STORES {
         for writer in &mut writers {
             writer.step(&mut stores, budget);
@@ -131,7 +132,7 @@
     }
     let admitted = writers
         .iter()
-        .filter(|writer| writer.verdict == Some(Admission::Admit));
+        .filter(|writer| writer.decision == Some(Admission::Admit));
     assert!(admitted.count() as u64 * CEILING <= budget);
 }
 
@@ -139,7 +140,7 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn turns_that_race_never_pass_the_budget_together(
+    fn concurrent_turns_never_exceed_the_budget_together(
         writers in prop::collection::vec((order(), order()), 1..=9),
         schedule in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
         turns in 0_u64..9,
--- a/crates/turns/tests/golden.rs
+++ b/crates/turns/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Messages and journals of an earlier build are read, and it reads today's.
+//! Compatibility of messages and journals with earlier builds, in both directions.
 
 #[path = "../../wire/tests/support/golden.rs"]
 mod golden;
@@ -142,7 +142,7 @@
     golden.finish();
 }
 
-/// An entry of the journal, as it is on disk.
+/// Copy of the journal entry's layout on disk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Entry {
     Turn(TurnRecord),
@@ -204,7 +204,7 @@
     StoreNode::start(config(), disk, 7, at(1)).expect("the store starts")
 }
 
-fn ask(node: &mut StoreNode<MemoryDisk>, request: StoreRequest) -> StoreResponse {
+fn send(node: &mut StoreNode<MemoryDisk>, request: StoreRequest) -> StoreResponse {
     let (client, request_number) = (1, 1);
     let token = RequestToken {
         client,
@@ -216,7 +216,7 @@
         Output::Reply { response, .. } => Some(*response),
         Output::HandOver { .. } => None,
     });
-    replies.next().expect("an answer")
+    replies.next().expect("a reply")
 }
 
 #[test]
@@ -229,13 +229,13 @@
     let mut node = start(disk);
     assert_eq!(node.incarnation(), 5);
     assert_eq!(node.handed_over_epoch(), view().epoch);
-    let account = ask(&mut node, StoreRequest::Account(program()));
+    let account = send(&mut node, StoreRequest::Account(program()));
     let StoreResponse::Account(account) = account else {
         panic!("expected an account, got {account:?}");
     };
     assert_eq!(account.spend_of(&turn("u")), Some(Spend::Reserved(300)));
-    let wish = ChainWish { turn: turn("t") };
-    let chain = ask(&mut node, StoreRequest::Lookup(wish));
+    let query = ChainWish { turn: turn("t") };
+    let chain = send(&mut node, StoreRequest::Lookup(query));
     let StoreResponse::Chain(Chain::Found { turn: found, .. }) = chain else {
         panic!("expected the turn, got {chain:?}");
     };
@@ -249,7 +249,7 @@
     assert_eq!(to_hex(&written), to_hex(golden.bytes("log")));
 }
 
-/// A log of one batch.
+/// Encodes a journal that contains one batch.
 fn batch(payload: &[u8]) -> Vec<u8> {
     let mut disk = MemoryDisk::new();
     let (mut wal, _) = Wal::open(&mut disk, WalConfig::default()).unwrap();
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn an_earlier_build_reads_what_this_one_writes_into_its_journal() {
+fn an_earlier_build_can_read_the_journal_of_this_one() {
     let mut node = start(MemoryDisk::new());
     let keep = requests().into_iter().filter(|request| {
         matches!(
@@ -267,7 +267,7 @@
         )
     });
     for request in keep {
-        ask(&mut node, request);
+        send(&mut node, request);
     }
     let mut disk = node.into_disk();
     let identity: u64 = postcard::from_bytes(&disk.read(IDENTITY).unwrap()).unwrap();
@@ -285,9 +285,9 @@
 }
 
 #[test]
-fn a_journal_with_an_entry_of_a_newer_build_is_refused_and_stays_as_it_is() {
+fn a_journal_with_an_entry_of_a_newer_build_is_rejected_and_not_modified() {
     let mut payload = postcard::to_stdvec(&entries()).unwrap();
-    // One more entry, of a kind that is not known.
+    // Append an entry of an unknown kind.
     payload[0] += 1;
     payload.push(3);
     let folder = tempfile::tempdir().unwrap();
--- a/crates/turns/tests/quota.rs
+++ b/crates/turns/tests/quota.rs
@@ -1,4 +1,4 @@
-//! A store gives out quotas, also after a restart.
+//! Quota grants of a store before and after a restart.
 
 use luglink_fleet::{StoreCommand, StoreName, StoreRegistry, StoreView};
 use luglink_quota::{Limit, Purpose, QuotaRequest, QuotaResponse, Tolerance};
@@ -45,12 +45,12 @@
     registry.view().clone()
 }
 
-fn ask(node: &mut StoreNode<MemoryDisk>, now: Timestamp) -> QuotaResponse {
+fn request_quota(node: &mut StoreNode<MemoryDisk>, now: Timestamp) -> QuotaResponse {
     let token = RequestToken {
         client: 1,
         request: 1,
     };
-    let ask = QuotaRequest {
+    let request = QuotaRequest {
         tenant: TenantName::from("tenant"),
         limit: Limit {
             version: 1,
@@ -59,31 +59,31 @@
         },
         purpose: Purpose::Continues,
     };
-    node.handle(token, StoreRequest::Quota(ask), now);
+    node.handle(token, StoreRequest::Quota(request), now);
     let mut replies = node.flush().into_iter().filter_map(|output| match output {
         Output::Reply { response, .. } => Some(*response),
         Output::HandOver { .. } => None,
     });
     match replies.next() {
-        Some(StoreResponse::Quota(answer)) => answer,
-        other => panic!("expected a quota's answer, got {other:?}"),
+        Some(StoreResponse::Quota(response)) => response,
+        other => panic!("expected a quota response, got {other:?}"),
     }
 }
 
 #[test]
-fn a_store_that_starts_again_owns_what_its_disk_says_that_it_owned() {
+fn a_restarted_store_owns_the_quotas_of_the_view_on_its_disk() {
     let mut node = start(MemoryDisk::default(), at(1));
     node.set_view(view(), at(2));
     node.note_leader_contact(at(9));
-    assert_eq!(ask(&mut node, at(9)), QuotaResponse::Granted);
-    // The members tell a store its view only when it lacks it.
+    assert_eq!(request_quota(&mut node, at(9)), QuotaResponse::Granted);
+    // Members do not send the view to a store that already has it.
     let mut node = start(node.into_disk(), at(10));
     assert_eq!(node.epoch(), view().epoch);
     node.note_leader_contact(at(10));
     assert!(matches!(
-        ask(&mut node, at(10)),
+        request_quota(&mut node, at(10)),
         QuotaResponse::Denied { .. }
     ));
     node.note_leader_contact(at(12));
-    assert_eq!(ask(&mut node, at(12)), QuotaResponse::Granted);
+    assert_eq!(request_quota(&mut node, at(12)), QuotaResponse::Granted);
 }
--- a/crates/turns/tests/store.rs
+++ b/crates/turns/tests/store.rs
@@ -1,4 +1,4 @@
-//! A store and its disk: what survives, what is refused, and what is handed over.
+//! Durability of a store, its behaviour on disk errors, and the hand-over between stores.
 
 use luglink_fleet::{BackendId, StoreCommand, StoreName, StoreRegistry, StoreView};
 use luglink_quota::Tolerance;
@@ -22,14 +22,14 @@
     Timestamp::from_millis(seconds * 1_000)
 }
 
-fn start(text: &str, disk: MemoryDisk, fresh: u64) -> StoreNode<MemoryDisk> {
-    start_with(text, disk, fresh, 1 << 20)
+fn start(text: &str, disk: MemoryDisk, new_incarnation: u64) -> StoreNode<MemoryDisk> {
+    start_with(text, disk, new_incarnation, 1 << 20)
 }
 
 fn start_with(
     text: &str,
     disk: MemoryDisk,
-    fresh: u64,
+    new_incarnation: u64,
     segment_bytes: u64,
 ) -> StoreNode<MemoryDisk> {
     let config = StoreConfig {
@@ -42,7 +42,7 @@
             slack: 0.0,
         },
     };
-    StoreNode::start(config, disk, fresh, at(1)).expect("the store starts")
+    StoreNode::start(config, disk, new_incarnation, at(1)).expect("the store starts")
 }
 
 fn record(id: &str, program: &str, ancestors: &[&str]) -> TurnRecord {
@@ -60,11 +60,11 @@
     }
 }
 
-/// Of a writer that knows the newest view.
-const CURRENT: u64 = u64::MAX;
+/// Epoch of a writer that has the newest view.
+const CURRENT_EPOCH: u64 = u64::MAX;
 
 fn keep(record: TurnRecord, tokens: u64) -> StoreRequest {
-    keep_at(CURRENT, record, tokens)
+    keep_at(CURRENT_EPOCH, record, tokens)
 }
 
 fn keep_at(epoch: u64, record: TurnRecord, tokens: u64) -> StoreRequest {
@@ -78,7 +78,7 @@
 
 fn reserve(program: &str, turn: &str, tokens: u64) -> StoreRequest {
     StoreRequest::Spend {
-        epoch: CURRENT,
+        epoch: CURRENT_EPOCH,
         program: ProgramName(program.to_owned()),
         turn: TurnId(turn.to_owned()),
         spend: Spend::Reserved(tokens),
@@ -88,7 +88,7 @@
     }
 }
 
-fn ask(node: &mut StoreNode<MemoryDisk>, request: StoreRequest, now: Timestamp) -> StoreResponse {
+fn send(node: &mut StoreNode<MemoryDisk>, request: StoreRequest, now: Timestamp) -> StoreResponse {
     let token = RequestToken {
         client: 1,
         request: 1,
@@ -99,14 +99,14 @@
         Output::Reply { response, .. } => Some(*response),
         Output::HandOver { .. } => None,
     });
-    replies.next().expect("an answer")
+    replies.next().expect("a reply")
 }
 
 fn lookup(node: &mut StoreNode<MemoryDisk>, id: &str, now: Timestamp) -> Chain {
-    let wish = ChainWish {
+    let query = ChainWish {
         turn: TurnId(id.to_owned()),
     };
-    match ask(node, StoreRequest::Lookup(wish), now) {
+    match send(node, StoreRequest::Lookup(query), now) {
         StoreResponse::Chain(chain) => chain,
         other => panic!("expected a chain, got {other:?}"),
     }
@@ -114,7 +114,7 @@
 
 fn account(node: &mut StoreNode<MemoryDisk>, program: &str) -> Account {
     let request = StoreRequest::Account(ProgramName(program.to_owned()));
-    match ask(node, request, at(2)) {
+    match send(node, request, at(2)) {
         StoreResponse::Account(account) => account,
         other => panic!("expected an account, got {other:?}"),
     }
@@ -125,16 +125,16 @@
 }
 
 #[test]
-fn what_was_acknowledged_survives_a_loss_of_power() {
+fn acknowledged_writes_survive_a_power_failure() {
     let mut node = start("a", MemoryDisk::default(), 7);
-    ask(&mut node, reserve("p", "t1", 100), at(2));
-    ask(&mut node, keep(record("t1", "p", &[]), 45), at(2));
-    ask(&mut node, keep(record("t2", "p", &["t1"]), 9), at(3));
-    ask(&mut node, reserve("p", "t3", 100), at(3));
+    send(&mut node, reserve("p", "t1", 100), at(2));
+    send(&mut node, keep(record("t1", "p", &[]), 45), at(2));
+    send(&mut node, keep(record("t2", "p", &["t1"]), 9), at(3));
+    send(&mut node, reserve("p", "t3", 100), at(3));
     let mut disk = node.into_disk();
     disk.crash(CrashDamage::LoseUnsynced);
     let mut node = start("a", disk, 8);
-    assert_eq!(node.incarnation(), 7, "the disk keeps its name");
+    assert_eq!(node.incarnation(), 7, "the disk keeps its incarnation");
     assert_eq!(account(&mut node, "p").total(), 45 + 9 + 100);
     match lookup(&mut node, "t2", at(3)) {
         Chain::Found { turn, ancestors } => {
@@ -148,8 +148,8 @@
 #[test]
 fn a_chain_is_kept_as_long_as_its_newest_turn() {
     let mut node = start("a", MemoryDisk::default(), 7);
-    ask(&mut node, keep(record("t1", "p", &[]), 1), at(2));
-    ask(&mut node, keep(record("t2", "p", &["t1"]), 1), at(50));
+    send(&mut node, keep(record("t1", "p", &[]), 1), at(2));
+    send(&mut node, keep(record("t2", "p", &["t1"]), 1), at(50));
     node.tick(at(100));
     assert!(is_found(&lookup(&mut node, "t1", at(100))));
     node.tick(at(111));
@@ -158,17 +158,20 @@
 }
 
 #[test]
-fn the_replica_of_the_last_turn_is_told_with_the_next_one() {
+fn the_response_to_a_turn_names_the_replica_of_the_previous_one() {
     let mut node = start("a", MemoryDisk::default(), 7);
     let replica = BackendId("replica".to_owned());
-    let told =
-        |node: &mut StoreNode<MemoryDisk>, request: StoreRequest| match ask(node, request, at(2)) {
-            StoreResponse::Spent { served_by, .. } => served_by,
-            other => panic!("expected an account, got {other:?}"),
-        };
-    assert_eq!(told(&mut node, reserve("p", "t1", 100)), None);
+    let hint = |node: &mut StoreNode<MemoryDisk>, request: StoreRequest| match send(
+        node,
+        request,
+        at(2),
+    ) {
+        StoreResponse::Spent { served_by, .. } => served_by,
+        other => panic!("expected an account, got {other:?}"),
+    };
+    assert_eq!(hint(&mut node, reserve("p", "t1", 100)), None);
     let settled = StoreRequest::Spend {
-        epoch: CURRENT,
+        epoch: CURRENT_EPOCH,
         program: ProgramName("p".to_owned()),
         turn: TurnId("t1".to_owned()),
         spend: Spend::Settled(45),
@@ -176,47 +179,47 @@
         chain: None,
         served_by: Some(replica.clone()),
     };
-    told(&mut node, settled);
-    let next = told(&mut node, reserve("p", "t2", 100));
+    hint(&mut node, settled);
+    let next = hint(&mut node, reserve("p", "t2", 100));
     assert_eq!(next, Some(replica));
-    assert_eq!(told(&mut node, reserve("q", "t3", 100)), None);
-    // It is a hint and goes with the process.
+    assert_eq!(hint(&mut node, reserve("q", "t3", 100)), None);
+    // The replica is a hint that is lost with the process.
     let mut node = start("a", node.into_disk(), 8);
-    assert_eq!(told(&mut node, reserve("p", "t4", 100)), None);
+    assert_eq!(hint(&mut node, reserve("p", "t4", 100)), None);
 }
 
 #[test]
-fn a_full_disk_refuses_writes_and_loses_nothing() {
+fn on_a_full_disk_writes_fail_and_stored_turns_remain() {
     let mut node = start("a", MemoryDisk::default(), 7);
-    ask(&mut node, keep(record("t1", "p", &[]), 1), at(2));
+    send(&mut node, keep(record("t1", "p", &[]), 1), at(2));
     node.disk_mut().set_full(true);
-    let refused = ask(&mut node, keep(record("t2", "p", &["t1"]), 1), at(3));
-    assert!(matches!(refused, StoreResponse::Failed { .. }));
-    assert!(is_found(&lookup(&mut node, "t1", at(3))), "reads go on");
+    let failed = send(&mut node, keep(record("t2", "p", &["t1"]), 1), at(3));
+    assert!(matches!(failed, StoreResponse::Failed { .. }));
+    assert!(is_found(&lookup(&mut node, "t1", at(3))), "reads succeed");
     assert!(!is_found(&lookup(&mut node, "t2", at(3))));
     node.disk_mut().set_full(false);
-    let taken = ask(&mut node, keep(record("t3", "p", &["t1"]), 1), at(4));
-    assert_eq!(taken, StoreResponse::Done);
+    let accepted = send(&mut node, keep(record("t3", "p", &["t1"]), 1), at(4));
+    assert_eq!(accepted, StoreResponse::Done);
     let mut node = start("a", node.into_disk(), 8);
     assert!(is_found(&lookup(&mut node, "t1", at(5))));
     assert!(is_found(&lookup(&mut node, "t3", at(5))));
 }
 
 #[test]
-fn old_segments_go_and_what_still_counts_stays() {
+fn compaction_removes_old_segments_and_keeps_live_entries() {
     let mut node = start_with("a", MemoryDisk::default(), 7, 2_000);
-    ask(&mut node, reserve("long", "first", 33), at(2));
+    send(&mut node, reserve("long", "first", 33), at(2));
     for number in 0..200 {
         let id = format!("t{number}");
-        ask(&mut node, keep(record(&id, "p", &[]), 1), at(2 + number));
+        send(&mut node, keep(record(&id, "p", &[]), 1), at(2 + number));
     }
     let disk = node.into_disk();
     let mut node = start_with("a", disk, 8, 2_000);
     assert!(is_found(&lookup(&mut node, "t199", at(201))));
     assert!(is_found(&lookup(&mut node, "t150", at(201))));
     let request = reserve("long", "second", 10);
-    let StoreResponse::Spent { account, .. } = ask(&mut node, request, at(30)) else {
-        panic!("the reservation is refused");
+    let StoreResponse::Spent { account, .. } = send(&mut node, request, at(30)) else {
+        panic!("the reservation failed");
     };
     assert!(account.total() >= 10);
 }
@@ -239,14 +242,14 @@
     }
 }
 
-/// Stores that hand over to each other until nothing is due.
+/// Stores that exchange hand-over messages until none is left.
 struct Stores(BTreeMap<StoreName, StoreNode<MemoryDisk>>);
 
 impl Stores {
     fn start(names: &[(&str, u64)]) -> Self {
         let nodes = names
             .iter()
-            .map(|(text, fresh)| (name(text), start(text, MemoryDisk::default(), *fresh)));
+            .map(|(text, disk)| (name(text), start(text, MemoryDisk::default(), *disk)));
         Self(nodes.collect())
     }
 
@@ -276,9 +279,9 @@
                     let Some(receiver) = self.0.get_mut(&to) else {
                         continue;
                     };
-                    assert_eq!(ask(receiver, *request, now), StoreResponse::Done);
+                    assert_eq!(send(receiver, *request, now), StoreResponse::Done);
                     let sender = self.0.get_mut(&from).unwrap();
-                    sender.on_hand_over_taken(&to, number, now);
+                    sender.on_hand_over_acknowledged(&to, number, now);
                 }
             }
         }
@@ -290,16 +293,16 @@
 }
 
 #[test]
-fn a_store_with_an_empty_disk_is_filled_by_the_others() {
+fn a_store_with_an_empty_disk_receives_records_from_the_others() {
     let mut registry = view_of(&[("a", 1), ("b", 2), ("c", 3)]);
     let mut stores = Stores::start(&[("a", 1), ("b", 2), ("c", 3)]);
     stores.set_view(registry.view(), at(1));
-    // Only a and b have the turn; b has lost the reservation.
-    ask(stores.node("a"), keep(record("t1", "p", &[]), 45), at(2));
-    ask(stores.node("b"), keep(record("t1", "p", &[]), 45), at(2));
-    ask(stores.node("a"), reserve("p", "t2", 100), at(2));
-    ask(stores.node("c"), reserve("p", "t2", 100), at(2));
-    // c comes back with an empty disk.
+    // Only a and b have the turn, and b does not have the reservation.
+    send(stores.node("a"), keep(record("t1", "p", &[]), 45), at(2));
+    send(stores.node("b"), keep(record("t1", "p", &[]), 45), at(2));
+    send(stores.node("a"), reserve("p", "t2", 100), at(2));
+    send(stores.node("c"), reserve("p", "t2", 100), at(2));
+    // c restarts with an empty disk.
     stores
         .0
         .insert(name("c"), start("c", MemoryDisk::default(), 9));
@@ -314,7 +317,7 @@
 }
 
 #[test]
-fn a_store_that_leaves_hands_everything_over_first() {
+fn a_retiring_store_hands_over_all_records_first() {
     let names = [("a", 1), ("b", 2), ("c", 3), ("d", 4)];
     let mut registry = view_of(&names);
     let mut stores = Stores::start(&names);
@@ -324,12 +327,12 @@
         let program = format!("p{number}");
         let id = format!("t{number}");
         let owners = replication.owners(registry.view(), &program);
-        // The fewest stores that make it count, the one that leaves among them if it owns it.
+        // Write to a minimal quorum that includes the retiring store if it is an owner.
         let mut holders: Vec<&StoreName> = owners.iter().collect();
         holders.sort_by_key(|owner| **owner != name("a"));
         for holder in &holders[..replication.quorum()] {
             let node = stores.0.get_mut(holder).unwrap();
-            ask(node, keep(record(&id, &program, &[]), 1), at(2));
+            send(node, keep(record(&id, &program, &[]), 1), at(2));
         }
     }
     registry.apply(&StoreCommand::Retire {
@@ -349,11 +352,11 @@
 }
 
 #[test]
-fn a_hand_over_that_is_not_acknowledged_is_sent_again_and_late_words_are_passed_over() {
+fn an_unacknowledged_hand_over_is_sent_again_and_late_acknowledgements_are_ignored() {
     let mut registry = view_of(&[("a", 1), ("b", 2), ("c", 3)]);
     let mut node = start("a", MemoryDisk::default(), 1);
     node.set_view(registry.view().clone(), at(1));
-    ask(&mut node, keep(record("t1", "p", &[]), 1), at(1));
+    send(&mut node, keep(record("t1", "p", &[]), 1), at(1));
     registry.apply(&join("b", 9, false));
     node.set_view(registry.view().clone(), at(2));
     let numbers = |outputs: Vec<Output>| -> Vec<u64> {
@@ -366,31 +369,31 @@
     let first = numbers(node.flush());
     assert_eq!(first.len(), 1);
     node.tick(at(2).plus(Duration::from_millis(100)));
-    assert!(numbers(node.flush()).is_empty(), "it is still under way");
+    assert!(numbers(node.flush()).is_empty(), "not timed out yet");
     node.tick(at(4));
     let second = numbers(node.flush());
     assert_eq!(second.len(), 1);
-    node.on_hand_over_taken(&name("b"), first[0], at(4));
+    node.on_hand_over_acknowledged(&name("b"), first[0], at(4));
     node.flush();
-    // Both messages, the turns and the accounts, are still to be acknowledged.
-    node.on_hand_over_taken(&name("b"), second[0], at(4));
+    // The messages with the turns and with the accounts are both unacknowledged.
+    node.on_hand_over_acknowledged(&name("b"), second[0], at(4));
     let mut acknowledged = 1;
     while node.handed_over_epoch() < registry.view().epoch {
         let sent = numbers(node.flush());
         if let Some(number) = sent.first() {
-            node.on_hand_over_taken(&name("b"), *number, at(4));
+            node.on_hand_over_acknowledged(&name("b"), *number, at(4));
             acknowledged += 1;
         }
     }
-    assert_eq!(acknowledged, 2, "the late word counted as one");
+    assert_eq!(acknowledged, 2, "the late acknowledgement was counted");
 }
 
 #[test]
-fn turns_that_a_store_has_taken_are_not_sent_again_when_the_view_changes_meanwhile() {
+fn acknowledged_turns_are_not_sent_again_if_the_view_changes_during_the_hand_over() {
     let mut registry = view_of(&[("a", 1), ("b", 2), ("c", 3)]);
     let mut node = start("a", MemoryDisk::default(), 1);
     node.set_view(registry.view().clone(), at(1));
-    ask(&mut node, keep(record("t1", "p", &[]), 1), at(1));
+    send(&mut node, keep(record("t1", "p", &[]), 1), at(1));
     let sent_to_b = |node: &mut StoreNode<MemoryDisk>| -> Vec<(u64, usize)> {
         let outputs = node.flush().into_iter();
         let messages = outputs.filter_map(|output| match output {
@@ -410,14 +413,14 @@
     node.set_view(registry.view().clone(), at(2));
     let first = sent_to_b(&mut node);
     assert_eq!(first.len(), 1);
-    assert_eq!(first[0].1, 1, "the turn goes first");
-    node.on_hand_over_taken(&name("b"), first[0].0, at(2));
-    // Another store changes before everything was handed over.
+    assert_eq!(first[0].1, 1, "the turn is sent first");
+    node.on_hand_over_acknowledged(&name("b"), first[0].0, at(2));
+    // Another store changes before the hand-over is complete.
     registry.apply(&join("c", 8, false));
     node.set_view(registry.view().clone(), at(3));
     let turns: usize = sent_to_b(&mut node).iter().map(|(_, turns)| turns).sum();
-    assert_eq!(turns, 0, "b has it on its disk");
-    // A disk that is lost has lost what it had taken.
+    assert_eq!(turns, 0, "b has the turn on its disk");
+    // A replaced disk does not have the acknowledged turns.
     registry.apply(&join("b", 10, false));
     node.set_view(registry.view().clone(), at(4));
     let turns: usize = sent_to_b(&mut node).iter().map(|(_, turns)| turns).sum();
@@ -425,13 +428,13 @@
 }
 
 #[test]
-fn a_write_under_an_older_view_is_passed_on() {
+fn a_write_under_an_older_view_is_forwarded_to_current_owners() {
     let mut registry = view_of(&[("a", 1), ("b", 2), ("c", 3)]);
     let mut stores = Stores::start(&[("a", 1), ("b", 2), ("c", 3), ("d", 4)]);
     stores.set_view(registry.view(), at(1));
     registry.apply(&join("d", 4, false));
     stores.set_view(registry.view(), at(2));
-    // Find a program that d owns now; a gateway that has not heard of d writes to a and b.
+    // Find a program that d owns now. A gateway with the older view writes to a and b only.
     let replication = Replication::surviving(1);
     let program = (0..)
         .map(|number| format!("p{number}"))
@@ -442,25 +445,25 @@
         .unwrap();
     let old_epoch = registry.view().epoch - 1;
     let written = keep_at(old_epoch, record("t1", &program, &[]), 1);
-    ask(stores.node("a"), written, at(3));
-    // What the first answer carried besides is lost; it is sent again.
+    send(stores.node("a"), written, at(3));
+    // `send` dropped the forwarded message, so it has to be sent again.
     stores.settle(at(5));
     assert!(is_found(&lookup(stores.node("d"), "t1", at(5))));
 }
 
 #[test]
-fn a_turn_is_denied_only_when_no_disk_that_counts_can_hold_it() {
+fn a_turn_is_absent_only_if_no_authoritative_disk_can_have_it() {
     let replication = Replication::surviving(1);
     let registry = view_of(&[("a", 1), ("b", 2), ("c", 3)]);
     let view = registry.view();
     let absent = |incarnation| Chain::Absent { incarnation };
     let mut absence = Absence::default();
     absence.note(view, &name("a"), &absent(1));
-    assert!(!absence.is_certain(view, replication), "one may lack it");
+    assert!(!absence.is_certain(view, replication), "one may have it");
     absence.note(view, &name("b"), &absent(77));
     assert!(
         !absence.is_certain(view, replication),
-        "an empty disk's word"
+        "a replaced disk is not authoritative"
     );
     absence.note(view, &name("b"), &absent(2));
     assert!(absence.is_certain(view, replication));
