--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -29,8 +29,8 @@
     pub idle_timeout_ms: u64,
 }
 
-/// Creates a program that `owner` owns. Repeating it with the same specification and claim
-/// does not create a second one.
+/// Creates a program that `owner` owns. Repeating it with the same specification does not create a
+/// second program; with a new claim it transfers the ownership.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CreateProgram {
     /// Identifier chosen by the daemon.
--- a/crates/program/src/store.rs
+++ b/crates/program/src/store.rs
@@ -21,8 +21,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Maximum number of ancestors of a program.
-const MAX_PARENT_DEPTH: usize = 32;
+/// Maximum number of programs on the path from a root program to a descendant.
+const MAX_NESTING_DEPTH: usize = 32;
 
 /// Pending release of an ended program's memory at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -121,10 +121,10 @@
                 "parent: a child program must have the same family as its parent",
             ));
         }
-        if self.lineage(parent).len() >= MAX_PARENT_DEPTH {
+        if self.lineage(parent).len() >= MAX_NESTING_DEPTH {
             return Err(Refusal::not_run(
                 RefusalCode::InvalidRequest,
-                format!("parent: nesting depth exceeds the limit of {MAX_PARENT_DEPTH}"),
+                format!("parent: nesting depth exceeds the limit of {MAX_NESTING_DEPTH}"),
             ));
         }
         let parent = self.active_mut(parent)?;
@@ -230,7 +230,7 @@
                 window,
             } => {
                 program.check_epoch(begin.epoch)?;
-                // The owner repeats the intent because the reply was lost, so the reply is repeated.
+                // The owner repeats the intent because its reply was lost: repeat the reply.
                 if epoch == begin.epoch && engine == begin.engine {
                     return Ok(Reply::Begun(Begun {
                         sequence: call.sequence,
@@ -544,7 +544,7 @@
         let mut lineage = Vec::new();
         let mut next = Some(id);
         while let Some(current) = next {
-            if lineage.len() > MAX_PARENT_DEPTH {
+            if lineage.len() > MAX_NESTING_DEPTH {
                 break;
             }
             lineage.push(current);
--- a/crates/store-server/src/server.rs
+++ b/crates/store-server/src/server.rs
@@ -328,7 +328,7 @@
         if view.epoch <= self.node.borrow().epoch() {
             return;
         }
-        tracing::info!(%member, epoch = view.epoch, stores = view.len(), "received a newer view of the stores");
+        tracing::info!(%member, epoch = view.epoch, stores = view.len(), "new view of the stores");
         self.peers.set_view(&view);
         self.node.borrow_mut().set_view(view, now());
         self.flush_needed.notify_one();
--- a/crates/turns/src/node.rs
+++ b/crates/turns/src/node.rs
@@ -334,7 +334,7 @@
     fn persist(&mut self, entries: &[Entry]) -> Result<(), TurnsError> {
         let changes: Vec<Entry> = entries
             .iter()
-            .filter(|entry| self.state.changes_state(entry))
+            .filter(|entry| self.state.is_changed_by(entry))
             .cloned()
             .collect();
         if changes.is_empty() {
--- a/crates/turns/src/state.rs
+++ b/crates/turns/src/state.rs
@@ -37,7 +37,7 @@
 
 impl State {
     /// Returns true if applying the entry would change the state.
-    pub(crate) fn changes_state(&self, entry: &Entry) -> bool {
+    pub(crate) fn is_changed_by(&self, entry: &Entry) -> bool {
         match entry {
             Entry::Turn(record) => !self.turns.contains_key(&record.id),
             Entry::Spend {
--- a/crates/turns/tests/store.rs
+++ b/crates/turns/tests/store.rs
@@ -247,9 +247,9 @@
 
 impl Stores {
     fn start(names: &[(&str, u64)]) -> Self {
-        let nodes = names
-            .iter()
-            .map(|(text, disk)| (name(text), start(text, MemoryDisk::default(), *disk)));
+        let nodes = names.iter().map(|(text, incarnation)| {
+            (name(text), start(text, MemoryDisk::default(), *incarnation))
+        });
         Self(nodes.collect())
     }
 
