--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -324,7 +324,7 @@
     if refund == RefundRule::Never {
         return call.reservation;
     }
-    if finish.class.spent_nothing() {
+    if finish.class.is_unprocessed() {
         // Retries stay charged, so that a flapping engine cannot be retried without limit.
         return call.reservation.minus(&call.ceiling);
     }
--- a/crates/program/src/rules.rs
+++ b/crates/program/src/rules.rs
@@ -104,7 +104,7 @@
 /// Computes the additional reservation for a retry. If an engine may have processed the failed
 /// attempt, that attempt stays charged besides the next one.
 pub(crate) fn retry_charge(call: &CallRecord, failed_as: OutcomeClass) -> Charge {
-    if failed_as.spent_nothing() {
+    if failed_as.is_unprocessed() {
         return ONE_RETRY;
     }
     let attempt = Charge {
@@ -123,7 +123,7 @@
 };
 
 pub(crate) fn executed_after(class: OutcomeClass) -> Executed {
-    if class.spent_nothing() {
+    if class.is_unprocessed() {
         Executed::No
     } else {
         Executed::Unknown
--- a/crates/turns/src/admission.rs
+++ b/crates/turns/src/admission.rs
@@ -10,34 +10,34 @@
 
 /// Decision after a read of a program's account that includes the turn's own reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum BudgetDecision {
     /// The turn may be sent.
     Admit,
     /// The budget is nearly exhausted, and concurrent reservations may not be visible yet. The
     /// account must be read again from a quorum now that the turn's own reservation is on a
     /// quorum. Of all concurrent turns, the one that reads last then sees every other.
-    LookAgain,
+    ReadAgain,
     /// The turn does not fit into the budget.
     Refuse,
 }
 
-impl Admission {
+impl BudgetDecision {
     /// Decides after the first read. `total` is the sum of the account, including the turn's own
     /// `ceiling`.
     #[must_use]
-    pub fn at_first_look(total: u64, ceiling: u64, budget: u64) -> Self {
+    pub fn after_first_read(total: u64, ceiling: u64, budget: u64) -> Self {
         if total > budget {
             return Self::Refuse;
         }
         if total + FIRST_READ_MARGIN_TURNS * ceiling <= budget {
             return Self::Admit;
         }
-        Self::LookAgain
+        Self::ReadAgain
     }
 
     /// Decides after the second read.
     #[must_use]
-    pub fn at_second_look(total: u64, budget: u64) -> Self {
+    pub fn after_second_read(total: u64, budget: u64) -> Self {
         if total > budget {
             Self::Refuse
         } else {
--- a/crates/turns/src/protocol.rs
+++ b/crates/turns/src/protocol.rs
@@ -8,7 +8,7 @@
 
 /// Query for a turn and its ancestors.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChainWish {
+pub struct ChainQuery {
     /// The turn.
     pub turn: TurnId,
 }
@@ -48,7 +48,7 @@
         /// Retention time of the account in milliseconds.
         retention_ms: u64,
         /// Chain to look up with the same request.
-        chain: Option<ChainWish>,
+        chain: Option<ChainQuery>,
         /// Replica that served the turn and has the program's prompt in its cache.
         served_by: Option<BackendId>,
     },
@@ -66,7 +66,7 @@
         carried: Vec<TurnRecord>,
     },
     /// Looks up a chain.
-    Lookup(ChainWish),
+    Lookup(ChainQuery),
     /// Transfers records that the receiver owns.
     HandOver {
         /// Turns.
--- a/crates/turns/src/replication.rs
+++ b/crates/turns/src/replication.rs
@@ -45,11 +45,11 @@
 
 /// Collects stores that do not have a turn until their number proves that no store has it.
 #[derive(Debug, Default)]
-pub struct Absence {
+pub struct AbsenceProof {
     stores_without_turn: BTreeSet<StoreName>,
 }
 
-impl Absence {
+impl AbsenceProof {
     /// Records a store's response. It counts only if the view shows that the store is not still
     /// being filled and that its disk was not replaced.
     pub fn note(&mut self, view: &StoreView, store: &StoreName, chain: &Chain) {
--- a/crates/turns/tests/admission.rs
+++ b/crates/turns/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Admission of concurrent turns against one budget, with writes in any order at the stores.
 
-use luglink_turns::{Account, Admission, Spend, TurnId};
+use luglink_turns::{Account, BudgetDecision, Spend, TurnId};
 use proptest::prelude::*;
 
 const STORES: usize = 3;
@@ -18,7 +18,7 @@
     /// Stores that the second read has not reached yet, if a second read is needed.
     second_read: Option<Vec<usize>>,
     reads: Vec<usize>,
-    decision: Option<Admission>,
+    decision: Option<BudgetDecision>,
 }
 
 impl Writer {
@@ -41,7 +41,7 @@
             self.seen.merge(&stores[store]);
             if reads.is_empty() {
                 let total = self.seen.total();
-                self.decision = Some(Admission::at_second_look(total, budget));
+                self.decision = Some(BudgetDecision::after_second_read(total, budget));
             }
             return;
         }
@@ -61,8 +61,8 @@
     }
 
     fn decide(&mut self, budget: u64) {
-        match Admission::at_first_look(self.seen.total(), CEILING, budget) {
-            Admission::LookAgain => {
+        match BudgetDecision::after_first_read(self.seen.total(), CEILING, budget) {
+            BudgetDecision::ReadAgain => {
                 let reads = self.reads.iter().copied().take(QUORUM);
                 self.second_read = Some(reads.collect());
             }
@@ -98,7 +98,7 @@
     }
     let admitted = writers
         .iter()
-        .filter(|writer| writer.decision == Some(Admission::Admit));
+        .filter(|writer| writer.decision == Some(BudgetDecision::Admit));
     admitted.count() as u64 * CEILING
 }
 
@@ -132,7 +132,7 @@
     }
     let admitted = writers
         .iter()
-        .filter(|writer| writer.decision == Some(Admission::Admit));
+        .filter(|writer| writer.decision == Some(BudgetDecision::Admit));
     assert!(admitted.count() as u64 * CEILING <= budget);
 }
 
--- a/crates/turns/tests/store.rs
+++ b/crates/turns/tests/store.rs
@@ -4,8 +4,8 @@
 use luglink_quota::Tolerance;
 use luglink_storage::{CrashDamage, MemoryDisk, WalConfig};
 use luglink_turns::{
-    Absence, Account, Chain, ChainWish, Output, ProgramName, Replication, RequestToken, Spend,
-    StoreConfig, StoreNode, StoreRequest, StoreResponse, TurnId, TurnRecord,
+    AbsenceProof, Account, Chain, ChainQuery, Output, ProgramName, Replication, RequestToken,
+    Spend, StoreConfig, StoreNode, StoreRequest, StoreResponse, TurnId, TurnRecord,
 };
 use luglink_types::Timestamp;
 use std::collections::BTreeMap;
@@ -103,7 +103,7 @@
 }
 
 fn lookup(node: &mut StoreNode<MemoryDisk>, id: &str, now: Timestamp) -> Chain {
-    let query = ChainWish {
+    let query = ChainQuery {
         turn: TurnId(id.to_owned()),
     };
     match send(node, StoreRequest::Lookup(query), now) {
@@ -457,7 +457,7 @@
     let registry = view_of(&[("a", 1), ("b", 2), ("c", 3)]);
     let view = registry.view();
     let absent = |incarnation| Chain::Absent { incarnation };
-    let mut absence = Absence::default();
+    let mut absence = AbsenceProof::default();
     absence.note(view, &name("a"), &absent(1));
     assert!(!absence.is_certain(view, replication), "one may have it");
     absence.note(view, &name("b"), &absent(77));
@@ -468,5 +468,5 @@
     absence.note(view, &name("b"), &absent(2));
     assert!(absence.is_certain(view, replication));
     let nobody = StoreView::default();
-    assert!(!Absence::default().is_certain(&nobody, replication));
+    assert!(!AbsenceProof::default().is_certain(&nobody, replication));
 }
