--- a/crates/scheduling/benches/pool.rs
+++ b/crates/scheduling/benches/pool.rs
@@ -1,7 +1,7 @@
-//! What a request and a change cost before ten replicas and before twenty thousand.
+//! Cost of a choice and of a list change with 100 to 20,000 replicas.
 //!
-//! `cargo bench -p luglink-scheduling`. Release build, median of each on one core of a shared machine; the
-//! figures of the code before the index and after it stand in `docs/CAPACITY.md`.
+//! Run with `cargo bench -p luglink-scheduling`. `docs/CAPACITY.md` lists the results: release
+//! build, median of each on one core of a shared machine.
 
 use divan::{Bencher, black_box};
 use luglink_fleet::{Backend, BackendId, BackendList, Incarnation, Sights};
@@ -12,7 +12,7 @@
 
 const ZONES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-/// Replicas that change at once while a service is replaced or emptied.
+/// Number of replicas that change at once while a service is replaced or emptied.
 const CHANGED: usize = 60;
 
 fn main() {
--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -1,16 +1,17 @@
-//! Which new programs are let in, by the memory and the slots that those under way need.
+//! Admission of new programs by the memory and slots that running programs need.
 //!
-//! Answers the load of more programs than the engines' memory holds. Programs that pause for
-//! their tools then lose their cached prompts, and the turns that read them again take the time
-//! of those that wait: overload feeds itself, and nearly nobody ends in time. So programs are let
-//! in while what those under way need until they end fits. This leads, since it counts a program
-//! from its beginning and not from when it makes others late, and it recovers as soon as programs
-//! end. Programs that have begun are not asked.
+//! A program that pauses for a tool call leaves its cached prompt in engine memory. If more
+//! programs run than the memory holds, paused programs lose their cached prompts, and reading these
+//! again takes time from the turns that wait: overload reinforces itself, and few programs end in
+//! time. New programs are therefore admitted only while the projected need of all running programs
+//! fits. The projection counts a program from its start instead of reacting to late answers, and
+//! recovers as soon as programs end. Programs that have started are not checked again.
 //!
-//! Each kind of request has a limit, lower the less urgent it is, and below the limit a range in
-//! which a falling share of its programs is let in, so that many gateways with the same view do
-//! not all open and close at once. A program's place in that share is drawn from its name, the
-//! same at each gateway; it falls with each refusal, so that who comes back goes before new ones.
+//! Each priority has a utilization limit, which is lower for less urgent priorities. Below the
+//! limit is a range in which a falling share of programs is admitted, so that gateways with the
+//! same view do not all open and close at once. A program's draw decides whether it is part of that
+//! share. The draw depends on the program's name and is the same at each gateway. Each refusal
+//! lowers it, so that returning programs go before new ones.
 
 use crate::program_table::OwnDemand;
 use crate::shares::TenantDemands;
@@ -19,93 +20,93 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Share of the engines' memory that programs may need: above it, differences between replicas
-/// make prompts give way at the fuller ones.
+/// Maximum share of the engines' memory or slots that programs may need. Above it, differences
+/// between replicas cause evictions at the fuller ones.
 const LIMIT: f64 = 0.95;
 
-/// Share of the limit from which some programs are refused.
+/// Fullness, relative to the limit, above which some programs are refused.
 const SHORT_FROM: f64 = 0.9;
 
-/// Share of the limit that is kept for each more urgent kind of request.
+/// Share of the limit that is reserved for each more urgent priority.
 const KEPT_FOR_URGENT: f64 = 0.17;
 
-/// Most kinds for which some is kept.
+/// Maximum number of more urgent priorities with a reserve.
 const MOST_URGENT_KINDS: usize = 3;
 
-/// Time for which room is kept for a kind after its last program.
+/// Time for which a priority keeps its reserve after its last program.
 const URGENT_MEMORY: Duration = Duration::from_secs(10);
 
-/// Share of the room that tenants do not get for what they ask beyond their fair share, so that
-/// they are refused before the others are.
+/// Share of the capacity that is withheld from tenants above their fair share, so that they are
+/// refused before others.
 const KEPT_FROM_EXCESS: f64 = 0.25;
 
-/// Share of its demand from which a tenant's fair share is near enough to it: a gateway sees so few
-/// programs of a tenant that chance makes some ask for twice as much as others.
+/// Share of its demand up to which the fair share of a tenant counts as exceeded. A gateway sees so
+/// few programs of each tenant that some ask for twice as much as others by chance.
 const EXCESS_SHARE: f64 = 0.5;
 
-/// Share of what all ask for to which the fair shares add up while room is short.
+/// Sum of the fair shares, relative to the total demand, while capacity is short.
 const SERVED_WHEN_SHORT: f64 = 0.85;
 
-/// What is left of a program's place after each refusal: one that was refused once is let in
-/// while a quarter of the new ones are.
+/// Factor on a program's draw for each refusal. After one refusal, a program is admitted as soon as
+/// a quarter of the new ones are.
 const PLACE_AFTER_REFUSAL: f64 = 0.25;
 
-/// Time for which a refused program is remembered: longer than callers are told to wait.
+/// Time for which a refused program is remembered; longer than the retry delays that callers get.
 const REFUSED_MEMORY: Duration = Duration::from_secs(10);
 
-/// Most refused programs that are remembered.
+/// Maximum number of refused programs that are remembered.
 const MOST_REFUSED: usize = 8_192;
 
-/// Shortest pause after a refusal: a round trip and some turns of others.
+/// Minimum retry delay after a refusal: a round trip and some turns of other programs.
 const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest pause after a refusal, in shares of the time that the caller has left: a later one
-/// would leave too little to be served in.
+/// Maximum retry delay relative to the caller's remaining time. A longer delay leaves too little
+/// time to be served.
 const LONGEST_PAUSE_SHARE: f64 = 1.0 / 3.0;
 
-/// Age from which the sum of the zone says nothing of the present.
+/// Age from which the zone's sum is stale.
 const STALE_AFTER: Duration = Duration::from_secs(2);
 
-/// Programs of this gateway from which its own count weighs as much as the sum of its zone: the
-/// sum is late by about a second, the own count is off by its square root.
+/// Number of local programs at which the local estimate weighs as much as the zone's sum. The sum
+/// lags by about a second; the error of the local count is its square root.
 const EVEN_TRUST: f64 = 256.0;
 
-/// The engines' room for the callers of one zone.
+/// Capacity of the engines for the callers of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Room {
-    /// Tokens of memory.
+    /// Memory in tokens.
     pub tokens: f64,
-    /// Requests that are worked on at once.
+    /// Number of requests served concurrently.
     pub slots: f64,
 }
 
-/// Requests that all gateways of the zone have under way.
+/// Requests in flight at all gateways of the zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneRequests {
-    /// How many.
+    /// Number of requests.
     pub requests: f64,
-    /// Time since the sum was told.
+    /// Time since the sum was received.
     pub age: Duration,
 }
 
-/// What the programs under way of all gateways of a zone need.
+/// Demand of the running programs of all gateways of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetDemand {
-    /// Tokens that they need in memory at once from now until they end.
+    /// Peak memory need in tokens from now until the programs end.
     pub tokens_under_way: f64,
-    /// Programs, those that pause included.
+    /// Number of programs, including paused ones.
     pub programs_under_way: f64,
-    /// Their turns under way.
+    /// Number of turns in flight.
     pub requests_under_way: f64,
-    /// Age of the oldest figure in it.
+    /// Age of the oldest figure in the estimate.
     pub age: Duration,
 }
 
 impl FleetDemand {
-    /// Estimates it from what one of `gateways` sees itself and from the requests of all of them.
-    /// Without a sum that is fresh the own figures are scaled, after taking their chance error
-    /// off: to refuse nobody by mistake goes before.
-    /// `usual` is the average of `own`.
+    /// Estimates the demand of all `gateways` from the local demand and the requests of the zone.
+    /// Without a fresh sum of the zone, the local demand is scaled by the number of gateways after
+    /// its statistical error is subtracted, because no program may be refused by mistake. `average`
+    /// is the average of `local`.
     #[must_use]
     pub fn estimate(
         own: OwnDemand,
@@ -138,38 +139,38 @@
     }
 }
 
-/// A program that has not begun.
+/// Program that asks to start.
 #[derive(Clone, Copy, Debug)]
 pub struct Newcomer<'request> {
-    /// Stands for the program, the same on each try and at each gateway.
+    /// Draw of the program, the same on each attempt and at each gateway.
     pub place: u64,
-    /// Its route.
+    /// Route of the program.
     pub route: &'request Route,
-    /// For whom it comes.
+    /// Tenant of the program.
     pub tenant: Option<&'request TenantName>,
-    /// Tokens of its first prompt.
+    /// Length of the first prompt in tokens.
     pub prompt_tokens: u64,
-    /// Time that its caller has left.
+    /// Remaining time of the caller.
     pub remaining: Duration,
-    /// Usual time from a program's beginning to its end.
+    /// Typical time from a program's start to its end.
     pub lifetime: Duration,
-    /// From 0 to 1; keeps those that are refused together from coming back together.
+    /// Random number from 0 to 1 that spreads the retries of programs that are refused together.
     pub spread: f64,
 }
 
-/// Why a program is refused.
+/// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShortOf {
-    /// The engines' memory.
+    /// Memory of the engines.
     Memory,
-    /// The engines' slots.
+    /// Slots of the engines.
     Slots,
-    /// Its tenant's fair share of either.
+    /// Fair share of the tenant.
     FairShare,
 }
 
 impl ShortOf {
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -180,48 +181,49 @@
     }
 }
 
-/// Whether a program may begin.
+/// Decision on whether a program may start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Entry {
-    /// What is too short, when it may not.
+    /// Reason for the refusal; `None` if the program is admitted.
     pub refused_for: Option<ShortOf>,
-    /// How full its kind's room is; above 1 nobody of the kind is let in.
+    /// Utilization relative to the limit of the priority; above 1 no program of the priority is
+    /// admitted.
     pub fullness: f64,
-    /// Share of its kind that is let in.
+    /// Share of the priority's programs that is admitted.
     pub share: f64,
-    /// Share of its tenant's programs that is let in.
+    /// Share of the tenant's programs that is admitted.
     pub tenant_share: f64,
-    /// When it may come back, if it is refused.
+    /// Time after which a refused program should retry.
     pub come_back: Duration,
 }
 
 impl Entry {
-    /// Whether fewer of its tenant's programs are let in than of others.
+    /// Returns true if a smaller share is admitted of this tenant's programs than of others.
     #[must_use]
     pub fn is_above_fair_share(&self) -> bool {
         self.tenant_share < self.share
     }
 }
 
-/// A program that was refused.
+/// Refusals of one program.
 #[derive(Clone, Copy, Debug)]
 struct Refused {
     times: i32,
     at: Timestamp,
 }
 
-/// Lets new programs of a service in.
+/// Admission control for the new programs of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ProgramIntake {
-    /// When each kind was last asked for.
+    /// Time of the last program of each priority.
     kinds: BTreeMap<u8, Timestamp>,
     refused: HashMap<u64, Refused>,
     tenants: BTreeMap<u8, TenantDemands>,
 }
 
 impl ProgramIntake {
-    /// Whether a program may begin. With `fair_shares`, who asks for more than its fair share is
-    /// refused before the others.
+    /// Decides whether a program may start. With `fair_shares`, tenants above their fair share are
+    /// refused before others.
     pub fn admit(
         &mut self,
         newcomer: &Newcomer<'_>,
@@ -244,7 +246,7 @@
         let tenant_share = self.tenant_share(newcomer, fullness, fair_shares, now);
         let drawn = drawn(newcomer.place);
         let place = drawn * self.favour(newcomer.place, now);
-        // Coming back helps nobody beyond a fair share.
+        // Earlier refusals give no precedence beyond the fair share.
         let is_admitted = if tenant_share < share {
             drawn < tenant_share
         } else {
@@ -266,7 +268,7 @@
         }
     }
 
-    /// Share of the room that a kind may need together with all that is under way.
+    /// Returns the maximum utilization for a priority, including everything in flight.
     fn limit(&self, priority: u8, now: Timestamp) -> f64 {
         let more_urgent = self.kinds.range(..priority);
         let lately = more_urgent.filter(|(_, seen)| now.since(**seen) < URGENT_MEMORY);
@@ -298,7 +300,7 @@
         share * fair.max(early)
     }
 
-    /// What is left of a program's place after its refusals.
+    /// Returns the factor on a program's draw for its earlier refusals.
     fn favour(&self, program: u64, now: Timestamp) -> f64 {
         let refused = self.refused.get(&program);
         let refused = refused.filter(|refused| now.since(refused.at) < REFUSED_MEMORY);
@@ -326,7 +328,7 @@
         refused.at = now;
     }
 
-    /// Forgets kinds that are not in force any more.
+    /// Removes priorities that no configured route has.
     pub fn keep_only(&mut self, configuration: &Configuration) {
         let priorities: Vec<u8> = configuration
             .routes
@@ -340,17 +342,18 @@
     }
 }
 
-/// Share of new programs that is let in at a fullness.
+/// Returns the share of new programs that is admitted at a fullness.
 fn share_at(fullness: f64) -> f64 {
     ((1.0 - fullness) / (1.0 - SHORT_FROM)).clamp(0.0, 1.0)
 }
 
-/// The place that a program has drawn, from 0 to below 1: the upper half of the draw.
+/// Returns a program's draw as a number from 0 to below 1, taken from its upper half.
 fn drawn(program: u64) -> f64 {
     (program >> 32) as f64 / 4_294_967_296.0
 }
 
-/// How full the room is with a newcomer in it; 0 where no room is known, since others decide then.
+/// Returns the utilization with the new program included, or 0 if the capacity is unknown, which
+/// leaves the decision to other checks.
 fn fullness(under_way: f64, own: f64, room: f64) -> f64 {
     if room <= 0.0 {
         return 0.0;
@@ -358,8 +361,8 @@
     (under_way + own) / room
 }
 
-/// When room is expected: programs end at the rate of one lifetime, until those that are too many
-/// have.
+/// Returns the expected time until capacity is free. Programs end at a rate of one per lifetime
+/// each, so that the excess is gone after its share of a lifetime.
 fn come_back(newcomer: &Newcomer<'_>, fullness: f64) -> Duration {
     let too_many = (1.0 - SHORT_FROM / fullness.max(SHORT_FROM)).max(0.0);
     let room_in = newcomer.lifetime.mul_f64(too_many);
--- a/crates/scheduling/src/answer_lengths.rs
+++ b/crates/scheduling/src/answer_lengths.rs
@@ -1,30 +1,30 @@
-//! How many events the answers of each route have, learned from those that ended.
+//! Mean answer length of each route, learned from complete answers.
 //!
-//! What a slow replica costs a request depends on how many events it waits for there; callers only
-//! name the most that they take, which few answers reach.
+//! The cost of a slow replica depends on how many events a request waits for. Callers only name a
+//! maximum, which few answers reach.
 
 use std::collections::HashMap;
 
-/// Weight of a new answer in its route's mean: the last few dozen count.
+/// Weight of a new answer in the mean of its route, which covers the last few dozen answers.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Share of the most tokens that an answer has, while nothing is known of its route.
+/// Assumed length relative to the maximum while no answer of the route is known.
 const USUAL_SHARE: f64 = 0.5;
 
-/// Events of an answer when neither its route's answers nor its most tokens are known.
+/// Assumed number of events while neither an answer of the route nor a maximum is known.
 const USUAL_EVENTS: f64 = 10.0;
 
-/// Routes that are remembered at the most.
+/// Maximum number of routes that are tracked.
 const MAX_ROUTES: usize = 1_024;
 
-/// The mean length of each route's answers.
+/// Mean answer length of each route, in events.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerLengths {
     events: HashMap<String, f64>,
 }
 
 impl AnswerLengths {
-    /// Notes an answer that ended as complete.
+    /// Records the length of a complete answer.
     pub fn note(&mut self, route: &str, events: u64) {
         let sample = events as f64;
         if let Some(mean) = self.events.get_mut(route) {
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Events that an answer is expected to have, when it may have `most_tokens` at the most; 0
-    /// when the caller did not say.
+    /// Returns the expected number of events in an answer of at most `max_tokens` tokens; 0 means
+    /// that the caller named no maximum.
     #[must_use]
     pub fn expected(&self, route: &str, most_tokens: u64, tokens_per_event: u64) -> f64 {
         let most = most_tokens as f64 / tokens_per_event.max(1) as f64;
--- a/crates/scheduling/src/held_bytes.rs
+++ b/crates/scheduling/src/held_bytes.rs
@@ -1,38 +1,38 @@
-//! How many bytes a process holds for others, and what it does about them at its bound.
+//! Limit on the bytes that a process holds for callers and replicas.
 //!
-//! The load: callers that stop reading their answers, and replicas that stop reading requests.
-//! Whatever is meant for them stays in this process's memory, and a few hundred of them are more
-//! than a small machine has. Below the bounds nothing is refused and nothing is cut, since callers
-//! that read need none of this. At a bound, one holder's loss keeps all others served: what has
-//! not begun is refused while it is certain that it did not run, and what is under way is cut, the
-//! newest of the large holders first, since they free the most for the least work lost.
+//! Callers that stop reading their answers and replicas that stop reading requests leave data in
+//! the memory of this process; a few hundred of them exceed the memory of a small machine. Below
+//! the limits nothing is refused or cut, since callers that read need no protection. At a limit,
+//! one holder is given up so that all others are served. A request that has not started is refused
+//! while it is certain that it did not run. Of the running ones, the newest of the large holders is
+//! cut first, which frees the most memory for the least lost work.
 //!
-//! No tenant takes more than half of a process: one whose callers all stop reading leaves room for
-//! the others.
+//! A tenant may hold at most half of the limit of the process, so that a tenant whose callers all
+//! stop reading leaves room for others.
 
 use luglink_types::TenantName;
 use std::collections::BTreeMap;
 
-/// Part of a process's bound that one tenant, or one request, may hold.
+/// Divisor of the process limit that gives the limit of one tenant or one request.
 const TENANT_SHARE: u64 = 2;
 
-/// Names a holder; rises with each one.
+/// Identifier of a holder; increases with each one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HolderId(u64);
 
-/// The bound that a request met.
+/// Limit that a request reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeldBound {
-    /// Of one request.
+    /// Limit of one request.
     Request,
-    /// Of the request's tenant.
+    /// Limit of the request's tenant.
     Tenant,
-    /// Of the process.
+    /// Limit of the process.
     Process,
 }
 
 impl HeldBound {
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -43,23 +43,23 @@
     }
 }
 
-/// A holder that is to let go of everything. Its bytes do not count any more.
+/// Holder that must release everything. Its bytes are no longer counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldCut {
-    /// The holder.
+    /// Holder to cut.
     pub holder: HolderId,
-    /// What it held.
+    /// Bytes that it held.
     pub bytes: u64,
-    /// The bound that was met.
+    /// Limit that was reached.
     pub bound: HeldBound,
 }
 
-/// Whether a holder may hold what it asks for.
+/// Answer to a holder that asks for more bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Growth {
-    /// It may, once these have let go.
+    /// Granted once these holders have been cut.
     Granted(Vec<HeldCut>),
-    /// It may not, and goes on holding what it had.
+    /// Denied; the holder keeps what it had.
     Denied(HeldBound),
 }
 
@@ -67,11 +67,11 @@
 struct Holder {
     tenant: Option<TenantName>,
     bytes: u64,
-    /// Whether it can be cut: nothing of it runs unseen.
+    /// True if the holder can be cut, because no replica may run its request unobserved.
     can_be_cut: bool,
 }
 
-/// The bytes that a process holds for others.
+/// Account of the bytes that a process holds.
 #[derive(Clone, Debug)]
 pub struct HeldBytes {
     limit: u64,
@@ -82,7 +82,7 @@
 }
 
 impl HeldBytes {
-    /// Nothing yet, of at most `limit` bytes.
+    /// Creates an empty account with a limit of `limit` bytes.
     #[must_use]
     pub fn new(limit: u64) -> Self {
         Self {
@@ -94,41 +94,42 @@
         }
     }
 
-    /// Counts without a bound.
+    /// Creates an account without a limit.
     #[must_use]
     pub fn unbounded() -> Self {
         Self::new(u64::MAX)
     }
 
-    /// Bytes held by all.
+    /// Returns the bytes of all holders.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Bytes held for a tenant.
+    /// Returns the bytes held for a tenant.
     #[must_use]
     pub fn of_tenant(&self, tenant: &TenantName) -> u64 {
         self.tenants.get(tenant).copied().unwrap_or_default()
     }
 
-    /// Bytes that one holder holds; `None` once it was cut or has let go.
+    /// Returns the bytes of a holder, or `None` once it was cut or released.
     #[must_use]
     pub fn of_holder(&self, holder: HolderId) -> Option<u64> {
         self.holders.get(&holder).map(|holder| holder.bytes)
     }
 
-    /// Most bytes that a tenant may hold.
+    /// Returns the maximum number of bytes that a tenant may hold.
     #[must_use]
     pub fn tenant_limit(&self) -> u64 {
         self.limit / TENANT_SHARE
     }
 
-    /// Takes in a request that has announced so many bytes. Nobody is cut for one that has not
-    /// begun.
+    /// Adds a request that has announced its size in bytes. No holder is cut for a request that has
+    /// not started.
     ///
     /// # Errors
-    /// The bound that leaves no room for it.
+    ///
+    /// Returns the limit that leaves no room for the request.
     pub fn admit(
         &mut self,
         tenant: Option<TenantName>,
@@ -156,16 +157,15 @@
         Ok(id)
     }
 
-    /// Says whether a holder can be cut from now on: not while a replica may run its request
-    /// unseen.
+    /// Sets whether a holder can be cut. It cannot while a replica may run its request unobserved.
     pub fn set_can_be_cut(&mut self, id: HolderId, can_be_cut: bool) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.can_be_cut = can_be_cut;
         }
     }
 
-    /// A holder has, or is about to have, so many bytes. One that was cut already is denied
-    /// nothing and counts no more.
+    /// Sets the bytes that a holder has or is about to have. A holder that was already cut is
+    /// denied nothing and not counted.
     pub fn resize(&mut self, id: HolderId, bytes: u64) -> Growth {
         let Some(holder) = self.holders.get(&id) else {
             return Growth::Granted(Vec::new());
@@ -185,13 +185,13 @@
         }
     }
 
-    /// A holder lets go of everything.
+    /// Removes a holder and all its bytes.
     pub fn release(&mut self, id: HolderId) {
         self.set(id, 0);
         self.holders.remove(&id);
     }
 
-    /// Who must let go for a wish to fit, or the bound that stands against it.
+    /// Returns the holders to cut for a request to fit, or the limit that denies it.
     fn plan(&self, wish: &Wish, tenant: Option<&TenantName>) -> Result<Vec<HeldCut>, HeldBound> {
         if wish.more == 0 {
             return Ok(Vec::new());
@@ -213,8 +213,9 @@
         Ok(cuts)
     }
 
-    /// Adds holders to `cuts` until these free `excess` bytes more: the newest of the large ones
-    /// first, then the newest of the others. A holder whose own turn comes is denied instead.
+    /// Adds holders to `cuts` until they free `excess` more bytes: the newest of the large ones
+    /// first, then the newest of the others. If the next in this order is the requesting holder
+    /// itself, its request is denied instead.
     fn choose(
         &self,
         wish: &Wish,
@@ -274,12 +275,12 @@
     }
 }
 
-/// What a holder asks for.
+/// Request of a holder for more bytes.
 #[derive(Clone, Copy, Debug)]
 struct Wish {
     id: HolderId,
-    /// What it would hold.
+    /// Bytes that it would hold.
     bytes: u64,
-    /// What of that is new.
+    /// Additional bytes.
     more: u64,
 }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every decision of a gateway under load, as pure logic: which replica gets a request, whether a
-//! program may begin, how long a request waits, and when one that waits goes elsewhere.
+//! Scheduling decisions of a gateway under load, as pure logic: choice of replicas, admission of
+//! programs, waiting times, and moves of waiting requests.
 //!
-//! Time, seeds and typed views come in, typed decisions go out. Each module says which load it
-//! answers, and what callers need of its thresholds.
+//! Time, seeds and typed views are passed in, and typed decisions are returned. The documentation
+//! of each module names the load that it handles and the constraints on its thresholds.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/scheduling/src/load_shedding.rs
+++ b/crates/scheduling/src/load_shedding.rs
@@ -1,86 +1,84 @@
-//! Which new programs are let in while a route's first events come late.
+//! Admission of new programs by the delay of a route's first events.
 //!
-//! Only whole programs count. When engines are given more than they can do, every program takes
-//! turns from every other one, and most of them end late or not at all, after much work was done
-//! for them. So some of the new programs are refused at once, before any work, and those that
-//! were let in are left alone. Each route is judged by itself: engines serve the more urgent ones
-//! first, so the less urgent ones are late first. A program's place is drawn from its name:
-//! whoever is refused stays refused on each try and at each gateway, until the load has fallen,
-//! rather than being let in by trying often.
+//! Only complete programs are useful. If engines get more work than they can do, all programs delay
+//! each other, and most end late or not at all after much work was spent on them. Some of the new
+//! programs are therefore refused before any work, and the admitted ones are left alone. Each route
+//! is judged separately: engines serve the more urgent ones first, so the less urgent ones are late
+//! first. A program's draw depends on its name. A refused program stays refused on each attempt and
+//! at each gateway until the load has fallen, so that frequent retries give no advantage.
 //!
-//! Each gateway decides by the delays that it sees itself; nothing is exchanged.
+//! Each gateway decides by the delays that it observes itself; nothing is exchanged.
 
 use luglink_edge::{Configuration, Route};
 use luglink_types::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time between two changes of what is let in.
+/// Interval between two adjustments of the admitted share.
 const ADJUST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What is left of the share of new programs that is let in, after each interval in which too
-/// many first events came late.
+/// Factor on the admitted share after an interval in which too many first events were late.
 const DECREASE: f64 = 0.9;
 
-/// What that share gains in each interval in which few came late.
+/// Increase of the admitted share after an interval in which few first events were late.
 const INCREASE: f64 = 0.1;
 
-/// Smallest share: no kind of program is shut out altogether.
+/// Minimum admitted share, so that no route is shut out completely.
 const SMALLEST_SHARE: f64 = 0.3;
 
-/// Share of late first events above which there are too many programs. Not their average delay:
-/// few that wait very long would hide that most are in time.
+/// Ratio of late first events above which there are too many programs. The mean delay is no
+/// measure: a few very long waits would hide that most are in time.
 const TOO_MANY_LATE: f64 = 0.5;
 
-/// Share of late first events below which there is room for more programs.
+/// Ratio of late first events below which more programs can be admitted.
 const FEW_LATE: f64 = 0.3;
 
-/// Weight of a new first event in the share of late ones.
+/// Weight of a new first event in the ratio of late ones.
 const SAMPLE_WEIGHT: f64 = 0.08;
 
-/// Time after which what was seen says nothing about the present any more.
+/// Time after which the observed delays are stale.
 const STALE_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest time after which a refused program is told to come back. Load may fall sooner than
-/// the share alone would let it in.
+/// Maximum retry delay of a refused program. The load may fall sooner than the admitted share
+/// rises.
 const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Whether a new program is let in.
+/// Decision on whether a new program may start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Intake {
-    /// It may begin.
+    /// The program may start.
     Admit,
-    /// It is refused for the sake of those that have begun.
+    /// The program is refused in favour of those that have started.
     Refuse {
-        /// When it is likely to be let in.
+        /// Time after which it is likely to be admitted.
         come_back: Duration,
-        /// Share of the route's new programs that is let in now.
+        /// Share of the route's new programs that is admitted now.
         share: f64,
-        /// Share of late first events that this goes back to.
+        /// Ratio of late first events that caused the refusal.
         late: f64,
     },
 }
 
-/// Lets in as many new programs of each route as its engines can take.
+/// Admission control that limits the new programs of each route to what its engines can serve.
 #[derive(Clone, Debug, Default)]
 pub struct LoadShedder {
     routes: HashMap<String, RouteLoad>,
 }
 
-/// What is known of a route.
+/// Load of one route.
 #[derive(Clone, Copy, Debug)]
 struct RouteLoad {
-    /// Share of late first events, lately.
+    /// Recent ratio of late first events.
     late: f64,
     sampled_at: Timestamp,
-    /// Share of new programs that is let in.
+    /// Share of new programs that is admitted.
     share: f64,
     adjusted_at: Timestamp,
 }
 
 impl LoadShedder {
-    /// Notes how long a request of a route waited for its first event, or how long it had waited
-    /// in vain when it ended.
+    /// Records how long a request waited for its first event, or how long it had waited without one
+    /// when it ended.
     pub fn note_delay(&mut self, route: &Route, delay: Duration, now: Timestamp) {
         let is_late = delay > route.target_latency();
         let load = self.load(route, now);
@@ -89,8 +87,8 @@
         load.sampled_at = now;
     }
 
-    /// Whether a program that has not begun yet may begin. `draw` stands for the program; equal
-    /// draws are treated alike.
+    /// Decides whether a program may start. `draw` identifies the program; equal draws get equal
+    /// decisions.
     pub fn admit(&mut self, route: &Route, draw: u64, now: Timestamp) -> Intake {
         let load = self.load(route, now);
         // The upper half of the draw as a number from 0 to 1.
@@ -106,7 +104,7 @@
         }
     }
 
-    /// Forgets routes that are not in force any more.
+    /// Removes routes that are no longer configured.
     pub fn keep_only(&mut self, configuration: &Configuration) {
         let names = configuration.route_names();
         self.routes.retain(|name, _| names.contains(name.as_str()));
@@ -125,8 +123,8 @@
 }
 
 impl RouteLoad {
-    /// Changes the share by what was seen since the last change; at most once for each call, so
-    /// that a long silence does not count as many intervals of lateness.
+    /// Adjusts the admitted share by the latest delays, at most once per call, so that a long
+    /// silence does not count as many late intervals.
     fn adjust(&mut self, now: Timestamp) {
         if now.since(self.adjusted_at) < ADJUST_INTERVAL {
             return;
--- a/crates/scheduling/src/load_view.rs
+++ b/crates/scheduling/src/load_view.rs
@@ -1,40 +1,40 @@
-//! What is known of the replicas' load beyond what this gateway sees itself.
+//! Load of the replicas as observed by all gateways of the zone.
 //!
-//! Answers the load of replicas that turn slow or silent for seconds, while each gateway has too
-//! few answers of each to notice.
+//! Replicas may turn slow or silent for seconds, while each single gateway has too few answers of
+//! each to notice.
 
 use luglink_fleet::{BackendId, ReplicaKey, ReplicaSight, Sights};
 use luglink_types::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Age from which a view says nothing of the present any more: a replica's trouble may be over.
+/// Age from which a view is stale: a replica's failure may be over.
 pub const VIEW_STALE_AFTER: Duration = Duration::from_secs(2);
 
-/// Time over which requests at a replica are averaged: that in which half of the pauses between
-/// events are forgotten, and the view's way.
+/// Time constant of the average requests at a replica: the half-life of the pauses between events
+/// and the delay of the view.
 const AVERAGED_OVER: Duration = Duration::from_millis(700);
 
-/// A sight and its age.
+/// Observation of a replica and its age.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AgedSight {
-    /// What was seen.
+    /// Observation.
     pub sight: ReplicaSight,
-    /// Time since the sum was taken.
+    /// Time since the view was taken.
     pub age: Duration,
 }
 
-/// What the gateways of the zone saw together, as a member told it last.
+/// Latest observations of the zone's gateways, as reported by a member.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
     sights: HashMap<ReplicaKey, ReplicaSight>,
     taken_at: Timestamp,
-    /// Requests at each replica, averaged over the time that its pauses are measured in.
+    /// Average requests at each replica over the time in which its pauses are measured.
     usual_requests: HashMap<ReplicaKey, f64>,
 }
 
 impl LoadView {
-    /// Takes a newer sum in place of the one before.
+    /// Replaces the view by a newer sum.
     pub fn take(&mut self, sights: &Sights, now: Timestamp) {
         let weight = self.weight_of_new(now);
         let usual = sights.0.iter().map(|sight| {
@@ -49,31 +49,32 @@
         self.taken_at = now;
     }
 
-    /// Share that a new view has in the averages.
+    /// Returns the weight of a new view in the averages.
     fn weight_of_new(&self, now: Timestamp) -> f64 {
         let since = self.age(now).as_secs_f64() / AVERAGED_OVER.as_secs_f64();
         1.0 - (-since).exp()
     }
 
-    /// Whether the view says something of the present.
+    /// Returns true if the view is not stale.
     #[must_use]
     pub fn is_fresh(&self, now: Timestamp) -> bool {
         self.taken_at > Timestamp::ZERO && self.age(now) < VIEW_STALE_AFTER
     }
 
-    /// Requests that were at a replica over the time that its pauses were measured in.
+    /// Returns the average requests at a replica over the time in which its pauses are measured.
     #[must_use]
     pub fn usual_requests(&self, id: &BackendId) -> Option<f64> {
         self.usual_requests.get(&ReplicaKey::of(id)).copied()
     }
 
-    /// Age of the view.
+    /// Returns the age of the view.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Duration {
         now.since(self.taken_at)
     }
 
-    /// What is known of a replica; `None` when nobody used it lately, or the view is too old.
+    /// Returns the observation of a replica, or `None` if no gateway used it lately or the view is
+    /// stale.
     #[must_use]
     pub fn sight(&self, id: &BackendId, now: Timestamp) -> Option<AgedSight> {
         let age = self.age(now);
--- a/crates/scheduling/src/moves.rs
+++ b/crates/scheduling/src/moves.rs
@@ -1,67 +1,69 @@
-//! Whether a request that waits for its replica's next word stays there or starts anew elsewhere.
+//! Decision on whether a waiting request stays at its replica or restarts at another one.
 //!
-//! Answers the load of replicas that keep requests silent for seconds, or serve them several
-//! times more slowly, while most others are well. A program has many turns one after another, and
-//! one that waits until its caller gives up makes the whole program late; so a turn leaves its
-//! replica while there is time for it to be answered by another one.
+//! Some replicas keep requests silent for seconds, or serve them several times more slowly than
+//! most others. A program has many turns in sequence, and one that waits until its caller gives up
+//! makes the whole program late. A turn therefore leaves its replica while another one still has
+//! time to answer it.
 //!
-//! Leaving is dear: the other replica reads a prompt that it does not know, which takes an engine
-//! as long as several turns whose prompts it knows. So it is for about one sound turn in a hundred
-//! at the most: a wait is unusual only from a multiple of what nine in ten do not exceed. From
-//! there on the replica is expected to need as long again as it has taken so far, which is what
-//! holds for waits with many very long ones among them. The request moves once that is more than
-//! it costs to start anew: a usual wait, a connection and the reading of its prompt.
+//! A move is expensive: the other replica reads a prompt that it does not hold, which takes as long
+//! as several turns with cached prompts. At most about one in a hundred turns at healthy replicas
+//! may move, so a wait is an outlier only from a multiple of the 90th percentile. From there on,
+//! the replica is expected to need as long again as it has taken so far, which holds for
+//! heavy-tailed waits. The request moves once that is more than the cost of a restart: a median
+//! wait, a connection and the reading of its prompt.
 //!
-//! Nothing moves while many waits are unusual at once: then all replicas are busy, waiting turns
-//! find no better place, and each that moves would make the others slower still.
+//! Nothing moves while many waits are outliers at once: all replicas are busy then, there is no
+//! better place, and each move would slow the others down further.
 
 use crate::finish::TOKENS_READ_PER_STEP;
 use std::time::Duration;
 
-/// Share of waits that a usual one does not exceed.
+/// Quantile of the waits that outliers are measured against.
 pub const USUAL_SHARE: f64 = 0.9;
 
-/// Times the usual wait from which a wait is unusual: about one in a hundred sound ones. One that
-/// then moves is usually answered within three times the usual wait.
+/// Multiple of the 90th percentile from which a wait is an outlier: about one in a hundred at
+/// healthy replicas. A request that moves then is usually answered within three times the 90th
+/// percentile.
 const UNUSUAL_TIMES: f64 = 1.8;
 
-/// Times the usual wait before which a request does not move, however soon its program should be
-/// over.
+/// Multiple of the 90th percentile before which a request does not move, however close its
+/// program's deadline is.
 const URGENT_TIMES: f64 = 1.5;
 
-/// Times the longest pause of a stream so far from which another pause of it is unusual.
+/// Multiple of the longest earlier pause of a stream from which a pause is an outlier.
 const UNUSUAL_PAUSE_TIMES: f64 = 4.0;
 
-/// Shortest wait that is unusual: below, links and processors explain it.
+/// Minimum wait that is an outlier. Shorter ones are explained by links and processors.
 const SHORTEST_UNUSUAL: Duration = Duration::from_millis(100);
 
-/// Time for a connection to another replica.
+/// Time to connect to another replica.
 const CONNECTING: Duration = Duration::from_millis(10);
 
-/// Time for one token as long as none was seen.
+/// Time for one token while none is known.
 const DEFAULT_STEP: Duration = Duration::from_millis(5);
 
-/// Wait that counts as usual while neither the route's aim nor its waits are known.
+/// 90th percentile that is assumed while neither the route's target latency nor its waits are
+/// known.
 const DEFAULT_WAIT: Duration = Duration::from_millis(400);
 
-/// What waits of a route are like.
+/// Distribution of the waits of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsualWait {
-    /// Half of them are over by then.
+    /// Median wait.
     pub median: Duration,
-    /// [`USUAL_SHARE`] of them are over by then.
+    /// [`P90`] quantile of the waits.
     pub usual: Duration,
 }
 
 impl UsualWait {
-    /// Whether a wait for a first event is unusual.
+    /// Returns true if a wait for a first event is an outlier.
     #[must_use]
     pub fn is_exceeded_by(&self, wait: Duration) -> bool {
         wait > self.usual.mul_f64(UNUSUAL_TIMES)
     }
 
-    /// For a route of which too little was seen: callers want answers within its aim, so most
-    /// are expected to come within that.
+    /// Returns the distribution assumed for a route with too few samples: callers want answers
+    /// within its target latency, so most are expected to arrive within it.
     #[must_use]
     pub fn expected(aim: Duration) -> Self {
         let usual = if aim.is_zero() { DEFAULT_WAIT } else { aim };
@@ -72,17 +74,17 @@
     }
 }
 
-/// What a request needs that starts anew.
+/// Cost of a restart at another replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Restart {
     /// Tokens that the other replica reads.
     pub tokens: u64,
-    /// Time for one token of an answer, once some were seen.
+    /// Time for one token of an answer, once known.
     pub step: Option<Duration>,
 }
 
 impl Restart {
-    /// Time until the first event of another replica.
+    /// Returns the time until the first event of another replica.
     fn time(&self, wait: &UsualWait) -> Duration {
         let step = self.step.unwrap_or(DEFAULT_STEP);
         let reading = step.mul_f64(self.tokens as f64 / TOKENS_READ_PER_STEP);
@@ -90,70 +92,70 @@
     }
 }
 
-/// Who may get a request yet.
+/// Limits on the replicas that may get a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reruns {
-    /// Whether it may run more than once.
+    /// True if the request may run more than once.
     pub is_repeatable: bool,
-    /// Replicas that may have run it, the one at which it waits included.
+    /// Replicas that may have run the request, including the current one.
     pub may_have_run: u32,
-    /// The most that may.
+    /// Maximum number of replicas that may run the request.
     pub max_attempts: u32,
-    /// Whether there is a replica that it was not sent to.
+    /// True if there is a replica to which the request was not sent.
     pub has_other: bool,
 }
 
-/// What a request waits for.
+/// Event that a request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Awaited {
-    /// The first event of its answer.
+    /// First event of the answer.
     FirstEvent {
-        /// Time until its program should be over, counted from when it was sent.
+        /// Time from the send until the program should be finished.
         program: Option<Duration>,
     },
-    /// The next event.
+    /// Next event of the answer.
     NextEvent {
-        /// Longest pause of this stream before.
+        /// Longest earlier pause of the stream.
         longest: Duration,
-        /// A usual pause of the route, once some were seen.
+        /// 90th percentile of the route's pauses, once known.
         usual: Option<Duration>,
-        /// Longest pause at which an answer is in time, when the route names it.
+        /// Longest pause with which an answer is in time, if the route names it.
         bearable: Option<Duration>,
     },
 }
 
-/// A request that waits.
+/// State of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Waiting {
-    /// What for.
+    /// Event that the request waits for.
     pub awaited: Awaited,
-    /// For how long already.
+    /// Time that it has waited.
     pub waited: Duration,
-    /// Time until nobody wants its answer any more.
+    /// Time until its answer is no longer wanted.
     pub left: Duration,
-    /// Waits for first events of its route.
+    /// Distribution of the waits for first events of its route.
     pub first_event: UsualWait,
-    /// Share of the latest waits of its route that were unusual.
+    /// Ratio of outliers in the latest waits of its route.
     pub unusual_share: f64,
-    /// What starting anew takes.
+    /// Cost of a restart.
     pub restart: Restart,
-    /// Who may get it.
+    /// Limits on the replicas that may get the request.
     pub reruns: Reruns,
 }
 
-/// Why a request stays, and does so to its end.
+/// Reason for which a request stays at its replica until it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stay {
-    /// It may run once only.
+    /// The request may run only once.
     RunsOnce,
-    /// As many replicas as allowed may have run it.
+    /// The maximum number of replicas may have run it.
     NoAttemptLeft,
-    /// It would not be answered elsewhere before its time is over.
+    /// No other replica would answer it in its remaining time.
     TooLate,
 }
 
 impl Stay {
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -164,27 +166,27 @@
     }
 }
 
-/// What a waiting request does.
+/// Decision on a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveDecision {
-    /// It waits on, and is looked at again after that time.
+    /// Wait, and decide again after this time.
     WaitOn(Duration),
-    /// It stays where it is until its end.
+    /// Stay at the replica until the end.
     Stay(Stay),
-    /// It starts anew at another replica.
+    /// Restart at another replica.
     Move {
-        /// Time by which an answer is expected sooner than here.
+        /// Time by which the answer is expected sooner than at the current replica.
         gain: Duration,
     },
 }
 
-/// Share of unusual waits that is put down to single replicas.
+/// Maximum ratio of outliers that is attributed to single replicas.
 pub const FEW_UNUSUAL: f64 = 0.25;
 
-/// Pause before a look for another replica is repeated.
+/// Interval between two searches for another replica.
 const LOOK_AGAIN: Duration = Duration::from_millis(50);
 
-/// Decides on a request that waits.
+/// Decides on a waiting request.
 #[must_use]
 pub fn decide_move(waiting: &Waiting) -> MoveDecision {
     let reruns = &waiting.reruns;
@@ -210,14 +212,14 @@
     }
 }
 
-/// Wait from which the request starts anew.
+/// Returns the wait from which the request restarts.
 fn unusual_from(waiting: &Waiting, elsewhere: Duration) -> Duration {
     let usual = waiting.first_event.usual;
     match waiting.awaited {
         Awaited::FirstEvent { program } => {
             let worth_it = usual.mul_f64(UNUSUAL_TIMES).max(elsewhere);
-            // The last moment at which the program would still be in time; none when it is late
-            // in any case.
+            // Latest restart with which the program is still in time. A program that is late in any
+            // case moves when the restart pays off.
             let last = program.and_then(|program| program.checked_sub(elsewhere));
             let last = last.unwrap_or(worth_it);
             let earliest = usual.mul_f64(URGENT_TIMES);
@@ -236,41 +238,41 @@
     }
 }
 
-/// Whether a request that has `left` cannot be answered by any replica: even the quickest first
-/// events of its route take longer. Nothing is refused while they are not known.
+/// Returns true if no replica can answer a request with `left` remaining: even the fastest first
+/// events of its route take longer. Nothing is refused while these are unknown.
 #[must_use]
 pub fn is_hopeless(left: Duration, quickest: Option<Duration>) -> bool {
     quickest.is_some_and(|quickest| left < quickest)
 }
 
-/// Share of a route's first events that are as quick as the quickest that can be counted on.
+/// Quantile of a route's first events that counts as the fastest achievable time.
 pub const QUICKEST_SHARE: f64 = 0.05;
 
-/// Times the usual answer after which a request that may be repeated goes to a second replica.
+/// Multiple of the 90th percentile of answer times after which a repeatable request is hedged.
 const HEDGE_TIMES: f64 = 2.0;
 
-/// When a request with one whole answer goes to a second replica too. `latest` is the time after
-/// which it does so in any case.
+/// Returns the time after which a unary request is also sent to a second replica. `latest` is the
+/// time after which this happens in any case.
 #[must_use]
 pub fn hedge_after(usual: Option<Duration>, latest: Duration) -> Duration {
     let early = usual.map(|usual| usual.mul_f64(HEDGE_TIMES));
     early.map_or(latest, |early| early.max(SHORTEST_UNUSUAL).min(latest))
 }
 
-/// Extra sends that the requests before have earned. Bounds the work that is done twice: under
-/// too much load every request waits, and were each sent twice, load would feed itself.
+/// Budget for extra sends, earned by earlier requests. It limits duplicate work: under overload
+/// every request waits, and sending each one twice would increase the load further.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExtraSends {
-    /// Extra sends for each request.
+    /// Extra sends earned by each request.
     share: f64,
     earned: f64,
 }
 
-/// Extra sends that are kept at the most: some for the first moments of a replica's trouble.
+/// Maximum balance, which covers the first moments of a replica's failure.
 const MOST_EARNED: f64 = 4.0;
 
 impl ExtraSends {
-    /// At most `share` extra sends for each request, beyond the first few.
+    /// Creates a budget of at most `share` extra sends for each request, beyond the first few.
     #[must_use]
     pub fn new(share: f64) -> Self {
         Self {
@@ -279,12 +281,12 @@
         }
     }
 
-    /// Notes a request.
+    /// Adds the share of one request.
     pub fn earn(&mut self) {
         self.earned = (self.earned + self.share).min(MOST_EARNED);
     }
 
-    /// Takes an extra send. Returns false when none is left.
+    /// Takes an extra send. Returns false if none is left.
     pub fn spend(&mut self) -> bool {
         let may = self.earned >= 1.0;
         if may {
--- a/crates/scheduling/src/patience.rs
+++ b/crates/scheduling/src/patience.rs
@@ -1,20 +1,20 @@
-//! How long a request waits for what its gateway depends on, before its caller is sent away.
+//! Limits on how long a request waits for its gateway or for free capacity.
 //!
-//! Callers have few tries. One that is sent away while a gateway is about to serve spends one of
-//! them and comes back much later than it would have been served.
+//! Callers have few attempts. A caller that is refused shortly before a gateway could serve it
+//! loses one of them and returns much later than it would have been served.
 
 use std::time::Duration;
 
-/// Longest wait for a gateway that has just started: an election of the control members and the
-/// news of it.
+/// Maximum wait for a gateway that has just started: an election among the control members and the
+/// announcement of its result.
 const LONGEST_START_PATIENCE: Duration = Duration::from_millis(1_500);
 
-/// Share of its caller's time for which a request waits at the most. A caller that is sent away
-/// with less left than that could hardly be served elsewhere.
+/// Maximum wait relative to the caller's time limit. A caller that is refused with less time left
+/// could hardly be served elsewhere.
 const PATIENCE_SHARE: f64 = 0.45;
 
-/// How long a request waits for a gateway that has just started and does not know its
-/// configuration yet. `allowed` is the time that its caller gives it, when that is known.
+/// Returns the maximum wait for a gateway that has just started and has no configuration yet.
+/// `allowed` is the caller's time limit, if known.
 #[must_use]
 pub fn start_patience(allowed: Option<Duration>) -> Duration {
     allowed.map_or(LONGEST_START_PATIENCE, |allowed| {
@@ -22,20 +22,20 @@
     })
 }
 
-/// First pause of a request for which no replica has room.
+/// First retry delay of a request for which no replica has capacity.
 const FIRST_ROOM_PAUSE: Duration = Duration::from_millis(20);
 
-/// Longest such pause. Room comes when any request ends, which is a matter of tens of
-/// milliseconds where requests are short.
+/// Maximum retry delay. Capacity becomes free when any request ends, within tens of milliseconds if
+/// requests are short.
 const LONGEST_ROOM_PAUSE: Duration = Duration::from_millis(80);
 
-/// How long a request waits for room at the replicas, in all, counted from its arrival.
+/// Returns the maximum total wait for capacity, counted from the arrival of the request.
 #[must_use]
 pub fn room_patience(allowed: Duration) -> Duration {
     allowed.mul_f64(PATIENCE_SHARE)
 }
 
-/// The pause before the replicas are tried again, after `pauses` of them.
+/// Returns the delay before the replicas are tried again, after `retries` earlier delays.
 #[must_use]
 pub fn room_pause(pauses: u32) -> Duration {
     let doubled = FIRST_ROOM_PAUSE.saturating_mul(2_u32.saturating_pow(pauses.min(16)));
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -1,33 +1,32 @@
-//! Where a program begins, and whether it may, by what the replicas themselves say.
+//! Placement of new programs by the reports of the replicas.
 
 use std::time::Duration;
 
-/// Where a program begins.
+/// Decision on where a program starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Placement {
-    /// At the candidate of that position.
+    /// At the candidate with this index.
     At(usize),
-    /// Nowhere yet: all candidates are full.
+    /// Nowhere, because all candidates are full.
     Refuse {
-        /// How full the emptiest of them is.
+        /// Fullness of the least full candidate.
         fullness: f64,
-        /// When to come back.
+        /// Time after which to retry.
         come_back: Duration,
     },
 }
 
-/// Time in which a full replica gets room for another program, about: a turn of the programs that
-/// it has.
+/// Approximate time in which a full replica has room for another program: one turn of its current
+/// programs.
 const ROOM_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Fullness above the emptiest candidate's up to which another one may be the better.
+/// Fullness above that of the least full candidate up to which another one may be preferred.
 const NEARLY_AS_EMPTY: f64 = 0.1;
 
-/// Chooses the emptier of two candidates ("the power of two choices", Mitzenmacher 2001): it
-/// keeps replicas even without a view of all of them. `fullness` has an entry for each candidate,
-/// `None` for one that did not say; `limit` is the fullness from which a replica takes no new
-/// programs. `spread`, from 0 to 1, keeps callers that are refused together from coming back
-/// together.
+/// Chooses the less full of two candidates ("the power of two choices", Mitzenmacher 2001), which
+/// balances replicas without a view of all of them. `fullness` has an entry for each candidate,
+/// `None` for one that did not report. `limit` is the fullness from which a replica takes no new
+/// programs. `spread`, from 0 to 1, spreads the retries of callers that are refused together.
 #[must_use]
 pub fn place(fullness: &[Option<f64>], limit: f64, spread: f64) -> Placement {
     let known = fullness
@@ -45,10 +44,10 @@
     }
 }
 
-/// Chooses the candidate at which a program is expected to be finished soonest, among those that
-/// are less full than `open_below` and not much fuller than the emptiest. `seconds` has an entry
-/// for each candidate, in the order of `fullness`. Everything else is as with [`place`]: fullness
-/// also tells of the memory, which the time does not.
+/// Chooses the candidate with the earliest expected finish among those that are less full than
+/// `open_below` or not much fuller than the least full one. `seconds` has an entry for each
+/// candidate, in the order of `fullness`. Everything else is as with [`place`]. Fullness also
+/// covers the memory, which the expected time does not.
 #[must_use]
 pub fn place_soonest(
     fullness: &[Option<f64>],
--- a/crates/scheduling/src/pool/by_finish.rs
+++ b/crates/scheduling/src/pool/by_finish.rs
@@ -1,7 +1,7 @@
-//! The choice of a replica by when a request is expected to be finished there.
+//! Choice of a replica by the expected finish of a request.
 //!
-//! All figures of a request come from the same few replicas that the plain way weighs, so it costs
-//! the same before any number of replicas.
+//! Only the few replicas that the choice by load compares are rated, so that the cost is the same
+//! for any number of replicas.
 
 use super::index::ServiceIndex;
 use super::record::Record;
@@ -12,81 +12,82 @@
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// How much seldomer a replica is drawn that costs more than the least: between two views many
-/// requests of many gateways are placed by the same figures, and were each to go to the replica
-/// that looks best, all would meet there. One within a tenth of the least is drawn half as often as
-/// the best or more, one at twice the cost next to never.
+/// Exponent by which the probability of a replica falls with its cost. Between two views, many
+/// requests of many gateways are placed by the same figures; if each went to the replica that looks
+/// best, all would meet there. A replica within a tenth of the least cost is drawn at least half as
+/// often as the best one, a replica with twice the cost almost never.
 const SHARPNESS: i32 = 5;
 
-/// Times what another replica would cost up to which a turn stays at the one that holds its prompt.
-/// Reading it elsewhere also holds up the requests that run there, and makes others leave in turn;
-/// a replica that has turned slow or silent costs more than this within a second.
+/// Multiple of another replica's cost up to which a turn stays at the replica that holds its
+/// prompt. Reading the prompt elsewhere also delays the requests that run there, and makes others
+/// leave in turn. A replica that has turned slow or silent exceeds this within a second.
 const KEEPS_PROMPT: f64 = 2.0;
 
-/// Times the cost of the middle replica from which the one that holds a turn's prompt is slow for
-/// reasons of its own. Under too much load all are slow, and turns that left would have their
-/// prompts read again by engines that have no time for it.
+/// Multiple of the median cost from which the replica that holds a turn's prompt is an outlier.
+/// Under overload all are slow, and turns that moved would have their prompts read again by engines
+/// that have no time for it.
 const OUTLIER: f64 = 3.0;
 
-/// Times what its speed earns that a replica may have of the requests, for it to get new programs
-/// and turns that move while others have less. Those that it has stay when it has more: to read
-/// them elsewhere lengthens the batches there. So that all of them together stay within a quarter
-/// above what it earns, it is less than that.
+/// Maximum load of a replica, relative to its share of the requests by speed, for it to get new
+/// programs and turns that move while others have less load. Turns whose prompts it holds stay
+/// beyond that, because reading them elsewhere lengthens the batches there. To keep the total
+/// within a quarter above its share, the factor is lower than that.
 const LOAD_BOUND: f64 = 1.15;
 
-/// Share of its slots that a replica may always fill: a batch that small is scarcely slower.
+/// Share of its slots that a replica may always fill: such a small batch is hardly slower.
 const FREE_SHARE: f64 = 0.25;
 
-/// Pause between events while none has been measured at any replica.
+/// Pause between events that is assumed while none is known for any replica.
 const USUAL_PAUSE_SECONDS: f64 = 0.05;
 
-/// Samples from which a mean says something of its replica.
+/// Minimum weight of the samples for a mean to be used.
 const ENOUGH_SAMPLES: f64 = 0.5;
 
-/// Gateways that must have seen troubles for them to count in full. One gateway may have its own
-/// reasons, such as its links.
+/// Minimum number of gateways that must have observed failures for these to count in full. One
+/// gateway may have local causes, such as its links.
 const ENOUGH_WITNESSES: u16 = 2;
 
-/// Share in which troubles count that one other gateway alone has seen.
+/// Weight of failures that only one other gateway has observed.
 const LONE_WITNESS_SHARE: f64 = 0.25;
 
-/// Sends that a replica is taken to have answered before anything is known of it, so that the
-/// first trouble does not mean that it always fails.
+/// Number of answered sends that is assumed before anything is known of a replica, so that its
+/// first failure does not mean that it always fails.
 const ASSUMED_ANSWERS: f64 = 2.0;
 
-/// Time in which half of what a view says of troubles is forgotten after it was taken.
+/// Half-life of the failures in a view after it was taken.
 const VIEW_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// One in so many of a zone's replicas gets the programs whose prompts begin with the same part.
+/// Divisor of the number of a zone's replicas that gives the number for programs with the same
+/// shared part.
 const SHARED_PART_SPREAD: usize = 2;
 
-/// Fewest replicas for a shared part: one may be slow and one gone.
+/// Minimum number of replicas for a shared part: one may be slow and one gone.
 const LEAST_PART_HOMES: usize = 3;
 
-/// A turn that goes elsewhere although the replica which holds its prompt may get it.
+/// Turn that moves although the replica holding its prompt may serve it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Leaving {
-    /// The replica that holds its prompt.
+    /// Replica that holds the prompt.
     pub from: BackendId,
-    /// What was expected there.
+    /// Expected times there.
     pub expected: Expected,
 }
 
-/// What a choice by expected finish went by.
+/// Figures behind a choice by expected finish.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grounds {
-    /// What is expected of the chosen replica.
+    /// Expected times at the chosen replica.
     pub expected: Expected,
-    /// Set when the turn leaves the replica that holds its prompt.
+    /// Set if the turn leaves the replica that holds its prompt.
     pub leaving: Option<Leaving>,
-    /// Age of what is known from other gateways.
+    /// Age of the other gateways' observations.
     pub view_age: Duration,
 }
 
-/// What is known of a replica, by itself or with the others of its zone.
+/// Observations of a replica by this gateway and the others of its zone.
 #[derive(Clone, Copy)]
 struct Known {
-    /// Requests there now; `None` when only this gateway's are known.
+    /// Requests there now; `None` if only this gateway's are known.
     requests: Option<f64>,
     /// Requests there while the pause was measured.
     measured_at: f64,
@@ -95,50 +96,50 @@
     trouble: f64,
 }
 
-/// What replicas of which nothing is known are taken to be like.
+/// Values that are assumed for replicas without observations.
 #[derive(Clone, Copy)]
 struct Typical {
-    /// Pause between events of a request that runs alone, in seconds.
+    /// Pause between events of a lone request, in seconds.
     lone_pause: f64,
     requests: f64,
 }
 
-/// A candidate and what is expected of it.
+/// Candidate with its expected times.
 struct Weighed<'pool> {
     candidate: Candidate<'pool>,
     expected: Expected,
-    /// Whether it has no more of the requests than its speed earns, with some slack.
+    /// True if it has no more of the requests than its share by speed, with some tolerance.
     has_room: bool,
 }
 
 impl Pool {
-    /// Whether replicas are chosen by expected finish, for requests that say what they ask for.
+    /// Sets whether replicas are chosen by expected finish for requests that describe their work.
     pub fn set_expected_finish(&mut self, is_on: bool) {
         self.by_finish = is_on;
     }
 
-    /// Whether replicas are chosen by expected finish now. Without a view of the present a gateway
-    /// of a fleet takes nearly all replicas for typical ones, and the plain way knows more.
+    /// Returns true if replicas are chosen by expected finish now. Without a fresh view, a gateway
+    /// of a fleet takes nearly all replicas for typical ones, and the choice by load knows more.
     #[must_use]
     pub fn goes_by_finish(&self, now: Timestamp) -> bool {
         self.by_finish && self.view.is_fresh(now)
     }
 
-    /// Notes the pause between two events of a replica's stream.
+    /// Records the pause between two events of a replica's stream.
     pub fn note_step(&mut self, id: &BackendId, pause: Duration, now: Timestamp) {
         if let Some(record) = self.records.get_mut(id) {
             record.steps.note(pause, now);
         }
     }
 
-    /// Notes that a replica reads a prompt that begins with a shared part.
+    /// Records that a replica reads a prompt that starts with a shared part.
     pub fn note_shared_part(&mut self, id: &BackendId, part: u64, now: Timestamp) {
         if let Some(record) = self.records.get_mut(id) {
             record.parts.note(part, now);
         }
     }
 
-    /// When `work` is expected to be finished at a replica; `None` when it may not get it.
+    /// Returns the expected times of `work` at a replica, or `None` if the replica may not get it.
     #[must_use]
     pub fn expected_at(&self, id: &BackendId, work: &Work, now: Timestamp) -> Option<Expected> {
         self.weighed_at(id, work, now)
@@ -161,7 +162,7 @@
         service.used().filter_map(|id| self.candidate(id))
     }
 
-    /// The choice among `sound`, none of which has been tried; `None` when there are none.
+    /// Chooses among `healthy` replicas that have not been tried. Returns `None` if there are none.
     pub(super) fn soonest(
         &self,
         sound: Vec<Candidate<'_>>,
@@ -224,7 +225,7 @@
             .map(|(candidate, state)| {
                 let earned = (requests + 1.0) * self::speed(&state) / speed;
                 let free = (FREE_SHARE * f64::from(state.slots)).max(1.0);
-                // A moment without requests, while programs call their tools, is no room.
+                // A moment without requests, while programs call their tools, is not free capacity.
                 let load = state.requests.max(state.measured_at_requests);
                 let most = (LOAD_BOUND * earned).max(free);
                 Weighed {
@@ -244,8 +245,8 @@
         let own_trouble = record.trouble_at(now);
         let is_near = backend.zone == self.zone;
         let Some(aged) = self.view.sight(&backend.id, now) else {
-            // A fresh view names all that the gateways of the zone use. Of other zones it tells
-            // what this zone sends there only.
+            // A fresh view contains all replicas that the gateways of the zone use. For other zones
+            // it only contains the requests that this zone sends there.
             let is_idle = is_near && self.view.is_fresh(now);
             return Known {
                 requests: is_idle.then_some(own_in_flight),
@@ -299,9 +300,9 @@
         }
     }
 
-    /// Where a program whose prompt begins with a shared part may begin: the sooner of two of the
-    /// replicas that read such prompts, unless others would be done sooner although they must read
-    /// the part. The replicas for a part are the same at all gateways of a zone.
+    /// Returns the replicas at which a program whose prompt starts with a shared part may start:
+    /// those that read such prompts, unless others are expected to finish sooner although they must
+    /// read the part. The replicas for a part are the same at all gateways of a zone.
     #[must_use]
     pub fn candidates_by_finish(
         &self,
@@ -347,7 +348,7 @@
     ranked
 }
 
-/// What half of the replicas would cost at the most.
+/// Returns the median cost of the replicas.
 fn middle_cost(weighed: &[Weighed<'_>]) -> f64 {
     median(weighed.iter().map(cost).collect()).unwrap_or(0.0)
 }
@@ -356,7 +357,8 @@
     weighed.expected.finish_seconds
 }
 
-/// One of the candidates, those that cost less more often; near equals much alike.
+/// Draws a candidate, with a higher probability for a lower cost and similar ones for similar
+/// costs.
 fn draw<'weighed, 'pool>(
     open: &[&'weighed Weighed<'pool>],
     wish: &Wish<'_>,
@@ -371,15 +373,15 @@
     if is_connected(&drawn.candidate.backend.id) {
         return Some(drawn);
     }
-    // One that is no worse with a connection at rest spares opening one.
+    // A candidate that is no worse and has an idle connection saves opening a new one.
     let limit = drawn.expected.after_connecting().finish_seconds;
     let mut nearly = open.iter().filter(|weighed| cost(weighed) <= limit);
     let connected = nearly.find(|weighed| is_connected(&weighed.candidate.backend.id));
     Some(connected.map_or(drawn, |connected| *connected))
 }
 
-/// What a replica draws: the least lot wins, with a chance in proportion to the replica's weight.
-/// Different for each request.
+/// Returns the random key of a candidate, different for each request. The smallest key wins, with a
+/// probability in proportion to the candidate's weight.
 fn lot(weighed: &Weighed<'_>, least: f64, wish: &Wish<'_>) -> f64 {
     let hash = home_rank(&weighed.candidate.backend.id, wish.draw);
     let uniform = ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
@@ -402,7 +404,7 @@
     work.prompt_tokens.saturating_sub(held)
 }
 
-/// Events that the replica gives a request that runs alone, per second.
+/// Returns the events per second that the replica generates for a lone request.
 fn speed(state: &ReplicaState) -> f64 {
     let lone = state.pause_seconds / batch_factor(state.measured_at_requests, state.slots);
     1.0 / lone.max(1e-6)
--- a/crates/scheduling/src/pool/held_parts.rs
+++ b/crates/scheduling/src/pool/held_parts.rs
@@ -1,16 +1,16 @@
-//! The shared parts of prompts that a replica has read lately.
+//! Shared parts of prompts that a replica has read lately.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Time for which a part that is not used again is taken to be held. Parts that are unused longest
-/// give way first.
+/// Time for which an unused part is assumed to be held. Replicas evict the least recently used
+/// parts first.
 const HELD_FOR: Duration = Duration::from_secs(10);
 
-/// Parts that are remembered of one replica.
+/// Maximum number of parts that are remembered for one replica.
 const REMEMBERED: usize = 16;
 
-/// The shared parts of prompts that a replica has read lately.
+/// Shared parts of prompts that a replica has read lately.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldParts(Vec<(u64, Timestamp)>);
 
--- a/crates/scheduling/src/pool/index.rs
+++ b/crates/scheduling/src/pool/index.rs
@@ -1,4 +1,4 @@
-//! The replicas of one service by zone, and which of them this gateway has used.
+//! Index of one service's replicas by zone, and of those that this gateway has used.
 
 use super::working_set::WorkingSet;
 use super::{Extent, Reach, Wish};
@@ -6,38 +6,38 @@
 use luglink_types::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Replicas of a service that every zone must have for its programs to stay in their zones, which
-/// spares connections and bytes between zones. With fewer, two choices do not even out what the
-/// few of a zone get. Were only the larger zones to keep theirs, their replicas would get those of
-/// the others besides.
+/// Minimum number of a service's replicas in every zone for programs to stay in their zones, which
+/// saves connections and traffic between zones. With fewer, two choices do not balance the load of
+/// a zone's few replicas. If only the larger zones kept their programs, their replicas would also
+/// get those of the others.
 const ENOUGH_NEAR: usize = 8;
 
-/// Replicas of a service of which a gateway remembers what it has seen of them, apart from those
-/// that have its requests. A request is weighed between all of these, and a gateway of a large
-/// fleet would come to have used every replica.
+/// Maximum number of a service's replicas that a gateway remembers, apart from those that have its
+/// requests. Each request is compared at all of these, and a gateway of a large fleet would
+/// eventually have used every replica.
 const REMEMBERED: usize = 64;
 
-/// The replicas of one service in one zone.
+/// Replicas of one service in one zone.
 #[derive(Clone, Debug, Default)]
 struct ZoneIndex {
-    /// Those that may get work, in an order that is the same at all gateways and says nothing of
-    /// the replicas: neighbours in it are neighbours nowhere else.
+    /// Replicas that may get work, in a pseudo-random order that is the same at all gateways, so
+    /// that neighbours in it have nothing else in common.
     usable: BTreeSet<(u64, BackendId)>,
-    /// Number of all that are listed, leaving ones included.
+    /// Number of listed replicas, including draining ones.
     listed: usize,
 }
 
-/// The replicas of one service.
+/// Replicas of one service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceIndex {
     zones: BTreeMap<String, ZoneIndex>,
-    /// Replicas that this gateway has used, leaving ones included.
+    /// Replicas that this gateway has used, including draining ones.
     used: BTreeSet<BackendId>,
-    /// The same in the order of their first use.
+    /// The same replicas in the order of their first use.
     used_order: VecDeque<BackendId>,
-    /// How many replicas of a zone get work, where programs stay in their zones.
+    /// Number of a zone's replicas that get work, if programs stay in their zones.
     working_set: WorkingSet,
-    /// Requests that a replica works on at once, as the last one that came says.
+    /// Number of requests that a replica serves concurrently, by the replica added last.
     slots: u32,
 }
 
@@ -84,7 +84,7 @@
         self.zones.is_empty()
     }
 
-    /// Replicas that this gateway has used.
+    /// Returns the replicas that this gateway has used.
     pub(super) fn used(&self) -> impl Iterator<Item = &BackendId> {
         self.used.iter()
     }
@@ -99,8 +99,7 @@
         }
     }
 
-    /// Forgets that a replica was used, the one that was used first of those that are idle, when
-    /// too many are remembered.
+    /// Removes the idle replica that was used first, if too many are remembered.
     pub(super) fn forget_one(&mut self, is_idle: impl Fn(&BackendId) -> bool) -> Option<BackendId> {
         if self.used.len() <= REMEMBERED {
             return None;
@@ -113,8 +112,8 @@
         Some(forgotten)
     }
 
-    /// Whether programs of a zone stay in it: it has replicas, and so many that take work are in
-    /// every zone that has any.
+    /// Returns true if programs of a zone stay in it: it has replicas, and every zone that has any
+    /// has enough usable ones.
     fn is_zonal(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
             && self
@@ -123,7 +122,7 @@
                 .all(|index| index.usable.len() >= ENOUGH_NEAR)
     }
 
-    /// Replicas at which programs of a zone may begin.
+    /// Returns the replicas at which programs of a zone may start.
     pub(super) fn reached<'index>(
         &'index self,
         zone: &'index str,
@@ -150,8 +149,8 @@
         })
     }
 
-    /// Replicas that this gateway has not used, one of its zone, or one of each other zone when its
-    /// own has none. They differ in nothing that it knows, so one is as good as all.
+    /// Returns replicas that this gateway has not used: one of its zone, or one of each other zone
+    /// if its own has none. The gateway knows no difference between them, so that any one will do.
     pub(super) fn draw_unused<'index>(
         &'index self,
         zone: &str,
@@ -168,7 +167,7 @@
             .collect()
     }
 
-    /// One of the working set while there is one that may be drawn, or else the next in order.
+    /// Returns a replica of the working set while one may be drawn, or else the next in order.
     fn draw_in<'index>(
         &self,
         index: &'index ZoneIndex,
--- a/crates/scheduling/src/pool/mod.rs
+++ b/crates/scheduling/src/pool/mod.rs
@@ -1,9 +1,9 @@
-//! Which replica gets a request.
+//! Choice of the replica that serves a request.
 //!
-//! A request costs the same before ten replicas and before ten thousand: it is weighed between
-//! those that this gateway has used lately, which are few, and one drawn from those that it has
-//! not, which are all alike to it. A program's home is one of its zone's working set, so many of
-//! the zone's replicas as the load needs, the same at all gateways.
+//! A request costs the same with ten replicas as with ten thousand: it compares the few replicas
+//! that this gateway has used lately and one drawn from the unused ones, which are all alike to it.
+//! A program's home is part of its zone's working set, which has as many of the zone's replicas as
+//! the load needs and is the same at all gateways.
 
 mod by_finish;
 mod held_parts;
@@ -22,83 +22,83 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Load that a replica in another zone must be below a near one to be taken instead, in shares
-/// of its slots.
+/// Difference in load, in shares of the slots, by which a replica in another zone must be below a
+/// near one to be preferred.
 const OTHER_ZONE_COST: f64 = 0.08;
 
-/// Load that a replica without a connection at rest counts as having more: a new connection
-/// costs it and the request time, and far more of them are opened when each gateway spreads few
-/// requests over all replicas.
+/// Load, in shares of the slots, that is added for a replica without an idle connection. A new
+/// connection costs the replica and the request time, and far more of them are opened if each
+/// gateway spreads few requests over all replicas.
 const CONNECTION_COST: f64 = 0.04;
 
-/// Load up to which a replica that already holds the prompt is preferred, in shares of slots
-/// above the least loaded one.
+/// Load, in shares of the slots above the least loaded replica, up to which a replica that holds
+/// the prompt is preferred.
 const CACHE_WORTH: f64 = 0.5;
 
-/// Load, in shares of slots, that a replica which always fails counts as having more.
+/// Load, in shares of the slots, that is added for a replica that always fails.
 const TROUBLE_COST: f64 = 3.0;
 
-/// What a request wants of a replica.
+/// Request for a replica.
 #[derive(Clone, Debug, Default)]
 pub struct Wish<'request> {
-    /// The service.
+    /// Service.
     pub service: &'request str,
-    /// The replica that served the turn before, and still holds its prompt.
+    /// Replica that served the previous turn and still holds its prompt.
     pub cached_at: Option<&'request BackendId>,
     /// Replicas that have been tried.
     pub tried: &'request [BackendId],
-    /// Breaks ties; differs between requests.
+    /// Random number that breaks ties; differs between requests.
     pub draw: u64,
-    /// What it asks of a model engine, where that is known.
+    /// Work for a model engine, if known.
     pub work: Option<Work>,
 }
 
-/// Where a program may begin.
+/// Set of replicas at which a program may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// At replicas that may be its home.
+    /// Replicas that may be its home.
     Home,
-    /// At others of the same zone, which are not needed at the load of now.
+    /// Other replicas of the same zone, which the current load does not need.
     Spare,
-    /// At the others, in other zones.
+    /// Replicas of other zones.
     Elsewhere,
 }
 
-/// How many replicas a service has.
+/// Size of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Extent {
-    /// Replicas that may get work.
+    /// Number of replicas that may get work.
     pub usable: usize,
-    /// Zones in which replicas are listed.
+    /// Number of zones with listed replicas.
     pub zones: usize,
 }
 
-/// A choice.
+/// Chosen replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     /// The replica.
     pub backend: Backend,
-    /// Requests of this gateway that are at it.
+    /// Requests of this gateway at the replica.
     pub in_flight: u32,
-    /// What it went by, when it went by expected finish.
+    /// Figures behind the choice, if it was made by expected finish.
     pub grounds: Option<Grounds>,
 }
 
-/// The replicas of all services.
+/// Replicas of all services.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     zone: String,
     backends: HashMap<BackendId, Backend>,
     services: BTreeMap<String, ServiceIndex>,
-    /// What is known of the replicas that this gateway has used.
+    /// Records of the replicas that this gateway has used.
     records: HashMap<BackendId, Record>,
-    /// What all gateways of the zone saw of the replicas.
+    /// Observations of the replicas by all gateways of the zone.
     view: LoadView,
-    /// Whether requests that say what they ask for are placed by expected finish.
+    /// True if requests that describe their work are placed by expected finish.
     by_finish: bool,
 }
 
-/// A replica that a request may go to, as this gateway sees it.
+/// Replica that may get a request, with this gateway's record of it.
 #[derive(Clone, Copy)]
 struct Candidate<'pool> {
     backend: &'pool Backend,
@@ -106,7 +106,7 @@
 }
 
 impl Pool {
-    /// An empty pool of a gateway in `zone`.
+    /// Creates an empty pool for a gateway in `zone`.
     #[must_use]
     pub fn new(zone: &str) -> Self {
         Self {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Takes changes of the list. What is known of replicas that are still there stays.
+    /// Applies changes of the list. Records of replicas that stay listed are kept.
     pub fn apply(&mut self, changes: &BackendChanges) {
         for id in &changes.removed {
             self.remove(id);
@@ -134,7 +134,7 @@
             {
                 record.begin_new_life();
             }
-            // Changes that came over the wire name no incarnations.
+            // Changes received over the network contain no incarnations.
             backend.incarnation = backend.incarnation.max(before.incarnation);
         }
         let service = self.services.entry(backend.service.clone()).or_default();
@@ -162,21 +162,21 @@
         }
     }
 
-    /// Whether a replica is on the list, leaving or not.
+    /// Returns true if a replica is listed, draining or not.
     #[must_use]
     pub fn lists(&self, id: &BackendId) -> bool {
         self.backends.contains_key(id)
     }
 
-    /// Whether a replica that a request was sent to is in another life by now: what the request
-    /// meets says nothing of the replica that is listed.
+    /// Returns true if a replica has restarted since a request was sent to it. The result of the
+    /// request then says nothing about the listed replica.
     #[must_use]
     pub fn has_restarted(&self, sent_to: &Backend) -> bool {
         let listed = self.backends.get(&sent_to.id);
         listed.is_some_and(|listed| listed.incarnation.is_after(sent_to.incarnation))
     }
 
-    /// Replicas in `changes` that the pool knows in an earlier life.
+    /// Returns the replicas in `changes` that the pool knows in an earlier incarnation.
     #[must_use]
     pub fn restarted(&self, changes: &BackendChanges) -> Vec<BackendId> {
         let is_restart = |backend: &&Backend| {
@@ -187,7 +187,7 @@
         restarted.map(|backend| backend.id.clone()).collect()
     }
 
-    /// The listed replica of that identifier, when it may get work.
+    /// Returns the listed replica with an identifier, if it may get work.
     #[must_use]
     pub fn usable(&self, id: &BackendId) -> Option<&Backend> {
         self.backends.get(id).filter(|backend| !backend.draining)
@@ -200,9 +200,9 @@
         })
     }
 
-    /// Chooses a replica, or `None` when no replica of the service may get the request. Replicas
-    /// that failed lately are taken only when no other is left. `is_connected` says whether a
-    /// connection to a replica is at rest.
+    /// Chooses a replica, or returns `None` if no replica of the service may get the request.
+    /// Replicas that failed lately are chosen only if no other is left. `is_connected` returns true
+    /// for a replica with an idle connection.
     #[must_use]
     pub fn choose(
         &self,
@@ -246,8 +246,8 @@
         })
     }
 
-    /// The first of the cheapest. Whether a connection is at rest is asked only of those that
-    /// could still be it: that is dearer to find out than all the rest together.
+    /// Returns the first of the cheapest candidates. The connection check costs more than all the
+    /// rest, so it is only made for candidates that can still win.
     fn cheapest<'pool>(
         &self,
         candidates: impl Iterator<Item = Candidate<'pool>>,
@@ -306,19 +306,18 @@
         load + slowness + zone + cached + trouble + tie_breaker(&backend.id, wish.draw)
     }
 
-    /// The replica that all gateways of a zone with the same list agree on for a program, so that
-    /// its prompts meet their cache without a word between gateways. It is one of the zone when
-    /// every zone has enough of them, and otherwise the same for all zones.
+    /// Returns the replica on which all gateways of a zone with the same list agree for a program,
+    /// so that its prompts find their cache without communication between gateways. It is a replica
+    /// of the zone if every zone has enough of them, and otherwise the same for all zones.
     #[must_use]
     pub fn home(&self, service: &str, program: u64) -> Option<BackendId> {
         let homes = self.services.get(service)?.reached(&self.zone, Reach::Home);
         homes.max_by_key(|id| home_rank(id, program)).cloned()
     }
 
-    /// The replicas at which a program may begin, the same at all gateways of a zone with the
-    /// same list: its home, and those that would be it next, or else those that would be it if
-    /// programs did not stay in their zones. Those that failed lately are passed over while others
-    /// are left.
+    /// Returns the replicas at which a program may start, the same at all gateways of a zone with
+    /// the same list: its home and the next ones in rank, or those of the other sets. Replicas that
+    /// failed lately are skipped while others are left.
     #[must_use]
     pub fn candidates(
         &self,
@@ -346,7 +345,7 @@
             .collect()
     }
 
-    /// Takes what the gateways of the zone have under way together.
+    /// Updates the working sets by the requests that all gateways of the zone have in flight.
     pub fn follow_zone_load(&mut self, load: &GatewayLoad, now: Timestamp) {
         for service in &load.services {
             let in_flight = f64::from(service.in_flight_hundredths) / 100.0;
@@ -356,21 +355,21 @@
         }
     }
 
-    /// How many replicas a service has.
+    /// Returns the size of a service.
     #[must_use]
     pub fn extent(&self, service: &str) -> Extent {
         let service = self.services.get(service);
         service.map(ServiceIndex::extent).unwrap_or_default()
     }
 
-    /// Lets more replicas of the zone get work at once: those that did are found busy.
+    /// Gives work to more replicas of the zone at once, because the current ones are busy.
     pub fn widen(&mut self, service: &str) {
         if let Some(index) = self.services.get_mut(service) {
             index.widen();
         }
     }
 
-    /// Requests of this gateway under way at each service.
+    /// Returns the requests of this gateway in flight at each service.
     pub fn in_flight(&self) -> impl Iterator<Item = (&str, u32)> {
         self.services.iter().map(|(name, service)| {
             let records = service.used().filter_map(|id| self.records.get(id));
@@ -378,7 +377,8 @@
         })
     }
 
-    /// What this gateway sees of the replicas that it uses, for the others of its zone.
+    /// Returns this gateway's observations of the replicas that it uses, for the others of its
+    /// zone.
     #[must_use]
     pub fn sights(&self, now: Timestamp) -> Sights {
         let used = self.records.iter();
@@ -386,7 +386,7 @@
         Sights::sum([&Sights(sights.collect())])
     }
 
-    /// Takes what all gateways of the zone saw together.
+    /// Sets the observations of all gateways of the zone.
     pub fn take_view(&mut self, sights: &Sights, now: Timestamp) {
         self.view.take(sights, now);
         for record in self.records.values_mut() {
@@ -394,7 +394,7 @@
         }
     }
 
-    /// What is known of a replica, to be changed; `None` when it is not listed.
+    /// Returns the record of a replica for an update, or `None` if the replica is not listed.
     fn record(&mut self, id: &BackendId) -> Option<&mut Record> {
         let backend = self.backends.get(id)?;
         if !self.records.contains_key(id) {
@@ -410,54 +410,55 @@
         Some(self.records.entry(id.clone()).or_default())
     }
 
-    /// Notes that there is a connection to a replica, so that it is weighed with those in use.
+    /// Records that there is a connection to a replica, so that it is compared with those in use.
     pub fn note_connected(&mut self, id: &BackendId) {
         self.record(id);
     }
 
-    /// Notes that a request goes to a replica.
+    /// Records that a request is sent to a replica.
     pub fn begin(&mut self, id: &BackendId) {
         if let Some(record) = self.record(id) {
             record.in_flight += 1;
         }
     }
 
-    /// Notes that a request has left a replica.
+    /// Records that a request has left a replica.
     pub fn end(&mut self, id: &BackendId) {
         if let Some(record) = self.records.get_mut(id) {
             record.in_flight = record.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes that a replica answered, and after what time.
+    /// Records that a replica answered after `time`.
     pub fn succeeded(&mut self, id: &BackendId, time: Duration) {
         if let Some(record) = self.record(id) {
             record.succeeded(time);
         }
     }
 
-    /// Notes that a replica failed a request that it answered, or keeps one for much too long.
+    /// Records that a replica answered a request with a failure, or keeps one for much too long.
     pub fn troubled(&mut self, id: &BackendId, now: Timestamp) {
         if let Some(record) = self.record(id) {
             record.troubled(now);
         }
     }
 
-    /// Notes that a replica could not be reached or broke a request off. It pauses, longer with
-    /// each failure in a row. Returns until when.
+    /// Records that a replica could not be reached or broke off a request. The replica is ejected,
+    /// for longer with each consecutive failure. Returns the end of the ejection.
     pub fn failed(&mut self, id: &BackendId, now: Timestamp) -> Option<Timestamp> {
         self.record(id).map(|record| record.failed(now))
     }
 }
 
-/// Rank of a replica as a program's home: highest random weight.
+/// Returns the rank of a replica as a program's home, by rendezvous hashing (highest random
+/// weight).
 fn home_rank(id: &BackendId, program: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(id.0.as_bytes(), program)
 }
 
-/// Less than any other difference in cost, and different for each request.
+/// Returns a cost that is less than any other difference in cost and different for each request.
 fn tie_breaker(id: &BackendId, draw: u64) -> f64 {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(id.0.as_bytes(), draw);
-    // 2^-32 of the upper half of the hash, scaled below one request's share of a replica.
+    // The upper half of the hash times 2^-32, scaled below one request's share of a replica.
     (hash >> 32) as f64 / 4_294_967_296.0 * 0.04
 }
--- a/crates/scheduling/src/pool/record.rs
+++ b/crates/scheduling/src/pool/record.rs
@@ -1,4 +1,4 @@
-//! What a gateway has seen of one replica.
+//! Observations of one replica by a gateway.
 
 use super::held_parts::HeldParts;
 use super::step_mean::{StepMean, faded};
@@ -6,60 +6,60 @@
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// First pause of a replica that failed; doubles with each failure in a row.
+/// Ejection time after the first failure; doubles with each consecutive failure.
 const FIRST_EJECTION: Duration = Duration::from_millis(200);
 
-/// Longest pause of a replica that failed.
+/// Maximum ejection time.
 const LONGEST_EJECTION: Duration = Duration::from_secs(3);
 
 /// Weight of a new sample in the average time to an answer.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Weight of a new failure in a replica's trouble.
+/// Weight of a new failure in the failure ratio.
 const TROUBLE_WEIGHT: f64 = 0.3;
 
-/// What is left of a replica's trouble after a success.
+/// Factor on the failure ratio after a success.
 const TROUBLE_AFTER_SUCCESS: f64 = 0.85;
 
-/// Time in which half of a replica's trouble is forgotten, so that it is tried again.
+/// Half-life of the failure ratio, so that the replica is tried again.
 const TROUBLE_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// What is left of trouble that does not count any more.
+/// Failure ratio below which failures no longer count.
 const FORGOTTEN_TROUBLE: f64 = 0.01;
 
-/// Time in which half of the troubles that the other gateways are told of is forgotten.
+/// Half-life of the failures that are reported to the other gateways.
 const SIGHT_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// Troubles left from which a replica is told of to the other gateways.
+/// Minimum decayed number of failures for a replica to be reported to the other gateways.
 const WITNESSED: f64 = 0.2;
 
-/// Samples left from which a replica is told of to the other gateways.
+/// Minimum weight of the samples for a replica to be reported to the other gateways.
 const MEASURED: f64 = 0.5;
 
-/// What a gateway has seen of one replica.
+/// Observations of one replica by a gateway.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Record {
-    /// Requests of this gateway that are at it.
+    /// Requests of this gateway at the replica.
     pub(super) in_flight: u32,
     failures: u32,
     pub(super) ejected_until: Timestamp,
-    /// Share of failures lately, as of `troubled_at`. Unlike a pause it also tells a replica
-    /// that fails now and then from one that does not.
+    /// Recent ratio of failures, as of `failed_at`. Unlike an ejection, it also tells a replica
+    /// that fails occasionally from one that does not.
     trouble: f64,
     troubled_at: Timestamp,
     /// Average time to the first sign of an answer, in milliseconds; 0 before the first sample.
     pub(super) answer_ms: f64,
     /// Pauses between the events of its streams.
     pub(super) steps: StepMean,
-    /// Requests that were at it when the view of the zone was taken, which counts them.
+    /// Requests of this gateway when the view of the zone, which includes them, was taken.
     pub(super) in_flight_at_view: u32,
     /// Shared parts of prompts that it has read for this gateway.
     pub(super) parts: HeldParts,
-    /// Sends in trouble lately, as of `troubled_at`.
+    /// Decayed number of recent failures, as of `failed_at`.
     troubles: f64,
 }
 
-/// Of a replica that was not used.
+/// Record of a replica that was not used.
 pub(super) static UNUSED: Record = Record {
     in_flight: 0,
     failures: 0,
@@ -74,12 +74,12 @@
 };
 
 impl Record {
-    /// Whether nothing is lost with it but how fast the replica answers.
+    /// Returns true if removing the record loses nothing but the replica's speed.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight == 0 && self.failures == 0 && self.trouble < FORGOTTEN_TROUBLE
     }
 
-    /// Share of failures lately, fading with time.
+    /// Returns the decayed ratio of failures.
     pub(super) fn trouble_at(&self, now: Timestamp) -> f64 {
         if self.trouble == 0.0 {
             return 0.0;
@@ -87,7 +87,7 @@
         self.trouble * faded(now.since(self.troubled_at), TROUBLE_HALF_LIFE)
     }
 
-    /// Sends in trouble lately, fading with time.
+    /// Returns the decayed number of recent failures.
     fn troubles_at(&self, now: Timestamp) -> f64 {
         if self.troubles == 0.0 {
             return 0.0;
@@ -95,8 +95,8 @@
         self.troubles * faded(now.since(self.troubled_at), SIGHT_HALF_LIFE)
     }
 
-    /// What the other gateways of the zone should know of the replica; `None` when it was not used
-    /// in the last moments.
+    /// Returns the observation for the other gateways of the zone, or `None` if the replica was not
+    /// used in the last moments.
     pub(super) fn sight(&self, replica: ReplicaKey, now: Timestamp) -> Option<ReplicaSight> {
         let samples = self.steps.weight_at(now);
         let troubles = self.troubles_at(now);
@@ -114,8 +114,8 @@
         })
     }
 
-    /// Forgets what was seen of an earlier life of the replica. Requests that are still at it stay
-    /// counted until each of them ends.
+    /// Resets the record after a restart of the replica. Requests that are still at the earlier
+    /// incarnation stay counted until each of them ends.
     pub(super) fn begin_new_life(&mut self) {
         *self = Self {
             in_flight: self.in_flight,
@@ -142,7 +142,7 @@
         self.troubled_at = now;
     }
 
-    /// Returns until when the replica pauses.
+    /// Returns the end of the ejection.
     pub(super) fn failed(&mut self, now: Timestamp) -> Timestamp {
         self.troubled(now);
         let doublings = self.failures.min(8);
--- a/crates/scheduling/src/pool/step_mean.rs
+++ b/crates/scheduling/src/pool/step_mean.rs
@@ -1,19 +1,19 @@
-//! The mean pause between events of the last moments.
+//! Mean pause between recent events.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Time in which half of what was measured is forgotten. A replica that turns several times slower
-/// also gives that many fewer samples, and must stand out within a second.
+/// Half-life of the samples. A replica that turns several times slower also gives that many fewer
+/// samples, and must stand out within a second.
 const HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Longest pause that counts: one long silence must not outweigh all that comes after it.
+/// Maximum pause that is counted: one long silence must not outweigh everything after it.
 const LONGEST: Duration = Duration::from_secs(1);
 
-/// The mean pause between events of the last moments.
+/// Mean pause between recent events.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StepMean {
-    /// Samples that the mean counts for, as of `at`.
+    /// Total weight of the samples, as of `at`.
     weight: f64,
     micros: f64,
     at: Timestamp,
@@ -33,7 +33,7 @@
         self.at = now;
     }
 
-    /// Samples that the mean counts for.
+    /// Returns the total weight of the samples.
     pub(super) fn weight_at(&self, now: Timestamp) -> f64 {
         if self.weight == 0.0 {
             return 0.0;
@@ -46,7 +46,7 @@
     }
 }
 
-/// What is left after `age` of what halves in `half_life`.
+/// Returns the factor by which a value with `half_life` decays in `age`.
 pub(super) fn faded(age: Duration, half_life: Duration) -> f64 {
     0.5_f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
--- a/crates/scheduling/src/pool/working_set.rs
+++ b/crates/scheduling/src/pool/working_set.rs
@@ -1,37 +1,38 @@
-//! How many of a zone's replicas of a service get work.
+//! Number of a zone's replicas of a service that get work.
 //!
-//! A fleet may be used to one or two in a hundred. Spread over all of it, every program begins at
-//! a replica that has never read the parts that all prompts share, and every request needs a
-//! connection of its own. So programs begin at, and requests go to, only so many replicas as the
-//! load needs, with room to spare, the same ones at all gateways of the zone.
+//! A fleet may be used to one or two percent. With the load spread over all of it, every program
+//! would start at a replica that has never read the parts that all prompts share, and every request
+//! would need a connection of its own. Programs therefore start at, and requests go to, only as
+//! many replicas as the load needs, with spare capacity, and the same ones at all gateways of the
+//! zone.
 
 use luglink_fleet::SlowlyShrinking;
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Places that the replicas have for each request under way. Sub-agents start together, and a
-/// batch grows slower with each request in it; a quarter full, a replica takes five of them and
-/// still reads prompts beside.
+/// Slots that are provided for each request in flight. Sub-agents start together, and a batch grows
+/// slower with each request in it. A replica that is a quarter full takes five of them and still
+/// reads prompts.
 const HEADROOM: f64 = 4.0;
 
-/// Replicas that get work however low the load is: so many that the loss of some, or a burst before
-/// the gateways have told each other of it, leaves enough.
+/// Minimum number of replicas that get work: the loss of some, or a burst before the gateways have
+/// informed each other, must leave enough.
 const LEAST: usize = 16;
 
-/// Time in which half of the replicas that are not needed any more cease to get new programs:
-/// longer than most programs take, so that they end where they began.
+/// Time in which half of the replicas that are no longer needed cease to get new programs: longer
+/// than most programs take, so that they end where they started.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Factor by which the set grows when its replicas are found busy.
+/// Factor by which the set grows if its replicas are busy.
 const GROWTH: f64 = 1.5;
 
-/// The number of a zone's replicas that get work.
+/// Number of a zone's replicas that get work.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct WorkingSet(SlowlyShrinking);
 
 impl WorkingSet {
-    /// Takes what is under way in the zone. `slots` is the number of requests that one replica
-    /// works on at once.
+    /// Updates the size by the requests in flight in the zone. `slots` is the number of requests
+    /// that one replica serves concurrently.
     pub(super) fn follow(&mut self, in_flight: f64, slots: u32, now: Timestamp) {
         let need = in_flight * HEADROOM / f64::from(slots.max(1));
         self.0.follow(need, HALF_LIFE, now);
--- a/crates/scheduling/src/program_table.rs
+++ b/crates/scheduling/src/program_table.rs
@@ -1,8 +1,8 @@
-//! The programs that this gateway has under way, and the memory that they need until they end.
+//! Programs running at this gateway, and the memory that they need until they end.
 //!
-//! Answers the load of programs that pause for their tools: they are in no engine's report, but
-//! their cached prompts are needed again within moments, and read again at some ten times the
-//! cost when they had to give way to programs that began meanwhile.
+//! Programs that pause for their tools are in no engine's report, but need their cached prompts
+//! again within moments. Reading a prompt again costs about ten times as much if it was evicted for
+//! programs that started meanwhile.
 
 use crate::route_profile::RouteProfile;
 use luglink_edge::{Configuration, Route};
@@ -10,59 +10,59 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Most programs that are noted: more than one gateway can have under way.
+/// Maximum number of tracked programs, more than one gateway can run.
 const MOST_PROGRAMS: usize = 8_192;
 
-/// Steps, in shares of a program's life, for which the need of memory is looked ahead.
+/// Number of equal steps of a program's life for which the memory need is projected.
 const STEPS: usize = 16;
 
-/// Time over which what programs need is averaged: shorter than their lives, so that the average
-/// has followed soon after a burst, and long enough for some tens of turns.
+/// Time constant of the average demand: shorter than the lives of programs, so that the average
+/// soon follows a burst, and long enough for some tens of turns.
 const AVERAGED_OVER: Duration = Duration::from_secs(2);
 
-/// Time between two samples of it.
+/// Interval between two samples of the demand.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A turn that begins.
+/// Start of a turn.
 #[derive(Clone, Copy, Debug)]
 pub struct TurnBegins<'request> {
-    /// Stands for its program.
+    /// Identifier of the program.
     pub program: u64,
-    /// Its route.
+    /// Route of the turn.
     pub route: &'request Route,
-    /// Its service.
+    /// Service of the turn.
     pub service: &'request str,
-    /// Tokens of its prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Whether it is its program's first one.
+    /// True for the first turn of a program.
     pub begins_program: bool,
 }
 
-/// What programs under way need, as one gateway sees it.
+/// Demand of the running programs as observed by one gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OwnDemand {
-    /// Tokens that they need in memory now, and after each step of their lives until they end.
+    /// Tokens needed in memory now, and after each step of the programs' lives until they end.
     pub tokens: [f64; STEPS],
-    /// Programs, those that pause included.
+    /// Number of programs, including paused ones.
     pub programs: f64,
-    /// Their turns under way.
+    /// Number of turns in flight.
     pub requests: f64,
 }
 
 impl OwnDemand {
-    /// The most tokens that are needed at once.
+    /// Returns the maximum number of tokens needed at once.
     #[must_use]
     pub fn peak(&self) -> f64 {
         self.tokens.iter().copied().fold(0.0, f64::max)
     }
 
-    /// So many times as much.
+    /// Returns the demand multiplied by a factor.
     #[must_use]
     pub fn times(&self, factor: f64) -> Self {
         self.towards(&Self::default(), 1.0 - factor)
     }
 
-    /// The average with another one of that weight.
+    /// Returns the average with another demand of weight `weight`.
     #[must_use]
     pub fn towards(&self, other: &Self, weight: f64) -> Self {
         let between = |one: f64, other: f64| one + weight * (other - one);
@@ -74,11 +74,11 @@
     }
 }
 
-/// An average of demands.
+/// Moving average of demands.
 #[derive(Clone, Copy, Debug, Default)]
 struct UsualDemand {
     average: OwnDemand,
-    /// Sum of the weights of all samples so far; it tends to one.
+    /// Sum of the weights of all samples so far; approaches one.
     weight: f64,
     at: Timestamp,
 }
@@ -93,18 +93,18 @@
     }
 }
 
-/// A program under way.
+/// Running program.
 #[derive(Clone, Debug)]
 struct Program {
     route: String,
     service: String,
     prompt: f64,
     in_flight: u32,
-    /// When its last turn began or ended.
+    /// Time at which its last turn started or ended.
     seen: Timestamp,
 }
 
-/// The programs that this gateway has under way.
+/// Programs running at this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct ProgramTable {
     programs: HashMap<u64, Program>,
@@ -113,9 +113,9 @@
 }
 
 impl ProgramTable {
-    /// Notes a turn that begins. Each one must be followed by [`Self::end_turn`].
+    /// Records the start of a turn. Each one must be followed by [`Self::end_turn`].
     pub fn begin_turn(&mut self, turn: &TurnBegins<'_>, now: Timestamp) {
-        // Before it is noted: at its beginning there is always one under way.
+        // The sample precedes the new turn: afterwards there is always at least one in flight.
         let usual = self.usual.get(turn.service);
         if usual.is_none_or(|usual| now.since(usual.at) >= SAMPLE_INTERVAL) {
             self.demand(turn.service, now);
@@ -157,7 +157,7 @@
         );
     }
 
-    /// Notes that a turn of a program has ended, after the time that it took.
+    /// Records the end of a program's turn, which took `taken`.
     pub fn end_turn(&mut self, program: u64, taken: Duration, now: Timestamp) {
         let Some(program) = self.programs.get_mut(&program) else {
             return;
@@ -169,13 +169,13 @@
         }
     }
 
-    /// Whether a program is known to be under way.
+    /// Returns true if a program is known to be running.
     #[must_use]
     pub fn knows(&self, program: u64) -> bool {
         self.programs.contains_key(&program)
     }
 
-    /// What the programs under way at a service need. Forgets those that have ended.
+    /// Returns the demand of the programs running at a service. Removes those that have ended.
     pub fn demand(&mut self, service: &str, now: Timestamp) -> OwnDemand {
         let profiles = &self.profiles;
         self.programs.retain(|_, program| {
@@ -194,16 +194,16 @@
         demand
     }
 
-    /// The average of what [`Self::demand`] told lately: what a request under way stands for, at
-    /// a gateway that has few at a time.
+    /// Returns the average of recent results of [`Self::demand`]: the demand behind each request in
+    /// flight at a gateway that has few at a time.
     #[must_use]
     pub fn usual_demand(&self, service: &str) -> OwnDemand {
         let usual = self.usual.get(service);
         usual.map(|usual| usual.average).unwrap_or_default()
     }
 
-    /// Adds what a program needs from now until it ends. One that pauses counts for as much as it
-    /// is likely to be under way still, unknown to this gateway.
+    /// Adds the demand of a program from now until it ends. A paused program counts with the
+    /// probability that it is still running, which this gateway cannot observe.
     fn add(&self, program: &Program, demand: &mut OwnDemand, now: Timestamp) {
         let profile = self.profiles.get(&program.route).copied();
         let profile = profile.unwrap_or_default();
@@ -223,14 +223,14 @@
         }
     }
 
-    /// Time from the beginning of a route's program to its end.
+    /// Returns the time from the start of a route's program to its end.
     #[must_use]
     pub fn lifetime(&self, route: &str) -> Duration {
         let profile = self.profiles.get(route).copied();
         profile.unwrap_or_default().lifetime()
     }
 
-    /// Forgets routes that are not in force any more.
+    /// Removes routes and services that are no longer configured.
     pub fn keep_only(&mut self, configuration: &Configuration) {
         let names = configuration.route_names();
         self.profiles
--- a/crates/scheduling/src/prompt_parts.rs
+++ b/crates/scheduling/src/prompt_parts.rs
@@ -1,24 +1,25 @@
-//! What callers say of their prompts.
+//! Parser for the callers' descriptions of their prompts.
 
 use crate::finish::SharedPart;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Parts that are read at the most: callers write the header.
+/// Maximum number of parts that are read, because callers write the header.
 const MAX_PARTS: usize = 64;
 
-/// What a caller says of a prompt.
+/// Caller's description of a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PromptParts {
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub tokens: u32,
-    /// What it shares with prompts of other programs.
+    /// Part that the prompt shares with those of other programs.
     pub shared: Option<SharedPart>,
 }
 
 impl PromptParts {
-    /// Reads `usage`, "prompt tokens,most out", and `parts`, "ID:TOKENS,ID:TOKENS" with the
-    /// identifiers in hex and the part that is not shared last. `None` when neither tells the
-    /// prompt's length. Parts that cannot be read count as not shared, and so do those after them.
+    /// Parses `usage` ("prompt tokens,maximum output tokens") and `parts` ("ID:TOKENS,ID:TOKENS",
+    /// with hexadecimal identifiers and the part that is not shared last). Returns `None` if
+    /// neither contains the length of the prompt. A part that cannot be parsed counts as not
+    /// shared, and so do those after it.
     #[must_use]
     pub fn read(usage: Option<&str>, parts: Option<&str>) -> Option<Self> {
         let tokens = usage.and_then(|usage| usage.split(',').next()?.trim().parse().ok());
@@ -47,7 +48,7 @@
     Some((id, tokens.parse().ok()?))
 }
 
-/// A part is only held where all before it are held too.
+/// Combines parts into one, because a part is held only if all parts before it are held too.
 fn together(parts: &[(u64, u32)]) -> SharedPart {
     let nothing = SharedPart { id: 0, tokens: 0 };
     parts
--- a/crates/scheduling/src/route_profile.rs
+++ b/crates/scheduling/src/route_profile.rs
@@ -1,42 +1,42 @@
-//! What the programs of a route are usually like, learned from their turns.
+//! Typical program of a route, learned from turns.
 //!
-//! Answers loads whose kinds of program differ by ten times in what they need. Everything is
-//! learned from single turns, so it holds also where the turns of a program reach different
-//! gateways: turns for each program is the number of turns over the number of beginnings.
+//! Kinds of programs differ by a factor of ten in what they need. Everything is learned from single
+//! turns, so it also holds if the turns of a program reach different gateways: the turns per
+//! program are the number of turns divided by the number of first turns.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Samples that an average is taken over.
+/// Maximum number of samples that an average covers.
 const AVERAGED_SAMPLES: f64 = 128.0;
 
-/// Time over which prompts are averaged. The young programs of a burst must not pass for what
-/// programs are like.
+/// Time that the average prompt covers. The young programs of a burst must not count as typical
+/// ones.
 const PROMPTS_AVERAGED_OVER: Duration = Duration::from_secs(60);
 
-/// What is left of the counts of turns and beginnings after each turn. Their ratio must outlast a
-/// burst, at whose start there are many beginnings and few later turns.
+/// Factor on the counts of turns and first turns after each turn. Their ratio must outlast a burst,
+/// which starts with many first turns and few later ones.
 const COUNT_RETENTION: f64 = 1.0 - 1.0 / 512.0;
 
-/// Turns that a program is taken to have before any is known.
+/// Turns per program that are assumed before any is known.
 const FIRST_TURNS: f64 = 4.0;
 
-/// Most turns that a program is taken to have.
+/// Maximum number of turns per program that is assumed.
 const MOST_TURNS: f64 = 32.0;
 
-/// Pause between turns before any is known.
+/// Pause between turns that is assumed before any is known.
 const FIRST_PAUSE: Duration = Duration::from_millis(200);
 
-/// Pauses after which a program that has not come back counts as ended, or gone to another
-/// gateway.
+/// Number of pauses after which a program that has not returned counts as ended, or as moved to
+/// another gateway.
 const EXPIRY_FACTOR: f64 = 2.5;
 
-/// Bounds of that time. With a longer one, the pause between two turns that had others at other
-/// gateways between them would be taken for one pause.
+/// Bounds of that time. With a longer one, the time between two turns with other turns at other
+/// gateways in between would count as one pause.
 const SHORTEST_EXPIRY: Duration = Duration::from_millis(150);
 const LONGEST_EXPIRY: Duration = Duration::from_secs(1);
 
-/// An average that follows its samples.
+/// Average over the latest samples.
 #[derive(Clone, Copy, Debug, Default)]
 struct Average {
     value: f64,
@@ -54,7 +54,7 @@
     }
 }
 
-/// An average in which a second with many samples weighs no more than one with few.
+/// Average in which a second with many samples weighs no more than one with few.
 #[derive(Clone, Copy, Debug, Default)]
 struct TimedAverage {
     value: f64,
@@ -76,7 +76,7 @@
     }
 }
 
-/// What the programs of a route are usually like.
+/// Typical program of a route.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RouteProfile {
     turns: f64,
@@ -88,7 +88,7 @@
 }
 
 impl RouteProfile {
-    /// Notes a turn that begins. `prompt` in tokens.
+    /// Records the start of a turn with a prompt of `prompt` tokens.
     pub(crate) fn note_turn(&mut self, prompt: f64, begins_program: bool, now: Timestamp) {
         self.turns = self.turns * COUNT_RETENTION + 1.0;
         self.beginnings *= COUNT_RETENTION;
@@ -99,24 +99,24 @@
         }
     }
 
-    /// Notes how long a turn took.
+    /// Records the duration of a turn.
     pub(crate) fn note_end(&mut self, taken: Duration) {
         self.turn_seconds.add(taken.as_secs_f64());
     }
 
-    /// Notes the pause before a turn of a program that came back to this gateway.
+    /// Records the pause before a turn of a program that returned to this gateway.
     pub(crate) fn note_pause(&mut self, pause: Duration) {
         self.pause_seconds.add(pause.as_secs_f64());
     }
 
-    /// Turns of a program.
+    /// Returns the mean number of turns per program.
     fn turns_per_program(&self) -> f64 {
         let turns = (self.turns + FIRST_TURNS) / (self.beginnings + 1.0);
         turns.clamp(1.0, MOST_TURNS)
     }
 
-    /// Tokens by which a prompt grows in a program's life: the average prompt is that of the middle
-    /// turn.
+    /// Returns the number of tokens by which a prompt grows in a program's life. The average prompt
+    /// is that of the middle turn.
     pub(crate) fn growth(&self) -> f64 {
         match (self.first_prompt.get(), self.prompt.get()) {
             (Some(first), Some(average)) => (2.0 * (average - first)).max(0.0),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The share of its life that a program has behind it, by how far its prompt has grown.
+    /// Returns the share of its life that a program has completed, by the growth of its prompt.
     pub(crate) fn age(&self, prompt: f64) -> f64 {
         let growth = self.growth();
         let first = self.first_prompt.get().unwrap_or(prompt);
@@ -134,8 +134,8 @@
         ((prompt - first) / growth).clamp(0.0, 1.0)
     }
 
-    /// How likely a program has a next turn. Where prompts do not grow they say nothing of that, and
-    /// one turn in as many as programs have is the last.
+    /// Returns the probability that a program has a next turn. Prompts that do not grow give no
+    /// information; then one turn out of the mean number of turns is the last.
     pub(crate) fn goes_on(&self, prompt: f64) -> f64 {
         if self.growth() < 1.0 {
             return 1.0 - 1.0 / self.turns_per_program();
@@ -148,21 +148,22 @@
         seconds.map_or(FIRST_PAUSE, Duration::from_secs_f64)
     }
 
-    /// Time after which a program that pauses does not count any more.
+    /// Returns the time after which a paused program is no longer counted.
     pub(crate) fn expiry(&self) -> Duration {
         let expiry = self.pause().mul_f64(EXPIRY_FACTOR);
         expiry.clamp(SHORTEST_EXPIRY, LONGEST_EXPIRY)
     }
 
-    /// How likely a program has not gone on after such a time. Over all times it adds up to one
-    /// pause, so that programs whose next turn goes to another gateway are not counted twice.
+    /// Returns the probability that a program is still pausing after a time. Its integral over all
+    /// times is one pause, so that programs whose next turn goes to another gateway are not counted
+    /// twice.
     pub(crate) fn pauses_still(&self, time: Duration) -> f64 {
         let pauses = time.as_secs_f64() / self.pause().as_secs_f64().max(1e-3);
-        // Pauses differ, but are not so different that most would be short.
+        // Pauses differ, but not so much that most of them are short.
         (1.5 - pauses).clamp(0.0, 1.0)
     }
 
-    /// Time from a program's beginning to its end.
+    /// Returns the time from a program's start to its end.
     pub(crate) fn lifetime(&self) -> Duration {
         let turn = self.turn_seconds.get().unwrap_or(0.0);
         let cycle = Duration::from_secs_f64(turn) + self.pause();
--- a/crates/scheduling/src/shares.rs
+++ b/crates/scheduling/src/shares.rs
@@ -1,32 +1,32 @@
-//! Fair shares of what is there while it is less than what is asked for.
+//! Max-min fair shares of a capacity that is less than the demand.
 //!
-//! Answers the load of one tenant that sends many times its usual: the others, who ask for no
-//! more than before, must get what they got before. Shares are max-min fair: nobody gets more
-//! than asked for, what one does not use is lent to the others, and nobody can get more except
-//! from somebody who has less for their weight.
+//! If one tenant sends many times its normal load, the others, who ask for no more than before,
+//! must get what they got before. With max-min fair shares, no one gets more than it asks for,
+//! unused shares are lent to others, and no one can get more except from someone who has less
+//! relative to its weight.
 
 use luglink_types::{TenantName, Timestamp};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time in which what a tenant asked for is forgotten but for a third. A gateway of a large fleet
-/// gets a program of a tenant now and then only; a shorter time would see no difference between
+/// Time in which a recorded demand decays to about a third. A gateway of a large fleet gets a
+/// program of each tenant only now and then; a shorter time would show no difference between
 /// tenants.
 const MEMORY: Duration = Duration::from_secs(30);
 
-/// Most tenants that are remembered; beyond them those that asked for least are forgotten.
+/// Maximum number of tracked tenants. Beyond it, those with the smallest demands are removed.
 const MOST_TENANTS: usize = 1_024;
 
-/// What somebody asks for.
+/// Demand of one party.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// How much, in any unit.
+    /// Amount, in any unit.
     pub amount: f64,
-    /// How much one gets for another one's 1 while both ask for more.
+    /// Relative share while several parties ask for more.
     pub weight: f64,
 }
 
-/// The weighted max-min fair shares of a capacity, in the order of the demands.
+/// Returns the weighted max-min fair shares of a capacity, in the order of the demands.
 #[must_use]
 pub fn max_min_shares(demands: &[Demand], capacity: f64) -> Vec<f64> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
@@ -46,7 +46,7 @@
     shares
 }
 
-/// What a tenant asked for lately, as of a time.
+/// Recent demand of a tenant, as of a time.
 #[derive(Clone, Copy, Debug)]
 struct Asked {
     amount: f64,
@@ -59,14 +59,14 @@
     }
 }
 
-/// What each tenant asked of this gateway lately.
+/// Recent demand of each tenant at this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct TenantDemands {
     asked: HashMap<Option<TenantName>, Asked>,
 }
 
 impl TenantDemands {
-    /// Notes work that a tenant asks for, served or not.
+    /// Records work that a tenant asks for, served or not.
     pub fn note(&mut self, tenant: Option<&TenantName>, amount: f64, now: Timestamp) {
         if self.asked.len() >= MOST_TENANTS {
             self.forget_least(now);
@@ -79,7 +79,8 @@
         asked.at = now;
     }
 
-    /// The share of its demand that a tenant gets when `served` of all that is asked for can be.
+    /// Returns the share of its demand that a tenant gets if the share `served` of the total demand
+    /// can be met.
     #[must_use]
     pub fn served_share(&self, tenant: Option<&TenantName>, served: f64, now: Timestamp) -> f64 {
         let (tenants, demands): (Vec<_>, Vec<_>) = self
@@ -96,13 +97,13 @@
         }
     }
 
-    /// Tenants that are remembered.
+    /// Returns the number of tracked tenants.
     #[must_use]
     pub fn len(&self) -> usize {
         self.asked.len()
     }
 
-    /// Whether none is.
+    /// Returns true if no tenant is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.asked.is_empty()
@@ -116,7 +117,7 @@
     }
 }
 
-/// All tenants weigh the same.
+/// Gives every tenant the same weight.
 fn equal(amount: f64) -> Demand {
     Demand {
         amount,
--- a/crates/scheduling/src/usual.rs
+++ b/crates/scheduling/src/usual.rs
@@ -1,25 +1,25 @@
-//! What a wait usually is, learned from those that were seen.
+//! Quantiles of waits, learned from completed ones.
 //!
-//! Waits are counted in classes that grow by a constant factor, and older ones fade, so that the
-//! figure follows the load. Callers ask for quantiles that a few very long waits do not shift:
-//! an average, or the longest waits, would follow the very replicas that are to be recognised.
+//! Waits are counted in buckets that grow by a constant factor. Older ones decay, so that the
+//! quantiles follow the load. A few very long waits do not shift quantiles, whereas a mean or a
+//! maximum would follow the very replicas that are to be detected.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Classes for each doubling of a wait.
+/// Buckets for each doubling of a wait.
 const CLASSES_PER_DOUBLING: f64 = 4.0;
 
-/// Classes in all: from one millisecond to about sixteen seconds.
+/// Number of buckets: from one millisecond to about sixteen seconds.
 const CLASSES: usize = 56;
 
 /// Time after which a wait counts half.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Waits, faded ones counted in part, below which nothing is known.
+/// Minimum total weight of the waits for a quantile to be known.
 const FEWEST: f64 = 20.0;
 
-/// Waits of one kind.
+/// Histogram of waits whose weights decay.
 #[derive(Clone, Debug)]
 pub struct Usual {
     weights: [f64; CLASSES],
@@ -36,13 +36,13 @@
 }
 
 impl Usual {
-    /// Notes a wait that is over.
+    /// Records a completed wait.
     pub fn note(&mut self, wait: Duration, now: Timestamp) {
         self.fade(now);
         self.weights[class_of(wait)] += 1.0;
     }
 
-    /// The wait that is not exceeded by `share` of them; `None` while too few are known.
+    /// Returns the wait that is not exceeded by `share` of them, or `None` while too few are known.
     #[must_use]
     pub fn quantile(&self, share: f64, now: Timestamp) -> Option<Duration> {
         if self.weight(now) < FEWEST {
@@ -60,13 +60,13 @@
         Some(place_in(CLASSES - 1, 1.0))
     }
 
-    /// How many waits are known, faded ones counted in part.
+    /// Returns the total weight of the waits after decay.
     #[must_use]
     pub fn weight(&self, now: Timestamp) -> f64 {
         self.weights.iter().sum::<f64>() * fading(now.since(self.faded_at))
     }
 
-    /// These waits and others.
+    /// Returns the sum of two histograms.
     #[must_use]
     pub fn with(&self, other: &Self, now: Timestamp) -> Self {
         let (mut sum, mut other) = (self.clone(), other.clone());
@@ -97,7 +97,7 @@
     class.min(CLASSES - 1)
 }
 
-/// The wait that lies at a part, from 0 to 1, of a class.
+/// Returns the wait at a fraction, from 0 to 1, of a bucket.
 fn place_in(class: usize, part: f64) -> Duration {
     let doublings = (class as f64 + part) / CLASSES_PER_DOUBLING;
     Duration::from_secs_f64(doublings.exp2() / 1_000.0)
--- a/crates/scheduling/src/waits.rs
+++ b/crates/scheduling/src/waits.rs
@@ -1,4 +1,4 @@
-//! What a gateway has learned of its routes' waits.
+//! Waits that a gateway has observed on its routes.
 
 use crate::moves::{ExtraSends, FEW_UNUSUAL, QUICKEST_SHARE, USUAL_SHARE, UsualWait};
 use crate::usual::Usual;
@@ -7,18 +7,18 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Requests of a route that may move, of all: more than the share of replicas that misbehave at
-/// once, and far fewer than would move if all were slow.
+/// Maximum ratio of a route's requests that may move: more than the share of replicas that
+/// misbehave at once, and far fewer than would move if all were slow.
 const MOVED_SHARE: f64 = 0.15;
 
-/// Requests that go to a second replica early, of all.
+/// Maximum ratio of requests that are hedged early.
 const HEDGED_SHARE: f64 = 0.05;
 
-/// Share of waits at sound replicas that are given up.
+/// Ratio of waits at healthy replicas that are abandoned.
 const SOUND_VAIN: f64 = 0.01;
 
-/// Weight of a new wait in the share of unusual ones: about twenty count, so that it changes
-/// within moments of a burst.
+/// Weight of a new wait in the ratio of outliers. The average covers about twenty waits, so that it
+/// changes within moments of a burst.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
 /// Waits of all routes.
@@ -31,15 +31,15 @@
 #[derive(Clone, Debug)]
 pub struct RouteWaits {
     first_events: Usual,
-    /// Waits for first events that were given up.
+    /// Waits for first events that were abandoned.
     vain: Usual,
     pauses: Usual,
     answers: Usual,
-    /// Share of the latest waits for first events that were unusual.
+    /// Ratio of outliers in the latest waits for first events.
     unusual_share: f64,
-    /// Moves that the route's requests have earned.
+    /// Budget for moves of the route's requests.
     pub moves: ExtraSends,
-    /// Early second sends that the route's requests have earned.
+    /// Budget for early hedges of the route's requests.
     pub hedges: ExtraSends,
 }
 
@@ -58,12 +58,12 @@
 }
 
 impl Waits {
-    /// Those of a route.
+    /// Returns the waits of a route.
     pub fn route(&mut self, route: &Route) -> &mut RouteWaits {
         self.routes.entry(route.name.clone()).or_default()
     }
 
-    /// Forgets routes that are not in force any more.
+    /// Removes routes that are no longer configured.
     pub fn keep_only(&mut self, configuration: &Configuration) {
         let names = configuration.route_names();
         self.routes.retain(|name, _| names.contains(name.as_str()));
@@ -71,21 +71,21 @@
 }
 
 impl RouteWaits {
-    /// Notes the time from a send to the first event. `aim` stands for what is usual while too
-    /// few are known.
+    /// Records the time from a send to the first event. The distribution is derived from the
+    /// latency `target` while too few waits are known.
     pub fn note_first_event(&mut self, wait: Duration, aim: Duration, now: Timestamp) {
         let is_unusual = self.first_event(aim, now).is_exceeded_by(wait);
         self.count_unusual(is_unusual);
         self.first_events.note(wait, now);
     }
 
-    /// Notes the time from a send until nobody waited for its first event any more.
+    /// Records the time from a send until its first event was no longer awaited.
     pub fn note_vain(&mut self, wait: Duration, now: Timestamp) {
         self.count_unusual(true);
         self.vain.note(wait, now);
     }
 
-    /// Share of the latest waits for first events that were unusual.
+    /// Returns the ratio of outliers in the latest waits for first events.
     #[must_use]
     pub fn unusual_share(&self) -> f64 {
         self.unusual_share
@@ -96,17 +96,18 @@
         self.unusual_share += SAMPLE_WEIGHT * (sample - self.unusual_share);
     }
 
-    /// Notes a pause between two events.
+    /// Records a pause between two events.
     pub fn note_pause(&mut self, pause: Duration, now: Timestamp) {
         self.pauses.note(pause, now);
     }
 
-    /// Notes the time from a send to a whole answer, or until nobody waited for it any more.
+    /// Records the time from a send to the complete answer, or until it was no longer awaited.
     pub fn note_answer(&mut self, wait: Duration, now: Timestamp) {
         self.answers.note(wait, now);
     }
 
-    /// What waits for first events are like. `aim` stands for them while too few are known.
+    /// Returns the distribution of the waits for first events. It is derived from the latency
+    /// `target` while too few waits are known.
     #[must_use]
     pub fn first_event(&self, aim: Duration, now: Timestamp) -> UsualWait {
         let median = self.sound_quantile(0.5, now);
@@ -117,10 +118,10 @@
         }
     }
 
-    /// A quantile of the first events of replicas that are well. Waits given up are put down to
-    /// the others while they are few, except for as many as sound replicas bring about: were
-    /// those left out too, waits would look shorter and shorter. When they are many, all replicas
-    /// are slow, and they count like the rest.
+    /// Returns a quantile of the first events of healthy replicas. While few waits are abandoned,
+    /// they are attributed to other replicas, except for as many as healthy replicas cause: if
+    /// those were left out too, waits would look shorter and shorter. If many are abandoned, all
+    /// replicas are slow, and these waits count like the rest.
     fn sound_quantile(&self, share: f64, now: Timestamp) -> Option<Duration> {
         let (answered, vain) = (self.first_events.weight(now), self.vain.weight(now));
         if vain > FEW_UNUSUAL * (vain + answered) {
@@ -131,25 +132,25 @@
         self.first_events.quantile(share, now)
     }
 
-    /// What the quickest first events take, once enough are known.
+    /// Returns the time of the fastest first events, once enough are known.
     #[must_use]
     pub fn quickest_first_event(&self, now: Timestamp) -> Option<Duration> {
         self.first_events.quantile(QUICKEST_SHARE, now)
     }
 
-    /// Half of the pauses between events do not exceed it.
+    /// Returns the median pause between events.
     #[must_use]
     pub fn median_pause(&self, now: Timestamp) -> Option<Duration> {
         self.pauses.quantile(0.5, now)
     }
 
-    /// A usual pause between events.
+    /// Returns the 90th percentile of the pauses between events.
     #[must_use]
     pub fn usual_pause(&self, now: Timestamp) -> Option<Duration> {
         self.pauses.quantile(USUAL_SHARE, now)
     }
 
-    /// A usual time to a whole answer.
+    /// Returns the 90th percentile of the times to a complete answer.
     #[must_use]
     pub fn usual_answer(&self, now: Timestamp) -> Option<Duration> {
         self.answers.quantile(USUAL_SHARE, now)
--- a/crates/scheduling/src/zone_trend.rs
+++ b/crates/scheduling/src/zone_trend.rs
@@ -1,35 +1,36 @@
-//! The requests that a zone has under way now, from sums that are averages of the past.
+//! Estimate of the requests that a zone has in flight now, from averages of the past.
 //!
-//! Answers the first seconds of a burst: the sums that gateways are told lag by the time over
-//! which they are averaged, and in that time far too many programs would begin.
+//! The sums that gateways receive lag by the time over which they are averaged. In the first
+//! seconds of a burst, far too many programs would start in that time.
 
 use crate::admission::ZoneRequests;
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Time over which gateways average what they have under way.
+/// Time constant with which gateways average their requests in flight.
 const AVERAGED_OVER: Duration = Duration::from_secs(1);
 
-/// Weight of a new slope: two or three sums, so that chance does not pass for a burst.
+/// Weight of a new slope. The average covers two or three sums, so that random variation does not
+/// count as a burst.
 const SLOPE_WEIGHT: f64 = 0.4;
 
-/// Time between two sums from which nothing is known of what was between them.
+/// Time between two sums from which nothing is known of the time between them.
 const GAP: Duration = Duration::from_secs(2);
 
-/// Shortest time between two sums that tells a slope.
+/// Minimum time between two sums for a slope.
 const SHORTEST_STEP: Duration = Duration::from_millis(50);
 
-/// Follows the sums of one service.
+/// Trend of the sums of one service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ZoneTrend {
     requests: f64,
-    /// Requests in a second by which the sum changes.
+    /// Change of the sum, in requests per second.
     slope: f64,
     told_at: Option<Timestamp>,
 }
 
 impl ZoneTrend {
-    /// Takes a newer sum.
+    /// Records a newer sum.
     pub fn take(&mut self, requests: f64, now: Timestamp) {
         let step = self.told_at.map(|told_at| now.since(told_at));
         match step {
@@ -46,8 +47,8 @@
         }
     }
 
-    /// What is under way now. An average that changes by so much in a second is behind by that
-    /// times the time that it is taken over.
+    /// Returns the estimated requests in flight now. An average that changes at a constant rate
+    /// lags by that rate times its time constant.
     #[must_use]
     pub fn now(&self, now: Timestamp) -> Option<ZoneRequests> {
         let age = now.since(self.told_at?);
--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -1,4 +1,4 @@
-//! New programs before engines whose memory does not hold them all.
+//! Admission of new programs at engines whose memory does not hold all of them.
 
 mod engine;
 mod fleet;
@@ -17,10 +17,11 @@
 const BURST_TO_MS: u64 = 21_000;
 const DAY_MS: u64 = 34_000;
 
-/// Different arrivals of the same load.
+/// Seeds for different arrivals of the same load.
 const SEEDS: [u64; 3] = [1, 11, 21];
 
-/// Digests at five times their rate for six seconds, on engines of which a fifth is gone.
+/// Digests at five times their rate for six seconds, at engines that have lost a fifth of their
+/// replicas.
 fn digests_at_five_times(seed: u64) -> Vec<Wanted> {
     together(vec![
         arrivals(&DRAFT, 17.5, 0, DAY_MS, seed),
@@ -33,8 +34,8 @@
     (BURST_FROM_MS..BURST_TO_MS).contains(&wanted.at)
 }
 
-/// Share of the burst's digests that the memory holds at once when the youngest of them have
-/// begun, beside drafts.
+/// Returns the share of the burst's digests that the memory holds, besides the drafts, when the
+/// youngest of them have started.
 fn allowed_share(offered: f64) -> f64 {
     let cycle_ms = 300.0 + DIGEST.pause_ms as f64;
     let seconds = (BURST_TO_MS - BURST_FROM_MS) as f64 / 1_000.0;
@@ -74,7 +75,7 @@
         let offered = wanted.iter().filter(|wanted| digests(wanted)).count() as f64;
         let allowed = allowed_share(offered);
         println!("allowed {allowed:.3}");
-        // The harm on the plain way: prompts give way, and few end in time.
+        // Without admission control, prompts are evicted and few programs end in time.
         assert!(plain.gave_way as f64 > offered);
         assert!(plain.share(&wanted, End::InTime, digests) < 0.5 * allowed);
         let in_time = kept.share(&wanted, End::InTime, digests);
@@ -212,7 +213,7 @@
 fn who_comes_back_goes_before_new_ones() {
     let route = route(1);
     let mut intake = ProgramIntake::default();
-    // Short, but not full.
+    // Short of memory, but not full.
     let demand = demand(89_000.0, 10.0);
     let mut asks = |place: f64, at: u64| {
         let newcomer = newcomer(&route, place);
@@ -223,7 +224,7 @@
     assert!((0.25..0.7).contains(&first.share), "{}", first.share);
     assert!(first.refused_for.is_some());
     assert_eq!(asks(0.8, 500).refused_for, None);
-    // New ones of the same place are still refused, and so is it once it has been let in.
+    // A new program with a similar draw is still refused.
     assert!(asks(0.801, 600).refused_for.is_some());
 }
 
@@ -250,7 +251,7 @@
 }
 
 proptest! {
-    /// Under the same load whoever is let in would be let in with a more urgent kind too.
+    /// Under the same load, an admitted program would be admitted at a more urgent priority too.
     #[test]
     fn a_more_urgent_kind_is_let_in_wherever_a_less_urgent_one_is(
         tokens in 0.0..150_000.0_f64,
@@ -269,7 +270,7 @@
         prop_assert!(urgent >= patient);
     }
 
-    /// Never longer than a third of what the caller has left, and spread.
+    /// The retry delay is at most a third of the caller's remaining time.
     #[test]
     fn a_refusal_names_a_time_that_helps(
         tokens in 100_000.0..1_000_000.0_f64,
--- a/crates/scheduling/tests/engine/mod.rs
+++ b/crates/scheduling/tests/engine/mod.rs
@@ -1,14 +1,14 @@
-//! An arithmetic stand-in for the engines of a zone: memory, slots and reading speed, in steps.
+//! Model of a zone's engines with memory, slots and reading speed, in discrete steps.
 
 /// Length of a step, in milliseconds.
 pub const STEP_MS: u64 = 10;
 
-/// What one program does.
+/// Work of one program.
 #[derive(Clone, Debug)]
 pub struct Work {
     pub id: usize,
     pub priority: u8,
-    /// Tokens of its prompt in the turn at hand.
+    /// Prompt tokens of the current turn.
     pub prompt: u64,
     pub growth: u64,
     pub turns_left: u32,
@@ -29,7 +29,7 @@
     used: u64,
 }
 
-/// What happened to a program in a step.
+/// Change of a program in a step.
 pub enum Event {
     TurnBegins(Work),
     TurnEnds(Work),
@@ -41,13 +41,14 @@
     pub read_per_ms: u64,
     pub decode_ms: u64,
     programs: Vec<Held>,
-    /// Tokens read again, and prompts that gave way.
+    /// Tokens read again, and evicted prompts.
     pub read_again: u64,
     pub gave_way: u64,
 }
 
 impl Engines {
-    /// Replicas with 16 slots, memory for 135,554 tokens, that read 54 tokens a millisecond.
+    /// Creates replicas with 16 slots and memory for 135,554 tokens, which read 54 tokens a
+    /// millisecond.
     pub fn new(replicas: u64) -> Self {
         Self {
             memory: replicas * 135_554,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The prompts that were used longest ago give way to those that are read.
+    /// Evicts the least recently used prompts for those that are read.
     fn give_way(&mut self) {
         let needs = |held: &&Held| held.is_cached || matches!(held.state, State::Running { .. });
         let mut used: u64 = self
--- a/crates/scheduling/tests/expected_finish.rs
+++ b/crates/scheduling/tests/expected_finish.rs
@@ -1,4 +1,4 @@
-//! Which replica gets a request when replicas are unequal, and turn slow.
+//! Choice between replicas that differ in speed and turn slow.
 
 mod support;
 
@@ -14,7 +14,7 @@
 
 const UNTIL_MS: u64 = 72_000;
 
-/// Times what its speed earns that an engine may have.
+/// Maximum load of an engine relative to its share by speed.
 const BOUND: f64 = 1.25;
 
 fn play(by_finish: bool, seed: u64) -> Seen {
@@ -46,7 +46,7 @@
     sorted[(sorted.len() as f64 * share) as usize]
 }
 
-/// Most requests at an engine over what its speed earns.
+/// Returns the maximum load of an engine relative to its share by speed.
 fn busiest(seen: &Seen) -> f64 {
     let requests = seen.occupied.iter().sum::<usize>() as f64;
     let speeds: f64 = (0..ENGINES).map(speed).sum();
@@ -57,7 +57,8 @@
     shares.fold(0.0, f64::max)
 }
 
-/// Turns that engines earn, with the bound, while they have been slow for a second.
+/// Returns the maximum number of turns for engines that have been slow for a second, by their share
+/// and the bound.
 fn earned_at_slow(seen: &Seen) -> f64 {
     let speeds: f64 = (0..ENGINES).map(speed).sum();
     let per_ms = seen.began as f64 / UNTIL_MS as f64;
@@ -98,7 +99,7 @@
     }
 }
 
-/// A view in which every engine has so many requests and such a pause between events.
+/// Returns a view with the requests and the pause between events of each engine.
 fn view(of: impl Fn(usize) -> (u32, u32)) -> Sights {
     let sight = |engine| {
         let (requests, step_millis) = of(engine);
@@ -113,7 +114,7 @@
     Sights((0..ENGINES).map(sight).collect())
 }
 
-/// Marks all engines as used, so that all are weighed.
+/// Marks all engines as used, so that all are compared.
 fn use_all(pool: &mut Pool) {
     for engine in 0..ENGINES {
         pool.note_connected(&id(engine));
@@ -192,7 +193,7 @@
         let mut sights = view(|_| (2, 40));
         sights.0[4].witnesses = witnesses;
         sights.0[4].troubles_tenths = troubles_tenths;
-        // A replica that hangs gives no events.
+        // A replica that hangs sends no events.
         sights.0[4].samples_tenths = 10;
         pool.take_view(&sights, NOW);
         chosen(&pool, &wish, NOW) == holder
@@ -262,7 +263,7 @@
         assert_eq!(drawn.len(), 2);
         homes.extend(drawn.into_iter().map(|backend| backend.id));
     }
-    // The working set is 16 while nothing is known of the load, and half of it is for one part.
+    // The working set has 16 replicas while the load is unknown, and half of it serves one part.
     assert!(homes.len() <= 8, "{}", homes.len());
     let mut pool = pool(true);
     pool.take_view(&Sights::default(), NOW);
--- a/crates/scheduling/tests/fleet/mod.rs
+++ b/crates/scheduling/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! A zone's gateways before the arithmetic engines: each lets programs in by what it knows.
+//! Model of a zone's gateways in front of modelled engines: each admits programs by its own
+//! observations.
 
 use crate::engine::{Engines, Event, STEP_MS, Work};
 use luglink_edge::{Route, RouteKind, Target};
@@ -11,13 +12,13 @@
 
 const GATEWAYS: usize = 18;
 const REPLICAS: u64 = 10;
-/// Time between two sums of the zone's requests, and over which these are averaged.
+/// Interval between two sums of the zone's requests, and time constant of their average.
 const NEWS_MS: u64 = 250;
 const AVERAGED_MS: f64 = 1_000.0;
-/// Retries of a caller.
+/// Number of retries of a caller.
 const RETRIES: u32 = 1;
 
-/// A kind of program.
+/// Kind of program.
 #[derive(Clone)]
 pub struct Kind {
     pub name: &'static str,
@@ -28,7 +29,7 @@
     pub pause_ms: u64,
 }
 
-/// Three turns.
+/// Program of three turns.
 pub const DRAFT: Kind = Kind {
     name: "draft",
     priority: 0,
@@ -37,7 +38,7 @@
     growth: 1_030,
     pause_ms: 390,
 };
-/// Eleven turns.
+/// Program of eleven turns.
 pub const DIGEST: Kind = Kind {
     name: "digest",
     priority: 2,
@@ -48,7 +49,7 @@
 };
 
 impl Kind {
-    /// Its time on idle engines, in milliseconds.
+    /// Returns the program's time on idle engines, in milliseconds.
     pub fn ideal_ms(&self) -> u64 {
         u64::from(self.turns) * (300 + self.pause_ms)
     }
@@ -76,7 +77,7 @@
     }
 }
 
-/// A program that callers want.
+/// Program that a caller wants to run.
 #[derive(Clone)]
 pub struct Wanted {
     pub at: u64,
@@ -84,7 +85,7 @@
     pub tenant: Option<usize>,
 }
 
-/// What became of a program.
+/// End of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     InTime,
@@ -92,7 +93,7 @@
     Refused,
 }
 
-/// How programs are let in.
+/// Admission policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
     All,
@@ -106,13 +107,13 @@
     intake: ProgramIntake,
 }
 
-/// What came of a load. Each test file looks at some of it.
+/// Result of a load. Each test file uses a part of it.
 #[allow(dead_code)]
 pub struct Outcome {
     pub ends: Vec<End>,
     pub read_again: u64,
     pub gave_way: u64,
-    /// Refusals with their times, those of programs that were let in later included.
+    /// Times of all refusals, including those of programs that were admitted later.
     pub refusals: Vec<u64>,
 }
 
@@ -150,7 +151,7 @@
         xxh3_64(&self.draws.to_le_bytes())
     }
 
-    /// Plays programs in the order of their times.
+    /// Runs programs in the order of their times.
     pub fn play(mut self, wanted: &[Wanted]) -> Outcome {
         let last = wanted.last().map_or(0, |wanted| wanted.at);
         let mut ends = vec![End::Late; wanted.len()];
@@ -243,7 +244,7 @@
         entry.refused_for.map(|_| entry.come_back)
     }
 
-    /// Each turn reaches any gateway.
+    /// Records the start of a turn at its gateway; each turn reaches any of them.
     fn note_turn(&mut self, work: &Work, kind: &Kind, now: u64) {
         let position = self.turn_gateway(work.id, work.turns_left);
         let turn = TurnBegins {
@@ -292,7 +293,7 @@
     }
 }
 
-/// Programs of a kind at random times of an even rate.
+/// Returns programs of a kind at random times with a constant mean rate.
 pub fn arrivals(kind: &Kind, per_s: f64, from_ms: u64, to_ms: u64, seed: u64) -> Vec<Wanted> {
     let mut at = from_ms as f64;
     let mut draws = seed;
@@ -312,7 +313,7 @@
     }
 }
 
-/// Several loads as one.
+/// Merges several loads.
 pub fn together(loads: Vec<Vec<Wanted>>) -> Vec<Wanted> {
     let mut all: Vec<Wanted> = loads.into_iter().flatten().collect();
     all.sort_by_key(|wanted| wanted.at);
--- a/crates/scheduling/tests/held_bytes.rs
+++ b/crates/scheduling/tests/held_bytes.rs
@@ -1,17 +1,17 @@
-//! Callers that stop reading, replayed: what a process holds stays within its bound.
+//! Replay of callers that stop reading: the bytes held by a process stay within its limit.
 
 use luglink_scheduling::{Growth, HeldBound, HeldBytes, HolderId};
 use luglink_types::TenantName;
 use proptest::prelude::*;
 
-/// Memory of the smallest machine, and the part of it that is held for others.
+/// Memory of the smallest machine, and the part of it that may be held for others.
 const MACHINE_BYTES: u64 = 88 << 20;
 const LIMIT: u64 = MACHINE_BYTES / 4;
 
-/// Callers that stop reading at the same time.
+/// Number of callers that stop reading at the same time.
 const STALLED_CALLERS: u64 = 300;
 
-/// What each of them leaves unread: a prompt with its history and the answer to it.
+/// Bytes that each of them leaves unread: a prompt with its history, and the answer to it.
 const BODY_BYTES: u64 = 128 << 10;
 const ANSWER_BYTES: u64 = 256 << 10;
 
@@ -19,8 +19,8 @@
     Some(format!("t{number}").as_str().into())
 }
 
-/// Takes callers that read their answers to no end, 16 KiB of each at a time. Returns how many
-/// were let in and the most that was held.
+/// Admits callers that never read their answers, which grow by 16 KiB at a time. Returns the number
+/// of admitted callers and the maximum number of held bytes.
 fn replay(held: &mut HeldBytes, of: impl Fn(u64) -> Option<TenantName>) -> (usize, u64) {
     let mut open: Vec<HolderId> = Vec::new();
     let mut most = 0;
--- a/crates/scheduling/tests/incarnations.rs
+++ b/crates/scheduling/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! A replica that starts again under its old identifier: nothing that was believed of it holds.
+//! Restart of a replica under its old identifier: earlier observations no longer hold.
 
 use luglink_fleet::{Backend, BackendId, BackendList, Incarnation};
 use luglink_scheduling::{Pool, Wish};
@@ -34,7 +34,7 @@
     pool
 }
 
-/// Times that each of two replicas is chosen for a hundred requests.
+/// Returns how often each of two replicas is chosen for a hundred requests.
 fn choices(pool: &Pool) -> (usize, usize) {
     let chosen = (0..100).map(|draw| {
         let wish = Wish {
--- a/crates/scheduling/tests/load_shedding.rs
+++ b/crates/scheduling/tests/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Which new programs are let in under load.
+//! Admission of new programs under load.
 
 use luglink_edge::{Configuration, Route, RouteKind, Target};
 use luglink_scheduling::{Intake, LoadShedder};
@@ -30,7 +30,7 @@
     }
 }
 
-/// Notes a delay every 20 ms for `seconds`. Returns when that ends.
+/// Records a delay every 20 ms for `seconds`. Returns the end of that time.
 fn run(
     shedder: &mut LoadShedder,
     route: &Route,
@@ -46,7 +46,7 @@
     now
 }
 
-/// Of 1,000 programs, how many are let in.
+/// Returns how many of 1,000 programs are admitted.
 fn let_in(shedder: &mut LoadShedder, route: &Route, now: Timestamp) -> usize {
     let draws = (0..1_000_u64).map(|program| program * (u64::MAX / 1_000));
     draws
@@ -128,7 +128,7 @@
 }
 
 proptest! {
-    /// A program is not let in by trying again, and one that was let in stays so when more are.
+    /// Repeated attempts do not get a program admitted, and an admitted one stays so when more are.
     #[test]
     fn programs_are_treated_alike_at_each_try(draw: u64, seconds in 0_u64..10) {
         let (mut shedder, route) = (LoadShedder::default(), route("r"));
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Turns before replicas of which some keep silent, with and without moves.
+//! Turns at replicas of which some stay silent, with and without moves.
 
 use luglink_edge::{Configuration, Route, RouteKind};
 use luglink_scheduling::{
@@ -12,16 +12,16 @@
 
 const AIM: Duration = Duration::from_millis(200);
 const CALLER_WAITS: Duration = Duration::from_secs(4);
-/// Time for which a replica keeps its requests silent.
+/// Time for which a silent replica sends nothing.
 const SILENCE: Duration = Duration::from_secs(6);
-/// Middle of the first events of sound replicas, and the spread of their logarithm.
+/// Median of the first events of healthy replicas, and the standard deviation of their logarithm.
 const MEDIAN: Duration = Duration::from_millis(146);
 const SPREAD: f64 = 0.59;
-/// Nine in ten first events of sound replicas are as quick.
+/// 90th percentile of the first events of healthy replicas.
 const USUAL: Duration = Duration::from_millis(311);
-/// Reading of a prompt elsewhere, and a connection.
+/// Time to connect to another replica and read a prompt there.
 const ELSEWHERE: Duration = Duration::from_millis(90);
-/// Time for which turns that move keep away from a replica that another one has left.
+/// Time for which turns that move avoid a replica that another one has left.
 const TROUBLE_LASTS: Duration = Duration::from_secs(10);
 const REPLICAS: u64 = 40;
 const TURNS_PER_S: u64 = 10;
@@ -46,15 +46,15 @@
     }
 }
 
-/// Replicas that answer each turn after a time of its own, unless they keep silent.
+/// Replicas that answer each turn after a random time, unless they are silent.
 struct Engines {
     seed: u64,
-    /// Replicas that keep silent.
+    /// Number of silent replicas.
     silent: u64,
     slower: f64,
-    /// All replicas are four times slower in each second stretch of that length.
+    /// All replicas are four times slower in every second interval of that length.
     wave: Option<Duration>,
-    /// Replicas that turns have moved away from, and when.
+    /// Replicas that turns have left, and when.
     troubled: HashMap<u64, Timestamp>,
 }
 
@@ -76,7 +76,7 @@
         (self.draw() * REPLICAS as f64) as u64
     }
 
-    /// Another one, of those that no turn has left lately if there are any.
+    /// Chooses another replica, if possible one that no turn has left lately.
     fn choose_besides(&mut self, first: u64, now: Timestamp) -> u64 {
         self.troubled.insert(first, now);
         self.troubled.retain(|_, at| now.since(*at) < TROUBLE_LASTS);
@@ -89,7 +89,7 @@
     }
 
     fn first_event(&mut self, replica: u64) -> Duration {
-        // The sum of twelve evenly spread numbers is close to a normal one.
+        // The sum of twelve uniform random numbers is close to a normal one.
         let normal: f64 = (0..12).map(|_| self.draw()).sum::<f64>() - 6.0;
         let sound = MEDIAN.mul_f64((normal * SPREAD).exp() * self.slower);
         if replica < self.silent {
@@ -103,7 +103,8 @@
 #[derive(Debug, Default)]
 struct Day {
     turns: u32,
-    /// Without a first event within three times the usual wait and a read elsewhere.
+    /// Turns without a first event within three times the 90th percentile and the time to read a
+    /// prompt elsewhere.
     late: u32,
     at_silent: u32,
     at_silent_late: u32,
@@ -132,7 +133,8 @@
                 at + ELSEWHERE + engines.first_event(other)
             }
         };
-        // What another replica takes that reads the prompt anew is not what is usual.
+        // The time of another replica, which reads the prompt again, is not part of the
+        // distribution.
         if at.is_none() && here < CALLER_WAITS {
             waits.note_first_event(here, AIM, now);
         } else if at.is_none() {
@@ -173,7 +175,7 @@
     }
 }
 
-/// Follows the decisions as a gateway does.
+/// Applies the decisions as a gateway does. Returns the time of the move.
 fn moves_at(from: &Waiting) -> Option<Duration> {
     let mut waiting = *from;
     while waiting.waited < SILENCE {
@@ -206,7 +208,7 @@
     let plain = play(&mut engines(silent), false);
     assert_eq!(plain.at_silent_late, plain.at_silent);
     let moved = play(&mut engines(silent), true);
-    // A usual wait at the second replica is one that nine in ten do not exceed.
+    // Nine in ten waits at the second replica do not exceed the 90th percentile.
     assert!(moved.at_silent_late * 10 <= moved.at_silent, "{moved:?}");
     assert!(moved.late * 3 < plain.late, "{moved:?} {plain:?}");
     assert!(moved.sound_moved * 100 <= moved.sound * 2, "{moved:?}");
@@ -224,7 +226,7 @@
     slow.slower = 5.0;
     let day = play(&mut slow, true);
     assert!(day.moved * 100 <= day.turns * 3, "{day:?}");
-    // Silent replicas by the half are more than moves may make up for.
+    // Moves cannot make up for half of the replicas being silent.
     let day = play(&mut engines(REPLICAS / 2), true);
     assert!(day.moved * 5 <= day.turns + 20, "{day:?}");
 }
@@ -408,7 +410,7 @@
         }
     }
 
-    /// However often a request moves, it is never given to more replicas than allowed.
+    /// However often a request moves, it is never sent to more replicas than allowed.
     #[test]
     fn never_more_replicas_than_allowed(waiting in any_waiting()) {
         let mut waiting = waiting;
--- a/crates/scheduling/tests/patience.rs
+++ b/crates/scheduling/tests/patience.rs
@@ -1,11 +1,11 @@
-//! How long requests wait for what their gateway depends on.
+//! Limits on how long requests wait for their gateway or for free capacity.
 
 use luglink_scheduling::{room_patience, room_pause, start_patience};
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// From the start of a member's process to its fleet's first leader and the news of that, where
-/// processors are slow: seen on days that end with a loss of all power.
+/// Time from the start of a member's process until its fleet's first leader is announced, with slow
+/// processors, after a loss of all power.
 const USUAL_START: Duration = Duration::from_millis(900);
 
 #[test]
--- a/crates/scheduling/tests/placement.rs
+++ b/crates/scheduling/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where a program begins.
+//! Placement of new programs.
 
 use luglink_edge::ReplicaReport;
 use luglink_scheduling::{Placement, place, place_soonest};
@@ -20,7 +20,7 @@
     assert_eq!(report(4, 0, 100).fullness(8), 0.5);
     assert_eq!(report(4, 0, 900).fullness(8), 0.9);
     assert_eq!(report(8, 4, 900).fullness(8), 1.5);
-    // Neither slots nor memory that it does not tell make it look empty or fail.
+    // A replica that reports neither slots nor memory has a fullness of 0.
     assert_eq!(ReplicaReport::default().fullness(0), 0.0);
 }
 
@@ -55,7 +55,7 @@
             }
             Placement::Refuse { come_back, .. } => {
                 prop_assert!(are_full);
-                // Sooner than a program is over, and not at once.
+                // Before a program is over, but not at once.
                 let bounds = Duration::from_millis(125)..Duration::from_secs(2);
                 prop_assert!(bounds.contains(&come_back), "{come_back:?}");
             }
@@ -70,7 +70,7 @@
     let both = [Some(0.1), Some(0.3)];
     assert_eq!(soonest(&both, &[2.0, 1.0]), Placement::At(1));
     assert_eq!(soonest(&both, &[1.0, 2.0]), Placement::At(0));
-    // One that is much fuller is not taken for its speed, nor one that says nothing.
+    // Neither a much fuller candidate nor one without a report is chosen for its speed.
     assert_eq!(
         soonest(&[Some(0.5), Some(0.75)], &[2.0, 1.0]),
         Placement::At(0)
--- a/crates/scheduling/tests/pool.rs
+++ b/crates/scheduling/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Which replica gets a request.
+//! Choice of the replica that serves a request.
 
 use luglink_fleet::{Backend, BackendId, BackendList, GatewayLoad, Incarnation, ServiceLoad};
 use luglink_scheduling::{Pool, Reach, Wish};
@@ -31,7 +31,7 @@
     pool
 }
 
-/// Shows a list in place of the one `before`.
+/// Replaces the list `before`.
 fn show(pool: &mut Pool, before: &BackendList, backends: Vec<Backend>) {
     pool.apply(&before.changes_to(&BackendList::new(backends)));
 }
@@ -109,7 +109,7 @@
     let second = pool.failed(&id("a"), now).unwrap().since(now);
     assert!(second > first);
     assert_eq!(chosen(&pool, &wish(), now).unwrap(), "b");
-    // After its pause it is taken again, at first only when the others have been tried.
+    // After its ejection it is chosen again, at first only if the others have been tried.
     let later = now.plus(second);
     let tried = [id("b")];
     let alone = Wish {
@@ -146,7 +146,7 @@
     show(&mut pool, &BackendList::new(before), after);
     assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "c");
     assert!(!pool.lists(&id("b")));
-    // Requests of replicas that have left end without harm.
+    // Requests at replicas that were removed end without an error.
     pool.end(&id("b"));
 }
 
@@ -176,7 +176,7 @@
         pool.troubled(&id("grey"), now);
         pool.succeeded(&id("grey"), Duration::from_millis(10));
     }
-    // A success ends a pause, but not what is known of the failures.
+    // A success ends an ejection, but does not erase the recorded failures.
     assert_eq!(chosen(&pool, &wish(), now).unwrap(), "sound");
     let later = now.plus(Duration::from_secs(60));
     assert_eq!(chosen(&pool, &wish(), later).unwrap(), "grey");
@@ -259,7 +259,7 @@
             .map(|number| backend(&name(number), zone))
             .collect()
     };
-    // Were this zone to keep its programs, its replicas would have those of smaller zones besides.
+    // If this zone kept its programs, its replicas would also get those of smaller zones.
     let mut backends = in_zone("here", 8);
     backends.extend(in_zone("there", 7));
     let pool = pool(backends);
@@ -325,7 +325,7 @@
     assert_eq!((home.len(), elsewhere.len()), (8, 8));
 }
 
-/// Replicas of two zones.
+/// Returns the replicas of two zones.
 fn large(in_each: usize) -> Vec<Backend> {
     let zone = |zone: &'static str| {
         (0..in_each).map(move |number| backend(&format!("{zone}-{number}"), zone))
@@ -343,7 +343,8 @@
     }
 }
 
-/// A choice weighs those that this gateway has used lately and a drawn one, not the whole fleet.
+/// A choice compares the replicas that this gateway has used lately and a drawn one, not the whole
+/// fleet.
 #[test]
 fn a_choice_looks_at_a_few_replicas_however_many_there_are() {
     for in_each in [50, 500, 5_000, 10_000] {
@@ -377,7 +378,7 @@
     let idle = homes(&pool);
     assert!(idle.len() <= 16, "{}", idle.len());
     let now = Timestamp::from_millis(1_000);
-    // Replicas have ten slots: four hundred places for a hundred requests.
+    // Replicas have ten slots: four hundred slots for a hundred requests.
     pool.follow_zone_load(&load(100), now);
     let busy = homes(&pool);
     assert_eq!(busy.len(), 40);
@@ -435,7 +436,8 @@
     assert_eq!(after.intersection(&before).count(), before.len() - 8);
 }
 
-/// When all that a gateway has used are busy, one more of the working set gets the request.
+/// If all replicas that a gateway has used are busy, another one of the working set gets the
+/// request.
 #[test]
 fn requests_go_to_the_working_set_until_all_of_it_has_been_tried() {
     let pool = pool(large(1_000));
--- a/crates/scheduling/tests/program_table.rs
+++ b/crates/scheduling/tests/program_table.rs
@@ -1,4 +1,4 @@
-//! What programs under way need until they end, and what a zone has under way now.
+//! Memory that running programs need until they end, and requests that a zone has in flight.
 
 use luglink_edge::{Route, RouteKind, Target};
 use luglink_scheduling::{ProgramTable, TurnBegins, ZoneTrend};
@@ -31,7 +31,8 @@
     Timestamp::from_millis(ms)
 }
 
-/// Plays a program of five turns of 100 ms with pauses of as much, from 1,000 to 1,400 tokens.
+/// Runs a program of five turns of 100 ms with pauses of the same length and prompts from 1,000 to
+/// 1,400 tokens.
 fn play(table: &mut ProgramTable, program: u64, from_ms: u64) -> u64 {
     let route = route();
     for turn in 0..5 {
@@ -56,7 +57,7 @@
     for program in 0..20 {
         now = play(&mut table, program, now);
     }
-    // All have ended.
+    // All programs have ended.
     now += 2_000;
     assert_eq!(table.demand("s", at(now)).peak(), 0.0);
     let route = route();
@@ -72,7 +73,7 @@
     assert_eq!((demand.programs, demand.requests), (1.0, 1.0));
     assert_eq!(demand.tokens[0], 1_000.0);
     assert!((1_200.0..1_500.0).contains(&demand.peak()), "{demand:?}");
-    // Nothing of it at another service.
+    // It does not count at another service.
     assert_eq!(table.demand("other", at(now)).programs, 0.0);
 }
 
@@ -108,10 +109,10 @@
     }
     let now = at(7 * 250);
     assert_eq!(steady.now(now).unwrap().requests, 50.0);
-    // It rises by 40 in a second, and is behind by about that.
+    // The sum rises by 40 per second and lags by about that.
     let ahead = rising.now(now).unwrap().requests - 120.0;
     assert!((30.0..=40.0).contains(&ahead), "{ahead}");
-    // A gap says nothing of the trend.
+    // A gap gives no information on the trend.
     rising.take(10.0, at(20_000));
     assert_eq!(rising.now(at(20_000)).unwrap().requests, 10.0);
 }
--- a/crates/scheduling/tests/shares.rs
+++ b/crates/scheduling/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Fair shares of what is there while it is less than what is asked for.
+//! Fair shares of a capacity that is less than the demand.
 
 mod engine;
 mod fleet;
@@ -14,10 +14,10 @@
 const HOT_TO_MS: u64 = 30_000;
 const DAY_MS: u64 = 34_000;
 
-/// Load at which the engines are nearly used up, in times of the usual one.
+/// Load, relative to the normal one, at which the engines are almost fully used.
 const NEARLY_FULL: f64 = 2.0;
 
-/// A day of many tenants, of which one sends so many times its usual for some time.
+/// Load of many tenants, one of which sends `times` its normal load for some time.
 fn day(times: f64, seed: u64) -> Vec<Wanted> {
     let (drafts, digests) = (17.5 * NEARLY_FULL, 9.5 * NEARLY_FULL);
     let mut usual = together(vec![
@@ -45,7 +45,7 @@
     wanted.tenant != Some(HOT) && (HOT_FROM_MS..HOT_TO_MS).contains(&wanted.at)
 }
 
-/// Share of the other tenants' programs that end in time, over several plays.
+/// Returns the mean share of the other tenants' programs that end in time, over several seeds.
 fn served(way: Way, times: f64) -> f64 {
     let seeds = [1, 11, 21];
     let shares = seeds.map(|seed| {
@@ -84,7 +84,7 @@
     assert_eq!(tenants.served_share(None, 0.5, now), 1.0);
     let share = tenants.served_share(Some(&large), 0.5, now);
     assert!((share - 30.0 / 90.0).abs() < 1e-9, "{share}");
-    // All get what they ask for while there is room.
+    // Everyone gets its demand while there is capacity.
     assert_eq!(tenants.served_share(Some(&large), 1.0, now), 1.0);
 }
 
@@ -108,7 +108,7 @@
     prop::collection::vec(demand, 0..20)
 }
 
-/// For rounding.
+/// Tolerance for rounding.
 const SLACK: f64 = 1e-6;
 
 proptest! {
@@ -122,14 +122,14 @@
         let sum: f64 = shares.iter().sum();
         let asked: f64 = demands.iter().map(|demand| demand.amount).sum();
         prop_assert!(sum <= capacity + SLACK);
-        // What one does not use is lent: nothing stays over while somebody asks for it.
+        // Unused shares are lent: no capacity is left while someone asks for it.
         prop_assert!(sum >= capacity.min(asked) - SLACK);
         for (share, demand) in shares.iter().zip(&demands) {
             prop_assert!(*share >= 0.0 && *share <= demand.amount + SLACK);
         }
     }
 
-    /// Who gets less than asked for gets no less for its weight than anybody else.
+    /// A party that gets less than its demand gets no less for its weight than any other.
     #[test]
     fn nobody_could_get_more_except_from_who_has_less(
         demands in demands(),
@@ -160,7 +160,7 @@
         }
     }
 
-    /// A neighbour that asks for more takes nothing from who asks for its fair share or less.
+    /// A party that asks for more takes nothing from one that asks for its fair share or less.
     #[test]
     fn who_asks_for_no_more_than_a_fair_share_gets_it(
         demands in demands(),
--- a/crates/scheduling/tests/support/engine.rs
+++ b/crates/scheduling/tests/support/engine.rs
@@ -1,5 +1,5 @@
-//! An engine in arithmetic: it gives the events of the requests in its batch at a pace that falls
-//! with the batch, after it has read what it does not hold of their prompts.
+//! Model of an engine: it generates the events of the requests in its batch at a pace that falls
+//! with the batch, after it has read the tokens of their prompts that it does not hold.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 pub const SLOTS: u32 = 6;
 /// Events of an answer.
 pub const EVENTS: u32 = 12;
-/// Pause between events of a request that runs alone, at the speed 1.
+/// Pause between events of a lone request, at speed 1.
 const LONE_PAUSE_MS: f64 = 45.0;
 /// Prompt tokens read in the time of an event of ten tokens.
 const TOKENS_READ_PER_EVENT: f64 = 2_500.0;
-/// When gateways suspect a replica that gives no head.
+/// Time after which gateways suspect a replica that sends no response head.
 const SUSPICION_MS: u64 = 500;
 
 pub struct Turn {
@@ -24,7 +24,7 @@
     event_at_ms: u64,
 }
 
-/// What a gateway sees of a turn.
+/// Event of a turn that a gateway observes.
 pub enum Happened {
     First { gateway: usize, wait: Duration },
     Event { gateway: usize, pause: Duration },
@@ -54,7 +54,7 @@
         });
     }
 
-    /// What happens in one tick.
+    /// Advances by one tick and returns the events.
     pub fn advance(&mut self, pace: f64, now_ms: u64) -> Vec<Happened> {
         let running = self.turns.len().min(SLOTS as usize);
         let batch = 1.0 + running as f64 / f64::from(SLOTS);
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A replay of programs at uneven engines.
+//! Replay of programs at engines of different speed.
 
 mod engine;
 
@@ -10,12 +10,12 @@
 use luglink_types::Timestamp;
 
 pub const ENGINES: usize = 45;
-/// Times that a slow engine's events take.
+/// Factor by which events of a slow engine take longer.
 pub const SLOWNESS: f64 = 6.5;
 const GATEWAYS: usize = 17;
 const VIEW_INTERVAL_MS: u64 = 200;
 const SPEEDS: [f64; 3] = [0.6, 1.0, 1.6];
-/// Programs that begin in a second: 150 turns.
+/// Programs that start in a second, which makes 150 turns.
 const PROGRAMS_PER_S: u64 = 25;
 const TURNS: u32 = 6;
 const THINK_MS: u64 = 150;
@@ -23,13 +23,13 @@
 const OWN_TOKENS: u32 = 1_000;
 const NEW_TOKENS: u32 = 150;
 
-/// What happened.
+/// Results of a replay.
 #[derive(Default)]
 pub struct Seen {
     pub turn_ms: Vec<u64>,
     /// Sum over ticks of the requests at each engine.
     pub occupied: Vec<usize>,
-    /// Turns that began, and how many of them at an engine that had been slow for a second.
+    /// Turns that started, and how many of them at an engine that had been slow for a second.
     pub began: usize,
     pub began_at_slow: usize,
 }
@@ -40,7 +40,8 @@
     pub seed: u64,
 }
 
-/// The engine that is slow, another one for 6 s out of every 12, and for how long it has been.
+/// Returns the engine that is slow, another one for 6 s out of every 12, and the time since it
+/// turned slow.
 pub fn slow(now_ms: u64) -> Option<(usize, u64)> {
     let since_ms = (now_ms % 12_000).checked_sub(6_000)?;
     Some((now_ms as usize / 12_000 * 4 % ENGINES, since_ms))
@@ -95,7 +96,7 @@
 }
 
 impl Run {
-    /// Plays programs of some turns each, whose turns reach any gateway.
+    /// Runs programs of several turns, each of which reaches any gateway.
     pub fn play(&self) -> Seen {
         let mut replay = Replay::new(self);
         for now_ms in (0..self.until_ms).step_by(TICK_MS as usize) {
@@ -111,7 +112,7 @@
     }
 }
 
-/// A turn that is due.
+/// Turn that is due.
 struct Due {
     at_ms: u64,
     turns_left: u32,
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Gives the gateways the sum of the interval before, and takes that of now.
+    /// Gives the gateways the sum of the previous interval, and takes the current one.
     fn share_view(&mut self, now_ms: u64) {
         let now = at(now_ms);
         let load = zone_load(&self.engines);
@@ -255,7 +256,7 @@
     }
 }
 
-/// Where a program begins, by the reports of two engines.
+/// Returns the engine at which a program starts, by the reports of two engines.
 fn first_place(pool: &Pool, engines: &[Engine], work: &Work, draw: u64, now: Timestamp) -> usize {
     let drawn = pool.candidates_by_finish("llm", draw, work, 2, now);
     let numbers: Vec<usize> = drawn.iter().map(number).collect();
