--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -73,7 +73,7 @@
 
 /// Capacity of the engines for the callers of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Memory in tokens.
     pub tokens: f64,
     /// Number of requests served concurrently.
@@ -93,11 +93,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetDemand {
     /// Peak memory need in tokens from now until the programs end.
-    pub tokens_under_way: f64,
+    pub peak_tokens: f64,
     /// Number of programs, including paused ones.
-    pub programs_under_way: f64,
+    pub active_programs: f64,
     /// Number of turns in flight.
-    pub requests_under_way: f64,
+    pub requests_in_flight: f64,
     /// Age of the oldest figure in the estimate.
     pub age: Duration,
 }
@@ -131,9 +131,9 @@
 
     fn of(demand: &OwnDemand, age: Duration) -> Self {
         Self {
-            tokens_under_way: demand.peak(),
-            programs_under_way: demand.programs,
-            requests_under_way: demand.requests,
+            peak_tokens: demand.peak(),
+            active_programs: demand.programs,
+            requests_in_flight: demand.requests,
             age,
         }
     }
@@ -141,7 +141,7 @@
 
 /// Program that asks to start.
 #[derive(Clone, Copy, Debug)]
-pub struct Newcomer<'request> {
+pub struct NewProgram<'request> {
     /// Draw of the program, the same on each attempt and at each gateway.
     pub place: u64,
     /// Route of the program.
@@ -160,7 +160,7 @@
 
 /// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShortOf {
+pub enum Shortage {
     /// Memory of the engines.
     Memory,
     /// Slots of the engines.
@@ -169,7 +169,7 @@
     FairShare,
 }
 
-impl ShortOf {
+impl Shortage {
     /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -183,9 +183,9 @@
 
 /// Decision on whether a program may start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct AdmissionDecision {
     /// Reason for the refusal; `None` if the program is admitted.
-    pub refused_for: Option<ShortOf>,
+    pub refused_for: Option<Shortage>,
     /// Utilization relative to the limit of the priority; above 1 no program of the priority is
     /// admitted.
     pub fullness: f64,
@@ -194,10 +194,10 @@
     /// Share of the tenant's programs that is admitted.
     pub tenant_share: f64,
     /// Time after which a refused program should retry.
-    pub come_back: Duration,
+    pub retry_delay: Duration,
 }
 
-impl Entry {
+impl AdmissionDecision {
     /// Returns true if a smaller share is admitted of this tenant's programs than of others.
     #[must_use]
     pub fn is_above_fair_share(&self) -> bool {
@@ -214,33 +214,33 @@
 
 /// Admission control for the new programs of one service.
 #[derive(Clone, Debug, Default)]
-pub struct ProgramIntake {
+pub struct ProgramAdmission {
     /// Time of the last program of each priority.
     kinds: BTreeMap<u8, Timestamp>,
     refused: HashMap<u64, Refused>,
     tenants: BTreeMap<u8, TenantDemands>,
 }
 
-impl ProgramIntake {
+impl ProgramAdmission {
     /// Decides whether a program may start. With `fair_shares`, tenants above their fair share are
     /// refused before others.
     pub fn admit(
         &mut self,
-        newcomer: &Newcomer<'_>,
-        room: Room,
+        newcomer: &NewProgram<'_>,
+        room: Capacity,
         demand: &FleetDemand,
         fair_shares: bool,
         now: Timestamp,
-    ) -> Entry {
+    ) -> AdmissionDecision {
         let priority = newcomer.route.priority;
         self.kinds.insert(priority, now);
         let limit = self.limit(priority, now);
         let memory = fullness(
-            demand.tokens_under_way,
+            demand.peak_tokens,
             newcomer.prompt_tokens as f64,
             room.tokens,
         );
-        let slots = fullness(demand.requests_under_way, 1.0, room.slots);
+        let slots = fullness(demand.requests_in_flight, 1.0, room.slots);
         let fullness = memory.max(slots) / limit;
         let share = share_at(fullness);
         let tenant_share = self.tenant_share(newcomer, fullness, fair_shares, now);
@@ -254,17 +254,17 @@
         };
         let refused_for = match (is_admitted, place < share) {
             (true, _) => None,
-            (false, true) => Some(ShortOf::FairShare),
-            (false, false) if memory >= slots => Some(ShortOf::Memory),
-            (false, false) => Some(ShortOf::Slots),
+            (false, true) => Some(Shortage::FairShare),
+            (false, false) if memory >= slots => Some(Shortage::Memory),
+            (false, false) => Some(Shortage::Slots),
         };
         self.remember(newcomer.place, is_admitted, now);
-        Entry {
+        AdmissionDecision {
             refused_for,
             fullness,
             share,
             tenant_share,
-            come_back: come_back(newcomer, fullness),
+            retry_delay: retry_delay(newcomer, fullness),
         }
     }
 
@@ -278,7 +278,7 @@
 
     fn tenant_share(
         &mut self,
-        newcomer: &Newcomer<'_>,
+        newcomer: &NewProgram<'_>,
         fullness: f64,
         fair_shares: bool,
         now: Timestamp,
@@ -363,7 +363,7 @@
 
 /// Returns the expected time until capacity is free. Programs end at a rate of one per lifetime
 /// each, so that the excess is gone after its share of a lifetime.
-fn come_back(newcomer: &Newcomer<'_>, fullness: f64) -> Duration {
+fn retry_delay(newcomer: &NewProgram<'_>, fullness: f64) -> Duration {
     let too_many = (1.0 - SHORT_FROM / fullness.max(SHORT_FROM)).max(0.0);
     let room_in = newcomer.lifetime.mul_f64(too_many);
     let spread = room_in.max(SHORTEST_PAUSE).mul_f64(0.5 + newcomer.spread);
--- a/crates/scheduling/src/load_shedding.rs
+++ b/crates/scheduling/src/load_shedding.rs
@@ -45,13 +45,13 @@
 
 /// Decision on whether a new program may start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Intake {
+pub enum ShedDecision {
     /// The program may start.
     Admit,
     /// The program is refused in favour of those that have started.
     Refuse {
         /// Time after which it is likely to be admitted.
-        come_back: Duration,
+        retry_delay: Duration,
         /// Share of the route's new programs that is admitted now.
         share: f64,
         /// Ratio of late first events that caused the refusal.
@@ -89,16 +89,16 @@
 
     /// Decides whether a program may start. `draw` identifies the program; equal draws get equal
     /// decisions.
-    pub fn admit(&mut self, route: &Route, draw: u64, now: Timestamp) -> Intake {
+    pub fn admit(&mut self, route: &Route, draw: u64, now: Timestamp) -> ShedDecision {
         let load = self.load(route, now);
         // The upper half of the draw as a number from 0 to 1.
         let place = (draw >> 32) as f64 / f64::from(u32::MAX);
         if place <= load.share {
-            return Intake::Admit;
+            return ShedDecision::Admit;
         }
         let intervals = ((place - load.share) / INCREASE).ceil().max(1.0);
-        Intake::Refuse {
-            come_back: ADJUST_INTERVAL.mul_f64(intervals).min(LONGEST_PAUSE),
+        ShedDecision::Refuse {
+            retry_delay: ADJUST_INTERVAL.mul_f64(intervals).min(LONGEST_PAUSE),
             share: load.share,
             late: load.late,
         }
--- a/crates/scheduling/src/load_view.rs
+++ b/crates/scheduling/src/load_view.rs
@@ -3,7 +3,7 @@
 //! Replicas may turn slow or silent for seconds, while each single gateway has too few answers of
 //! each to notice.
 
-use luglink_fleet::{BackendId, ReplicaKey, ReplicaSight, Sights};
+use luglink_fleet::{BackendId, ReplicaKey, ReplicaStats, StatsReport};
 use luglink_types::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AgedSight {
     /// Observation.
-    pub sight: ReplicaSight,
+    pub sight: ReplicaStats,
     /// Time since the view was taken.
     pub age: Duration,
 }
@@ -27,7 +27,7 @@
 /// Latest observations of the zone's gateways, as reported by a member.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
-    sights: HashMap<ReplicaKey, ReplicaSight>,
+    replica_stats: HashMap<ReplicaKey, ReplicaStats>,
     taken_at: Timestamp,
     /// Average requests at each replica over the time in which its pauses are measured.
     usual_requests: HashMap<ReplicaKey, f64>,
@@ -35,17 +35,17 @@
 
 impl LoadView {
     /// Replaces the view by a newer sum.
-    pub fn take(&mut self, sights: &Sights, now: Timestamp) {
+    pub fn take(&mut self, replica_stats: &StatsReport, now: Timestamp) {
         let weight = self.weight_of_new(now);
-        let usual = sights.0.iter().map(|sight| {
+        let usual = replica_stats.0.iter().map(|sight| {
             let requests = f64::from(sight.in_flight_tenths) / 10.0;
             let before = self.usual_requests.get(&sight.replica);
             let before = before.copied().unwrap_or(requests);
             (sight.replica, before + weight * (requests - before))
         });
         self.usual_requests = usual.collect();
-        let entries = sights.0.iter().map(|sight| (sight.replica, *sight));
-        self.sights = entries.collect();
+        let entries = replica_stats.0.iter().map(|sight| (sight.replica, *sight));
+        self.replica_stats = entries.collect();
         self.taken_at = now;
     }
 
@@ -78,7 +78,7 @@
     #[must_use]
     pub fn sight(&self, id: &BackendId, now: Timestamp) -> Option<AgedSight> {
         let age = self.age(now);
-        let sight = *self.sights.get(&ReplicaKey::of(id))?;
+        let sight = *self.replica_stats.get(&ReplicaKey::of(id))?;
         (age < VIEW_STALE_AFTER).then_some(AgedSight { sight, age })
     }
 }
--- a/crates/scheduling/src/moves.rs
+++ b/crates/scheduling/src/moves.rs
@@ -48,14 +48,14 @@
 
 /// Distribution of the waits of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UsualWait {
+pub struct WaitQuantiles {
     /// Median wait.
     pub median: Duration,
     /// [`P90`] quantile of the waits.
     pub usual: Duration,
 }
 
-impl UsualWait {
+impl WaitQuantiles {
     /// Returns true if a wait for a first event is an outlier.
     #[must_use]
     pub fn is_exceeded_by(&self, wait: Duration) -> bool {
@@ -85,7 +85,7 @@
 
 impl Restart {
     /// Returns the time until the first event of another replica.
-    fn time(&self, wait: &UsualWait) -> Duration {
+    fn time(&self, wait: &WaitQuantiles) -> Duration {
         let step = self.step.unwrap_or(DEFAULT_STEP);
         let reading = step.mul_f64(self.tokens as f64 / TOKENS_READ_PER_STEP);
         wait.median + CONNECTING + reading
@@ -94,7 +94,7 @@
 
 /// Limits on the replicas that may get a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reruns {
+pub struct RerunLimits {
     /// True if the request may run more than once.
     pub is_repeatable: bool,
     /// Replicas that may have run the request, including the current one.
@@ -102,12 +102,12 @@
     /// Maximum number of replicas that may run the request.
     pub max_attempts: u32,
     /// True if there is a replica to which the request was not sent.
-    pub has_other: bool,
+    pub has_untried_replica: bool,
 }
 
 /// Event that a request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Awaited {
+pub enum AwaitedEvent {
     /// First event of the answer.
     FirstEvent {
         /// Time from the send until the program should be finished.
@@ -128,19 +128,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Waiting {
     /// Event that the request waits for.
-    pub awaited: Awaited,
+    pub awaited: AwaitedEvent,
     /// Time that it has waited.
     pub waited: Duration,
     /// Time until its answer is no longer wanted.
     pub left: Duration,
     /// Distribution of the waits for first events of its route.
-    pub first_event: UsualWait,
+    pub first_event: WaitQuantiles,
     /// Ratio of outliers in the latest waits of its route.
-    pub unusual_share: f64,
+    pub outlier_ratio: f64,
     /// Cost of a restart.
     pub restart: Restart,
     /// Limits on the replicas that may get the request.
-    pub reruns: Reruns,
+    pub reruns: RerunLimits,
 }
 
 /// Reason for which a request stays at its replica until it ends.
@@ -204,7 +204,7 @@
     if waiting.waited < from {
         return MoveDecision::WaitOn(from - waiting.waited);
     }
-    if !reruns.has_other || waiting.unusual_share > FEW_UNUSUAL {
+    if !reruns.has_untried_replica || waiting.outlier_ratio > FEW_UNUSUAL {
         return MoveDecision::WaitOn(LOOK_AGAIN);
     }
     MoveDecision::Move {
@@ -216,7 +216,7 @@
 fn unusual_from(waiting: &Waiting, elsewhere: Duration) -> Duration {
     let usual = waiting.first_event.usual;
     match waiting.awaited {
-        Awaited::FirstEvent { program } => {
+        AwaitedEvent::FirstEvent { program } => {
             let worth_it = usual.mul_f64(UNUSUAL_TIMES).max(elsewhere);
             // Latest restart with which the program is still in time. A program that is late in any
             // case moves when the restart pays off.
@@ -225,7 +225,7 @@
             let earliest = usual.mul_f64(URGENT_TIMES);
             worth_it.min(last.max(earliest)).max(SHORTEST_UNUSUAL)
         }
-        Awaited::NextEvent {
+        AwaitedEvent::NextEvent {
             longest,
             usual: pause,
             bearable,
@@ -241,7 +241,7 @@
 /// Returns true if no replica can answer a request with `left` remaining: even the fastest first
 /// events of its route take longer. Nothing is refused while these are unknown.
 #[must_use]
-pub fn is_hopeless(left: Duration, quickest: Option<Duration>) -> bool {
+pub fn cannot_meet_deadline(left: Duration, quickest: Option<Duration>) -> bool {
     quickest.is_some_and(|quickest| left < quickest)
 }
 
--- a/crates/scheduling/src/patience.rs
+++ b/crates/scheduling/src/patience.rs
@@ -16,7 +16,7 @@
 /// Returns the maximum wait for a gateway that has just started and has no configuration yet.
 /// `allowed` is the caller's time limit, if known.
 #[must_use]
-pub fn start_patience(allowed: Option<Duration>) -> Duration {
+pub fn max_startup_wait(allowed: Option<Duration>) -> Duration {
     allowed.map_or(LONGEST_START_PATIENCE, |allowed| {
         LONGEST_START_PATIENCE.min(allowed.mul_f64(PATIENCE_SHARE))
     })
@@ -31,13 +31,13 @@
 
 /// Returns the maximum total wait for capacity, counted from the arrival of the request.
 #[must_use]
-pub fn room_patience(allowed: Duration) -> Duration {
+pub fn max_capacity_wait(allowed: Duration) -> Duration {
     allowed.mul_f64(PATIENCE_SHARE)
 }
 
 /// Returns the delay before the replicas are tried again, after `retries` earlier delays.
 #[must_use]
-pub fn room_pause(pauses: u32) -> Duration {
+pub fn capacity_retry_delay(pauses: u32) -> Duration {
     let doubled = FIRST_ROOM_PAUSE.saturating_mul(2_u32.saturating_pow(pauses.min(16)));
     doubled.min(LONGEST_ROOM_PAUSE)
 }
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -12,7 +12,7 @@
         /// Fullness of the least full candidate.
         fullness: f64,
         /// Time after which to retry.
-        come_back: Duration,
+        retry_delay: Duration,
     },
 }
 
@@ -39,7 +39,7 @@
         Some((position, fullness)) if fullness < limit => Placement::At(position),
         Some((_, fullness)) => Placement::Refuse {
             fullness,
-            come_back: ROOM_INTERVAL.mul_f64(0.5 + fullness.min(4.0) * (0.5 + spread)),
+            retry_delay: ROOM_INTERVAL.mul_f64(0.5 + fullness.min(4.0) * (0.5 + spread)),
         },
     }
 }
--- a/crates/scheduling/src/pool/working_set.rs
+++ b/crates/scheduling/src/pool/working_set.rs
@@ -6,7 +6,7 @@
 //! many replicas as the load needs, with spare capacity, and the same ones at all gateways of the
 //! zone.
 
-use luglink_fleet::SlowlyShrinking;
+use luglink_fleet::DecayingPeak;
 use luglink_types::Timestamp;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 
 /// Number of a zone's replicas that get work.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct WorkingSet(SlowlyShrinking);
+pub(super) struct WorkingSet(DecayingPeak);
 
 impl WorkingSet {
     /// Updates the size by the requests in flight in the zone. `slots` is the number of requests
@@ -39,7 +39,7 @@
     }
 
     /// Grows at once.
-    pub(super) fn widen(&mut self) {
+    pub(super) fn grow_working_set(&mut self) {
         self.0.grow_to(self.size() as f64 * GROWTH);
     }
 
--- a/crates/scheduling/src/program_table.rs
+++ b/crates/scheduling/src/program_table.rs
@@ -25,7 +25,7 @@
 
 /// Start of a turn.
 #[derive(Clone, Copy, Debug)]
-pub struct TurnBegins<'request> {
+pub struct TurnStarted<'request> {
     /// Identifier of the program.
     pub program: u64,
     /// Route of the turn.
@@ -35,7 +35,7 @@
     /// Prompt length in tokens.
     pub prompt_tokens: u64,
     /// True for the first turn of a program.
-    pub begins_program: bool,
+    pub is_first_turn: bool,
 }
 
 /// Demand of the running programs as observed by one gateway.
@@ -114,7 +114,7 @@
 
 impl ProgramTable {
     /// Records the start of a turn. Each one must be followed by [`Self::end_turn`].
-    pub fn begin_turn(&mut self, turn: &TurnBegins<'_>, now: Timestamp) {
+    pub fn begin_turn(&mut self, turn: &TurnStarted<'_>, now: Timestamp) {
         // The sample precedes the new turn: afterwards there is always at least one in flight.
         let usual = self.usual.get(turn.service);
         if usual.is_none_or(|usual| now.since(usual.at) >= SAMPLE_INTERVAL) {
@@ -123,7 +123,7 @@
         self.note(turn, now);
     }
 
-    fn note(&mut self, turn: &TurnBegins<'_>, now: Timestamp) {
+    fn note(&mut self, turn: &TurnStarted<'_>, now: Timestamp) {
         let prompt = turn.prompt_tokens as f64;
         if !self.profiles.contains_key(&turn.route.name) {
             let name = turn.route.name.clone();
@@ -132,7 +132,7 @@
         let Some(profile) = self.profiles.get_mut(&turn.route.name) else {
             return;
         };
-        profile.note_turn(prompt, turn.begins_program, now);
+        profile.note_turn(prompt, turn.is_first_turn, now);
         if let Some(program) = self.programs.get_mut(&turn.program) {
             if program.in_flight == 0 {
                 profile.note_pause(now.since(program.seen));
@@ -197,7 +197,7 @@
     /// Returns the average of recent results of [`Self::demand`]: the demand behind each request in
     /// flight at a gateway that has few at a time.
     #[must_use]
-    pub fn usual_demand(&self, service: &str) -> OwnDemand {
+    pub fn average_demand(&self, service: &str) -> OwnDemand {
         let usual = self.usual.get(service);
         usual.map(|usual| usual.average).unwrap_or_default()
     }
--- a/crates/scheduling/src/waits.rs
+++ b/crates/scheduling/src/waits.rs
@@ -1,6 +1,6 @@
 //! Waits that a gateway has observed on its routes.
 
-use crate::moves::{ExtraSends, FEW_UNUSUAL, QUICKEST_SHARE, USUAL_SHARE, UsualWait};
+use crate::moves::{ExtraSends, FEW_UNUSUAL, QUICKEST_SHARE, USUAL_SHARE, WaitQuantiles};
 use crate::usual::Usual;
 use luglink_edge::{Configuration, Route};
 use luglink_types::Timestamp;
@@ -36,7 +36,7 @@
     pauses: Usual,
     answers: Usual,
     /// Ratio of outliers in the latest waits for first events.
-    unusual_share: f64,
+    outlier_ratio: f64,
     /// Budget for moves of the route's requests.
     pub moves: ExtraSends,
     /// Budget for early hedges of the route's requests.
@@ -50,7 +50,7 @@
             vain: Usual::default(),
             pauses: Usual::default(),
             answers: Usual::default(),
-            unusual_share: 0.0,
+            outlier_ratio: 0.0,
             moves: ExtraSends::new(MOVED_SHARE),
             hedges: ExtraSends::new(HEDGED_SHARE),
         }
@@ -80,20 +80,20 @@
     }
 
     /// Records the time from a send until its first event was no longer awaited.
-    pub fn note_vain(&mut self, wait: Duration, now: Timestamp) {
+    pub fn note_abandoned(&mut self, wait: Duration, now: Timestamp) {
         self.count_unusual(true);
         self.vain.note(wait, now);
     }
 
     /// Returns the ratio of outliers in the latest waits for first events.
     #[must_use]
-    pub fn unusual_share(&self) -> f64 {
-        self.unusual_share
+    pub fn outlier_ratio(&self) -> f64 {
+        self.outlier_ratio
     }
 
     fn count_unusual(&mut self, is_unusual: bool) {
         let sample = f64::from(u8::from(is_unusual));
-        self.unusual_share += SAMPLE_WEIGHT * (sample - self.unusual_share);
+        self.outlier_ratio += SAMPLE_WEIGHT * (sample - self.outlier_ratio);
     }
 
     /// Records a pause between two events.
@@ -109,12 +109,12 @@
     /// Returns the distribution of the waits for first events. It is derived from the latency
     /// `target` while too few waits are known.
     #[must_use]
-    pub fn first_event(&self, aim: Duration, now: Timestamp) -> UsualWait {
+    pub fn first_event(&self, aim: Duration, now: Timestamp) -> WaitQuantiles {
         let median = self.sound_quantile(0.5, now);
         let usual = self.sound_quantile(USUAL_SHARE, now);
         match (median, usual) {
-            (Some(median), Some(usual)) => UsualWait { median, usual },
-            _ => UsualWait::expected(aim),
+            (Some(median), Some(usual)) => WaitQuantiles { median, usual },
+            _ => WaitQuantiles::expected(aim),
         }
     }
 
@@ -146,13 +146,13 @@
 
     /// Returns the 90th percentile of the pauses between events.
     #[must_use]
-    pub fn usual_pause(&self, now: Timestamp) -> Option<Duration> {
+    pub fn p90_pause(&self, now: Timestamp) -> Option<Duration> {
         self.pauses.quantile(USUAL_SHARE, now)
     }
 
     /// Returns the 90th percentile of the times to a complete answer.
     #[must_use]
-    pub fn usual_answer(&self, now: Timestamp) -> Option<Duration> {
+    pub fn p90_answer_time(&self, now: Timestamp) -> Option<Duration> {
         self.answers.quantile(USUAL_SHARE, now)
     }
 }
