--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -13,7 +13,7 @@
 //! share. The draw depends on the program's name and is the same at each gateway. Each refusal
 //! lowers it, so that returning programs go before new ones.
 
-use crate::program_table::OwnDemand;
+use crate::program_table::LocalDemand;
 use crate::shares::TenantDemands;
 use luglink_edge::{Configuration, Route};
 use luglink_types::{TenantName, Timestamp};
@@ -22,54 +22,54 @@
 
 /// Maximum share of the engines' memory or slots that programs may need. Above it, differences
 /// between replicas cause evictions at the fuller ones.
-const LIMIT: f64 = 0.95;
+const MAX_UTILIZATION: f64 = 0.95;
 
 /// Fullness, relative to the limit, above which some programs are refused.
-const SHORT_FROM: f64 = 0.9;
+const PARTIAL_ADMISSION_THRESHOLD: f64 = 0.9;
 
 /// Share of the limit that is reserved for each more urgent priority.
-const KEPT_FOR_URGENT: f64 = 0.17;
+const URGENT_RESERVE_RATIO: f64 = 0.17;
 
 /// Maximum number of more urgent priorities with a reserve.
-const MOST_URGENT_KINDS: usize = 3;
+const MAX_URGENT_RESERVES: usize = 3;
 
 /// Time for which a priority keeps its reserve after its last program.
-const URGENT_MEMORY: Duration = Duration::from_secs(10);
+const URGENT_RESERVE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Share of the capacity that is withheld from tenants above their fair share, so that they are
 /// refused before others.
-const KEPT_FROM_EXCESS: f64 = 0.25;
+const EXCESS_RESERVE_RATIO: f64 = 0.25;
 
-/// Share of its demand up to which the fair share of a tenant counts as exceeded. A gateway sees so
-/// few programs of each tenant that some ask for twice as much as others by chance.
-const EXCESS_SHARE: f64 = 0.5;
+/// A tenant exceeds its fair share if that share covers at most this part of its demand. A gateway
+/// sees so few programs of each tenant that some ask for twice as much as others by chance.
+const MAX_EXCESS_SERVED_RATIO: f64 = 0.5;
 
 /// Sum of the fair shares, relative to the total demand, while capacity is short.
-const SERVED_WHEN_SHORT: f64 = 0.85;
+const SERVED_DEMAND_RATIO: f64 = 0.85;
 
 /// Factor on a program's draw for each refusal. After one refusal, a program is admitted as soon as
 /// a quarter of the new ones are.
-const PLACE_AFTER_REFUSAL: f64 = 0.25;
+const REFUSAL_DRAW_FACTOR: f64 = 0.25;
 
 /// Time for which a refused program is remembered; longer than the retry delays that callers get.
-const REFUSED_MEMORY: Duration = Duration::from_secs(10);
+const REFUSAL_RETENTION: Duration = Duration::from_secs(10);
 
 /// Maximum number of refused programs that are remembered.
-const MOST_REFUSED: usize = 8_192;
+const MAX_REFUSED_PROGRAMS: usize = 8_192;
 
 /// Minimum retry delay after a refusal: a round trip and some turns of other programs.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Maximum retry delay relative to the caller's remaining time. A longer delay leaves too little
 /// time to be served.
-const LONGEST_PAUSE_SHARE: f64 = 1.0 / 3.0;
+const MAX_RETRY_DELAY_RATIO: f64 = 1.0 / 3.0;
 
 /// Age from which the zone's sum is stale.
 const STALE_AFTER: Duration = Duration::from_secs(2);
 
 /// Number of local programs at which the local estimate weighs as much as the zone's sum. The sum
 /// lags by about a second; the error of the local count is its square root.
-const EVEN_TRUST: f64 = 256.0;
+const EQUAL_WEIGHT_PROGRAMS: f64 = 256.0;
 
 /// Capacity of the engines for the callers of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -109,27 +109,27 @@
     /// is the average of `local`.
     #[must_use]
     pub fn estimate(
-        own: OwnDemand,
-        usual: OwnDemand,
+        local: LocalDemand,
+        average: LocalDemand,
         gateways: f64,
         zone: Option<ZoneRequests>,
     ) -> Self {
         if gateways <= 1.0 {
-            return Self::of(&own, Duration::ZERO);
+            return Self::from_demand(&local, Duration::ZERO);
         }
         let zone = zone.filter(|zone| zone.age < STALE_AFTER);
-        let Some(zone) = zone.filter(|_| usual.requests > 0.0) else {
-            let certain = (own.programs - 2.0 * own.programs.sqrt()).max(0.0);
-            let share = certain / own.programs.max(1.0);
-            return Self::of(&own.times(gateways * share), Duration::ZERO);
+        let Some(zone) = zone.filter(|_| average.requests > 0.0) else {
+            let lower_bound = (local.programs - 2.0 * local.programs.sqrt()).max(0.0);
+            let share = lower_bound / local.programs.max(1.0);
+            return Self::from_demand(&local.scaled(gateways * share), Duration::ZERO);
         };
-        let trust = own.programs / (own.programs + EVEN_TRUST);
-        let by_zone = usual.times(zone.requests / usual.requests);
-        let together = by_zone.towards(&own.times(gateways), trust);
-        Self::of(&together, zone.age)
+        let local_weight = local.programs / (local.programs + EQUAL_WEIGHT_PROGRAMS);
+        let zone_estimate = average.scaled(zone.requests / average.requests);
+        let combined = zone_estimate.interpolate(&local.scaled(gateways), local_weight);
+        Self::from_demand(&combined, zone.age)
     }
 
-    fn of(demand: &OwnDemand, age: Duration) -> Self {
+    fn from_demand(demand: &LocalDemand, age: Duration) -> Self {
         Self {
             peak_tokens: demand.peak(),
             active_programs: demand.programs,
@@ -142,8 +142,9 @@
 /// Program that asks to start.
 #[derive(Clone, Copy, Debug)]
 pub struct NewProgram<'request> {
-    /// Draw of the program, the same on each attempt and at each gateway.
-    pub place: u64,
+    /// Hash of the program's name, the same on each attempt and at each gateway. Its upper half is
+    /// the program's draw.
+    pub hash_fraction: u64,
     /// Route of the program.
     pub route: &'request Route,
     /// Tenant of the program.
@@ -207,8 +208,8 @@
 
 /// Refusals of one program.
 #[derive(Clone, Copy, Debug)]
-struct Refused {
-    times: i32,
+struct RefusalRecord {
+    count: i32,
     at: Timestamp,
 }
 
@@ -216,8 +217,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct ProgramAdmission {
     /// Time of the last program of each priority.
-    kinds: BTreeMap<u8, Timestamp>,
-    refused: HashMap<u64, Refused>,
+    last_seen: BTreeMap<u8, Timestamp>,
+    refusals: HashMap<u64, RefusalRecord>,
     tenants: BTreeMap<u8, TenantDemands>,
 }
 
@@ -226,105 +227,109 @@
     /// refused before others.
     pub fn admit(
         &mut self,
-        newcomer: &NewProgram<'_>,
-        room: Capacity,
+        new_program: &NewProgram<'_>,
+        capacity: Capacity,
         demand: &FleetDemand,
         fair_shares: bool,
         now: Timestamp,
     ) -> AdmissionDecision {
-        let priority = newcomer.route.priority;
-        self.kinds.insert(priority, now);
-        let limit = self.limit(priority, now);
+        let priority = new_program.route.priority;
+        self.last_seen.insert(priority, now);
+        let limit = self.utilization_limit(priority, now);
         let memory = fullness(
             demand.peak_tokens,
-            newcomer.prompt_tokens as f64,
-            room.tokens,
+            new_program.prompt_tokens as f64,
+            capacity.tokens,
         );
-        let slots = fullness(demand.requests_in_flight, 1.0, room.slots);
+        let slots = fullness(demand.requests_in_flight, 1.0, capacity.slots);
         let fullness = memory.max(slots) / limit;
-        let share = share_at(fullness);
-        let tenant_share = self.tenant_share(newcomer, fullness, fair_shares, now);
-        let drawn = drawn(newcomer.place);
-        let place = drawn * self.favour(newcomer.place, now);
+        let share = admitted_share(fullness);
+        let tenant_share = self.tenant_share(new_program, fullness, fair_shares, now);
+        let unit_draw = unit_draw(new_program.hash_fraction);
+        let weighted_draw = unit_draw * self.draw_factor(new_program.hash_fraction, now);
         // Earlier refusals give no precedence beyond the fair share.
         let is_admitted = if tenant_share < share {
-            drawn < tenant_share
+            unit_draw < tenant_share
         } else {
-            place < tenant_share
+            weighted_draw < tenant_share
         };
-        let refused_for = match (is_admitted, place < share) {
+        let refused_for = match (is_admitted, weighted_draw < share) {
             (true, _) => None,
             (false, true) => Some(Shortage::FairShare),
             (false, false) if memory >= slots => Some(Shortage::Memory),
             (false, false) => Some(Shortage::Slots),
         };
-        self.remember(newcomer.place, is_admitted, now);
+        self.record_decision(new_program.hash_fraction, is_admitted, now);
         AdmissionDecision {
             refused_for,
             fullness,
             share,
             tenant_share,
-            retry_delay: retry_delay(newcomer, fullness),
+            retry_delay: retry_delay(new_program, fullness),
         }
     }
 
     /// Returns the maximum utilization for a priority, including everything in flight.
-    fn limit(&self, priority: u8, now: Timestamp) -> f64 {
-        let more_urgent = self.kinds.range(..priority);
-        let lately = more_urgent.filter(|(_, seen)| now.since(**seen) < URGENT_MEMORY);
-        let kinds = lately.count().min(MOST_URGENT_KINDS);
-        LIMIT * (1.0 - KEPT_FOR_URGENT * kinds as f64)
+    fn utilization_limit(&self, priority: u8, now: Timestamp) -> f64 {
+        let more_urgent = self.last_seen.range(..priority);
+        let active = more_urgent.filter(|(_, seen)| now.since(**seen) < URGENT_RESERVE_TIMEOUT);
+        let reserves = active.count().min(MAX_URGENT_RESERVES);
+        MAX_UTILIZATION * (1.0 - URGENT_RESERVE_RATIO * reserves as f64)
     }
 
     fn tenant_share(
         &mut self,
-        newcomer: &NewProgram<'_>,
+        new_program: &NewProgram<'_>,
         fullness: f64,
         fair_shares: bool,
         now: Timestamp,
     ) -> f64 {
-        let share = share_at(fullness);
+        let share = admitted_share(fullness);
         if !fair_shares {
             return share;
         }
-        let tenants = self.tenants.entry(newcomer.route.priority).or_default();
-        tenants.note(newcomer.tenant, newcomer.prompt_tokens.max(1) as f64, now);
-        let early = share_at(fullness / (1.0 - KEPT_FROM_EXCESS));
-        if early >= 1.0 {
+        let tenants = self.tenants.entry(new_program.route.priority).or_default();
+        tenants.note(
+            new_program.tenant,
+            new_program.prompt_tokens.max(1) as f64,
+            now,
+        );
+        let reduced_share = admitted_share(fullness / (1.0 - EXCESS_RESERVE_RATIO));
+        if reduced_share >= 1.0 {
             return 1.0;
         }
-        let fair = tenants.served_share(newcomer.tenant, SERVED_WHEN_SHORT, now);
-        if fair > EXCESS_SHARE {
+        let served_share = tenants.served_share(new_program.tenant, SERVED_DEMAND_RATIO, now);
+        if served_share > MAX_EXCESS_SERVED_RATIO {
             return share;
         }
-        share * fair.max(early)
+        share * served_share.max(reduced_share)
     }
 
     /// Returns the factor on a program's draw for its earlier refusals.
-    fn favour(&self, program: u64, now: Timestamp) -> f64 {
-        let refused = self.refused.get(&program);
-        let refused = refused.filter(|refused| now.since(refused.at) < REFUSED_MEMORY);
-        let times = refused.map_or(0, |refused| refused.times);
-        PLACE_AFTER_REFUSAL.powi(times)
+    fn draw_factor(&self, program: u64, now: Timestamp) -> f64 {
+        let refused = self.refusals.get(&program);
+        let refused = refused.filter(|refused| now.since(refused.at) < REFUSAL_RETENTION);
+        let count = refused.map_or(0, |refused| refused.count);
+        REFUSAL_DRAW_FACTOR.powi(count)
     }
 
-    fn remember(&mut self, program: u64, is_admitted: bool, now: Timestamp) {
+    fn record_decision(&mut self, program: u64, is_admitted: bool, now: Timestamp) {
         if is_admitted {
-            self.refused.remove(&program);
+            self.refusals.remove(&program);
             return;
         }
-        if self.refused.len() >= MOST_REFUSED {
-            self.refused
-                .retain(|_, refused| now.since(refused.at) < REFUSED_MEMORY);
+        if self.refusals.len() >= MAX_REFUSED_PROGRAMS {
+            self.refusals
+                .retain(|_, refused| now.since(refused.at) < REFUSAL_RETENTION);
         }
-        if self.refused.len() >= MOST_REFUSED && !self.refused.contains_key(&program) {
+        if self.refusals.len() >= MAX_REFUSED_PROGRAMS && !self.refusals.contains_key(&program) {
             return;
         }
         let refused = self
-            .refused
+            .refusals
             .entry(program)
-            .or_insert(Refused { times: 0, at: now });
-        refused.times += 1;
+            .or_insert(RefusalRecord { count: 0, at: now });
+        refused.count += 1;
         refused.at = now;
     }
 
@@ -335,7 +340,7 @@
             .iter()
             .map(|route| route.priority)
             .collect();
-        self.kinds
+        self.last_seen
             .retain(|priority, _| priorities.contains(priority));
         self.tenants
             .retain(|priority, _| priorities.contains(priority));
@@ -343,29 +348,32 @@
 }
 
 /// Returns the share of new programs that is admitted at a fullness.
-fn share_at(fullness: f64) -> f64 {
-    ((1.0 - fullness) / (1.0 - SHORT_FROM)).clamp(0.0, 1.0)
+fn admitted_share(fullness: f64) -> f64 {
+    ((1.0 - fullness) / (1.0 - PARTIAL_ADMISSION_THRESHOLD)).clamp(0.0, 1.0)
 }
 
 /// Returns a program's draw as a number from 0 to below 1, taken from its upper half.
-fn drawn(program: u64) -> f64 {
+fn unit_draw(program: u64) -> f64 {
     (program >> 32) as f64 / 4_294_967_296.0
 }
 
 /// Returns the utilization with the new program included, or 0 if the capacity is unknown, which
 /// leaves the decision to other checks.
-fn fullness(under_way: f64, own: f64, room: f64) -> f64 {
-    if room <= 0.0 {
+fn fullness(in_flight: f64, added: f64, capacity: f64) -> f64 {
+    if capacity <= 0.0 {
         return 0.0;
     }
-    (under_way + own) / room
+    (in_flight + added) / capacity
 }
 
-/// Returns the expected time until capacity is free. Programs end at a rate of one per lifetime
-/// each, so that the excess is gone after its share of a lifetime.
-fn retry_delay(newcomer: &NewProgram<'_>, fullness: f64) -> Duration {
-    let too_many = (1.0 - SHORT_FROM / fullness.max(SHORT_FROM)).max(0.0);
-    let room_in = newcomer.lifetime.mul_f64(too_many);
-    let spread = room_in.max(SHORTEST_PAUSE).mul_f64(0.5 + newcomer.spread);
-    spread.min(newcomer.remaining.mul_f64(LONGEST_PAUSE_SHARE))
+/// Returns the expected time until capacity is free. Each program ends within one lifetime, so that
+/// the excess programs end within their share of a lifetime.
+fn retry_delay(new_program: &NewProgram<'_>, fullness: f64) -> Duration {
+    let excess =
+        (1.0 - PARTIAL_ADMISSION_THRESHOLD / fullness.max(PARTIAL_ADMISSION_THRESHOLD)).max(0.0);
+    let free_after = new_program.lifetime.mul_f64(excess);
+    let delay = free_after
+        .max(MIN_RETRY_DELAY)
+        .mul_f64(0.5 + new_program.spread);
+    delay.min(new_program.remaining.mul_f64(MAX_RETRY_DELAY_RATIO))
 }
--- a/crates/scheduling/src/finish.rs
+++ b/crates/scheduling/src/finish.rs
@@ -16,11 +16,11 @@
 
 /// Time that a failed or unanswered send costs its program: until the failure is detected and the
 /// turn has been read elsewhere.
-const FAILED_SEND_SECONDS: f64 = 2.0;
+const FAILED_SEND_COST_SECONDS: f64 = 2.0;
 
 /// Relative increase of the event time assumed for a replica in another zone: its load is less well
 /// known, and each later turn of the program crosses zones too.
-const OTHER_ZONE_SHARE: f64 = 0.15;
+const OTHER_ZONE_SLOWDOWN: f64 = 0.15;
 
 /// Round-trip time between zones.
 const OTHER_ZONE_SECONDS: f64 = 0.01;
@@ -64,7 +64,7 @@
     /// Pause between two events of a stream, in seconds.
     pub pause_seconds: f64,
     /// Ratio of sends that fail or stay silent, from 0 to 1.
-    pub trouble: f64,
+    pub failure_ratio: f64,
     /// True if the replica is in the gateway's zone.
     pub is_near: bool,
     /// Prompt tokens that the replica does not hold.
@@ -114,24 +114,24 @@
 #[must_use]
 pub fn expect(work: &Work, replica: &ReplicaState) -> Expected {
     let slots = f64::from(replica.slots.max(1));
-    let with_it = batch_factor(replica.requests + 1.0, replica.slots);
-    let measured = batch_factor(replica.measured_at_requests, replica.slots);
-    let pause = replica.pause_seconds * with_it / measured;
+    let batch_with_request = batch_factor(replica.requests + 1.0, replica.slots);
+    let measured_batch = batch_factor(replica.measured_at_requests, replica.slots);
+    let pause = replica.pause_seconds * batch_with_request / measured_batch;
     let step = pause / f64::from(work.tokens_per_event.max(1));
     let reading = f64::from(replica.tokens_to_read) / TOKENS_READ_PER_STEP * step;
     let events = work.events.max(1.0) * pause;
     // Slots become free one after another, at intervals of the answer time divided by the slots.
-    let ahead = (replica.requests + 1.0 - slots).max(0.0);
-    let waiting = ahead * events / slots;
-    let (distance, far_events) = if replica.is_near {
+    let queued = (replica.requests + 1.0 - slots).max(0.0);
+    let waiting = queued * events / slots;
+    let (cross_zone_latency, cross_zone_delay) = if replica.is_near {
         (0.0, 0.0)
     } else {
-        (OTHER_ZONE_SECONDS, OTHER_ZONE_SHARE * events)
+        (OTHER_ZONE_SECONDS, OTHER_ZONE_SLOWDOWN * events)
     };
-    let first = distance + waiting + reading + pause;
-    let troubles = replica.trouble.clamp(0.0, 1.0) * FAILED_SEND_SECONDS;
+    let first = cross_zone_latency + waiting + reading + pause;
+    let failure_cost = replica.failure_ratio.clamp(0.0, 1.0) * FAILED_SEND_COST_SECONDS;
     Expected {
         first_event_seconds: first,
-        finish_seconds: first + events + far_events + troubles,
+        finish_seconds: first + events + cross_zone_delay + failure_cost,
     }
 }
--- a/crates/scheduling/src/held_bytes.rs
+++ b/crates/scheduling/src/held_bytes.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 
 /// Divisor of the process limit that gives the limit of one tenant or one request.
-const TENANT_SHARE: u64 = 2;
+const TENANT_LIMIT_DIVISOR: u64 = 2;
 
 /// Identifier of a holder; increases with each one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -121,7 +121,7 @@
     /// Returns the maximum number of bytes that a tenant may hold.
     #[must_use]
     pub fn tenant_limit(&self) -> u64 {
-        self.limit / TENANT_SHARE
+        self.limit / TENANT_LIMIT_DIVISOR
     }
 
     /// Adds a request that has announced its size in bytes. No holder is cut for a request that has
@@ -170,9 +170,9 @@
         let Some(holder) = self.holders.get(&id) else {
             return Growth::Granted(Vec::new());
         };
-        let more = bytes.saturating_sub(holder.bytes);
-        let wish = Wish { id, bytes, more };
-        let planned = self.plan(&wish, holder.tenant.as_ref());
+        let added = bytes.saturating_sub(holder.bytes);
+        let request = GrowthRequest { id, bytes, added };
+        let planned = self.plan_cuts(&request, holder.tenant.as_ref());
         match planned {
             Ok(cuts) => {
                 for cut in &cuts {
@@ -192,50 +192,54 @@
     }
 
     /// Returns the holders to cut for a request to fit, or the limit that denies it.
-    fn plan(&self, wish: &Wish, tenant: Option<&TenantName>) -> Result<Vec<HeldCut>, HeldBound> {
-        if wish.more == 0 {
+    fn plan_cuts(
+        &self,
+        request: &GrowthRequest,
+        tenant: Option<&TenantName>,
+    ) -> Result<Vec<HeldCut>, HeldBound> {
+        if request.added == 0 {
             return Ok(Vec::new());
         }
-        if wish.bytes > self.tenant_limit() {
+        if request.bytes > self.tenant_limit() {
             return Err(HeldBound::Request);
         }
         let mut cuts = Vec::new();
         if let Some(name) = tenant {
-            let after = self.of_tenant(name).saturating_add(wish.more);
+            let after = self.of_tenant(name).saturating_add(request.added);
             let excess = after.saturating_sub(self.tenant_limit());
             let of_tenant = |holder: &Holder| holder.tenant.as_ref() == tenant;
-            self.choose(wish, excess, HeldBound::Tenant, of_tenant, &mut cuts)?;
+            self.choose_cuts(request, excess, HeldBound::Tenant, of_tenant, &mut cuts)?;
         }
         let freed: u64 = cuts.iter().map(|cut| cut.bytes).sum();
-        let after = (self.total - freed).saturating_add(wish.more);
+        let after = (self.total - freed).saturating_add(request.added);
         let excess = after.saturating_sub(self.limit);
-        self.choose(wish, excess, HeldBound::Process, |_| true, &mut cuts)?;
+        self.choose_cuts(request, excess, HeldBound::Process, |_| true, &mut cuts)?;
         Ok(cuts)
     }
 
     /// Adds holders to `cuts` until they free `excess` more bytes: the newest of the large ones
     /// first, then the newest of the others. If the next in this order is the requesting holder
     /// itself, its request is denied instead.
-    fn choose(
+    fn choose_cuts(
         &self,
-        wish: &Wish,
+        request: &GrowthRequest,
         excess: u64,
         bound: HeldBound,
-        is_meant: impl Fn(&Holder) -> bool,
+        is_candidate: impl Fn(&Holder) -> bool,
         cuts: &mut Vec<HeldCut>,
     ) -> Result<(), HeldBound> {
         if excess == 0 {
             return Ok(());
         }
-        let is_left = |id: &HolderId| cuts.iter().all(|cut| cut.holder != *id);
+        let is_uncut = |id: &HolderId| cuts.iter().all(|cut| cut.holder != *id);
         let mut candidates: Vec<HeldCut> = self
             .holders
             .iter()
-            .filter(|(id, holder)| holder.can_be_cut && is_meant(holder) && is_left(id))
+            .filter(|(id, holder)| holder.can_be_cut && is_candidate(holder) && is_uncut(id))
             .map(|(id, holder)| HeldCut {
                 holder: *id,
-                bytes: if *id == wish.id {
-                    wish.bytes
+                bytes: if *id == request.id {
+                    request.bytes
                 } else {
                     holder.bytes
                 },
@@ -245,14 +249,14 @@
         let count = candidates.len().max(1) as u64;
         let mean = candidates.iter().map(|cut| cut.bytes).sum::<u64>() / count;
         candidates.sort_by_key(|cut| std::cmp::Reverse((cut.bytes >= mean, cut.holder)));
-        let mut missing = excess;
+        let mut remaining = excess;
         for cut in candidates {
-            if cut.holder == wish.id {
+            if cut.holder == request.id {
                 return Err(bound);
             }
-            missing = missing.saturating_sub(cut.bytes);
+            remaining = remaining.saturating_sub(cut.bytes);
             cuts.push(cut);
-            if missing == 0 {
+            if remaining == 0 {
                 return Ok(());
             }
         }
@@ -263,11 +267,11 @@
         let Some(holder) = self.holders.get_mut(&id) else {
             return;
         };
-        let had = std::mem::replace(&mut holder.bytes, bytes);
-        self.total = self.total - had + bytes;
+        let previous = std::mem::replace(&mut holder.bytes, bytes);
+        self.total = self.total - previous + bytes;
         if let Some(tenant) = &holder.tenant {
             let sum = self.tenants.entry(tenant.clone()).or_default();
-            *sum = *sum - had + bytes;
+            *sum = *sum - previous + bytes;
             if *sum == 0 {
                 self.tenants.remove(tenant);
             }
@@ -277,10 +281,10 @@
 
 /// Request of a holder for more bytes.
 #[derive(Clone, Copy, Debug)]
-struct Wish {
+struct GrowthRequest {
     id: HolderId,
     /// Bytes that it would hold.
     bytes: u64,
     /// Additional bytes.
-    more: u64,
+    added: u64,
 }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -14,14 +14,14 @@
 mod load_shedding;
 mod load_view;
 mod moves;
-mod patience;
 mod placement;
 mod pool;
 mod program_table;
 mod prompt_parts;
 mod route_profile;
 mod shares;
-mod usual;
+mod wait_histogram;
+mod wait_limits;
 mod waits;
 mod zone_trend;
 
@@ -33,17 +33,19 @@
 pub use finish::{Expected, ReplicaState, SharedPart, Work, batch_factor, expect};
 pub use held_bytes::{Growth, HeldBound, HeldBytes, HeldCut, HolderId};
 pub use load_shedding::{LoadShedder, ShedDecision};
-pub use load_view::{AgedSight, LoadView, VIEW_STALE_AFTER};
+pub use load_view::{AgedStats, LoadView, VIEW_STALE_AFTER};
 pub use moves::{
-    AwaitedEvent, ExtraSends, MoveDecision, RerunLimits, Restart, Stay, WaitQuantiles, Waiting,
-    cannot_meet_deadline, decide_move, hedge_after,
+    AwaitedEvent, ExtraSendBudget, MoveDecision, RerunLimits, Restart, Stay, WaitQuantiles,
+    Waiting, cannot_meet_deadline, decide_move, hedge_after,
 };
-pub use patience::{capacity_retry_delay, max_capacity_wait, max_startup_wait};
 pub use placement::{Placement, place, place_soonest};
-pub use pool::{CandidateScope, Choice, ChoiceBasis, Extent, Leaving, Pool, RoutingRequest};
-pub use program_table::{OwnDemand, ProgramTable, TurnStarted};
+pub use pool::{
+    CandidateScope, Choice, ChoiceBasis, Pool, Relocation, RoutingRequest, ServiceSize,
+};
+pub use program_table::{LocalDemand, ProgramTable, TurnStarted};
 pub use prompt_parts::PromptParts;
 pub use shares::{Demand, TenantDemands, max_min_shares};
-pub use usual::Usual;
+pub use wait_histogram::WaitHistogram;
+pub use wait_limits::{capacity_retry_delay, max_capacity_wait, max_startup_wait};
 pub use waits::{RouteWaits, Waits};
 pub use zone_trend::ZoneTrend;
--- a/crates/scheduling/src/load_shedding.rs
+++ b/crates/scheduling/src/load_shedding.rs
@@ -18,20 +18,20 @@
 const ADJUST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Factor on the admitted share after an interval in which too many first events were late.
-const DECREASE: f64 = 0.9;
+const DECREASE_FACTOR: f64 = 0.9;
 
 /// Increase of the admitted share after an interval in which few first events were late.
-const INCREASE: f64 = 0.1;
+const INCREASE_STEP: f64 = 0.1;
 
 /// Minimum admitted share, so that no route is shut out completely.
-const SMALLEST_SHARE: f64 = 0.3;
+const MIN_ADMITTED_SHARE: f64 = 0.3;
 
 /// Ratio of late first events above which there are too many programs. The mean delay is no
 /// measure: a few very long waits would hide that most are in time.
-const TOO_MANY_LATE: f64 = 0.5;
+const HIGH_LATE_RATIO: f64 = 0.5;
 
 /// Ratio of late first events below which more programs can be admitted.
-const FEW_LATE: f64 = 0.3;
+const LOW_LATE_RATIO: f64 = 0.3;
 
 /// Weight of a new first event in the ratio of late ones.
 const SAMPLE_WEIGHT: f64 = 0.08;
@@ -41,7 +41,7 @@
 
 /// Maximum retry delay of a refused program. The load may fall sooner than the admitted share
 /// rises.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_500);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_500);
 
 /// Decision on whether a new program may start.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -92,13 +92,13 @@
     pub fn admit(&mut self, route: &Route, draw: u64, now: Timestamp) -> ShedDecision {
         let load = self.load(route, now);
         // The upper half of the draw as a number from 0 to 1.
-        let place = (draw >> 32) as f64 / f64::from(u32::MAX);
-        if place <= load.share {
+        let unit_draw = (draw >> 32) as f64 / f64::from(u32::MAX);
+        if unit_draw <= load.share {
             return ShedDecision::Admit;
         }
-        let intervals = ((place - load.share) / INCREASE).ceil().max(1.0);
+        let intervals = ((unit_draw - load.share) / INCREASE_STEP).ceil().max(1.0);
         ShedDecision::Refuse {
-            retry_delay: ADJUST_INTERVAL.mul_f64(intervals).min(LONGEST_PAUSE),
+            retry_delay: ADJUST_INTERVAL.mul_f64(intervals).min(MAX_RETRY_DELAY),
             share: load.share,
             late: load.late,
         }
@@ -134,10 +134,10 @@
             self.late = 0.0;
             self.sampled_at = now;
         }
-        if self.late > TOO_MANY_LATE {
-            self.share = (self.share * DECREASE).max(SMALLEST_SHARE);
-        } else if self.late < FEW_LATE {
-            self.share = (self.share + INCREASE).min(1.0);
+        if self.late > HIGH_LATE_RATIO {
+            self.share = (self.share * DECREASE_FACTOR).max(MIN_ADMITTED_SHARE);
+        } else if self.late < LOW_LATE_RATIO {
+            self.share = (self.share + INCREASE_STEP).min(1.0);
         }
     }
 }
--- a/crates/scheduling/src/load_view.rs
+++ b/crates/scheduling/src/load_view.rs
@@ -13,46 +13,46 @@
 
 /// Time constant of the average requests at a replica: the half-life of the pauses between events
 /// and the delay of the view.
-const AVERAGED_OVER: Duration = Duration::from_millis(700);
+const AVERAGING_TIME_CONSTANT: Duration = Duration::from_millis(700);
 
-/// Observation of a replica and its age.
+/// Statistics of a replica and their age.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AgedSight {
-    /// Observation.
-    pub sight: ReplicaStats,
+pub struct AgedStats {
+    /// Statistics of the replica.
+    pub stats: ReplicaStats,
     /// Time since the view was taken.
     pub age: Duration,
 }
 
-/// Latest observations of the zone's gateways, as reported by a member.
+/// Latest statistics from the zone's gateways, as reported by a member.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
     replica_stats: HashMap<ReplicaKey, ReplicaStats>,
     taken_at: Timestamp,
     /// Average requests at each replica over the time in which its pauses are measured.
-    usual_requests: HashMap<ReplicaKey, f64>,
+    average_requests: HashMap<ReplicaKey, f64>,
 }
 
 impl LoadView {
     /// Replaces the view by a newer sum.
     pub fn take(&mut self, replica_stats: &StatsReport, now: Timestamp) {
-        let weight = self.weight_of_new(now);
-        let usual = replica_stats.0.iter().map(|sight| {
-            let requests = f64::from(sight.in_flight_tenths) / 10.0;
-            let before = self.usual_requests.get(&sight.replica);
-            let before = before.copied().unwrap_or(requests);
-            (sight.replica, before + weight * (requests - before))
+        let weight = self.new_view_weight(now);
+        let averages = replica_stats.0.iter().map(|stats| {
+            let requests = f64::from(stats.in_flight_tenths) / 10.0;
+            let previous = self.average_requests.get(&stats.replica);
+            let previous = previous.copied().unwrap_or(requests);
+            (stats.replica, previous + weight * (requests - previous))
         });
-        self.usual_requests = usual.collect();
-        let entries = replica_stats.0.iter().map(|sight| (sight.replica, *sight));
+        self.average_requests = averages.collect();
+        let entries = replica_stats.0.iter().map(|stats| (stats.replica, *stats));
         self.replica_stats = entries.collect();
         self.taken_at = now;
     }
 
     /// Returns the weight of a new view in the averages.
-    fn weight_of_new(&self, now: Timestamp) -> f64 {
-        let since = self.age(now).as_secs_f64() / AVERAGED_OVER.as_secs_f64();
-        1.0 - (-since).exp()
+    fn new_view_weight(&self, now: Timestamp) -> f64 {
+        let elapsed = self.age(now).as_secs_f64() / AVERAGING_TIME_CONSTANT.as_secs_f64();
+        1.0 - (-elapsed).exp()
     }
 
     /// Returns true if the view is not stale.
@@ -63,8 +63,8 @@
 
     /// Returns the average requests at a replica over the time in which its pauses are measured.
     #[must_use]
-    pub fn usual_requests(&self, id: &BackendId) -> Option<f64> {
-        self.usual_requests.get(&ReplicaKey::of(id)).copied()
+    pub fn average_requests(&self, id: &BackendId) -> Option<f64> {
+        self.average_requests.get(&ReplicaKey::of(id)).copied()
     }
 
     /// Returns the age of the view.
@@ -73,12 +73,12 @@
         now.since(self.taken_at)
     }
 
-    /// Returns the observation of a replica, or `None` if no gateway used it lately or the view is
+    /// Returns the statistics of a replica, or `None` if no gateway used it lately or the view is
     /// stale.
     #[must_use]
-    pub fn sight(&self, id: &BackendId, now: Timestamp) -> Option<AgedSight> {
+    pub fn stats(&self, id: &BackendId, now: Timestamp) -> Option<AgedStats> {
         let age = self.age(now);
-        let sight = *self.replica_stats.get(&ReplicaKey::of(id))?;
-        (age < VIEW_STALE_AFTER).then_some(AgedSight { sight, age })
+        let stats = *self.replica_stats.get(&ReplicaKey::of(id))?;
+        (age < VIEW_STALE_AFTER).then_some(AgedStats { stats, age })
     }
 }
--- a/crates/scheduling/src/moves.rs
+++ b/crates/scheduling/src/moves.rs
@@ -19,28 +19,28 @@
 use std::time::Duration;
 
 /// Quantile of the waits that outliers are measured against.
-pub const USUAL_SHARE: f64 = 0.9;
+pub const P90: f64 = 0.9;
 
 /// Multiple of the 90th percentile from which a wait is an outlier: about one in a hundred at
 /// healthy replicas. A request that moves then is usually answered within three times the 90th
 /// percentile.
-const UNUSUAL_TIMES: f64 = 1.8;
+const OUTLIER_FACTOR: f64 = 1.8;
 
 /// Multiple of the 90th percentile before which a request does not move, however close its
 /// program's deadline is.
-const URGENT_TIMES: f64 = 1.5;
+const URGENT_FACTOR: f64 = 1.5;
 
 /// Multiple of the longest earlier pause of a stream from which a pause is an outlier.
-const UNUSUAL_PAUSE_TIMES: f64 = 4.0;
+const PAUSE_OUTLIER_FACTOR: f64 = 4.0;
 
 /// Minimum wait that is an outlier. Shorter ones are explained by links and processors.
-const SHORTEST_UNUSUAL: Duration = Duration::from_millis(100);
+const MIN_OUTLIER_WAIT: Duration = Duration::from_millis(100);
 
 /// Time to connect to another replica.
-const CONNECTING: Duration = Duration::from_millis(10);
+const CONNECT_TIME: Duration = Duration::from_millis(10);
 
 /// Time for one token while none is known.
-const DEFAULT_STEP: Duration = Duration::from_millis(5);
+const DEFAULT_TOKEN_TIME: Duration = Duration::from_millis(5);
 
 /// 90th percentile that is assumed while neither the route's target latency nor its waits are
 /// known.
@@ -52,25 +52,26 @@
     /// Median wait.
     pub median: Duration,
     /// [`P90`] quantile of the waits.
-    pub usual: Duration,
+    pub p90: Duration,
 }
 
 impl WaitQuantiles {
     /// Returns true if a wait for a first event is an outlier.
     #[must_use]
-    pub fn is_exceeded_by(&self, wait: Duration) -> bool {
-        wait > self.usual.mul_f64(UNUSUAL_TIMES)
+    pub fn is_outlier(&self, wait: Duration) -> bool {
+        wait > self.p90.mul_f64(OUTLIER_FACTOR)
     }
 
     /// Returns the distribution assumed for a route with too few samples: callers want answers
     /// within its target latency, so most are expected to arrive within it.
     #[must_use]
-    pub fn expected(aim: Duration) -> Self {
-        let usual = if aim.is_zero() { DEFAULT_WAIT } else { aim };
-        Self {
-            median: usual,
-            usual,
-        }
+    pub fn expected(target: Duration) -> Self {
+        let p90 = if target.is_zero() {
+            DEFAULT_WAIT
+        } else {
+            target
+        };
+        Self { median: p90, p90 }
     }
 }
 
@@ -86,9 +87,9 @@
 impl Restart {
     /// Returns the time until the first event of another replica.
     fn time(&self, wait: &WaitQuantiles) -> Duration {
-        let step = self.step.unwrap_or(DEFAULT_STEP);
+        let step = self.step.unwrap_or(DEFAULT_TOKEN_TIME);
         let reading = step.mul_f64(self.tokens as f64 / TOKENS_READ_PER_STEP);
-        wait.median + CONNECTING + reading
+        wait.median + CONNECT_TIME + reading
     }
 }
 
@@ -181,10 +182,10 @@
 }
 
 /// Maximum ratio of outliers that is attributed to single replicas.
-pub const FEW_UNUSUAL: f64 = 0.25;
+pub const MAX_OUTLIER_RATIO: f64 = 0.25;
 
 /// Interval between two searches for another replica.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Decides on a waiting request.
 #[must_use]
@@ -196,34 +197,36 @@
     if reruns.may_have_run >= reruns.max_attempts {
         return MoveDecision::Stay(Stay::NoAttemptLeft);
     }
-    let elsewhere = waiting.restart.time(&waiting.first_event);
-    if waiting.left <= elsewhere {
+    let restart_time = waiting.restart.time(&waiting.first_event);
+    if waiting.left <= restart_time {
         return MoveDecision::Stay(Stay::TooLate);
     }
-    let from = unusual_from(waiting, elsewhere);
+    let from = move_threshold(waiting, restart_time);
     if waiting.waited < from {
         return MoveDecision::WaitOn(from - waiting.waited);
     }
-    if !reruns.has_untried_replica || waiting.outlier_ratio > FEW_UNUSUAL {
-        return MoveDecision::WaitOn(LOOK_AGAIN);
+    if !reruns.has_untried_replica || waiting.outlier_ratio > MAX_OUTLIER_RATIO {
+        return MoveDecision::WaitOn(RECHECK_INTERVAL);
     }
     MoveDecision::Move {
-        gain: waiting.waited.saturating_sub(elsewhere),
+        gain: waiting.waited.saturating_sub(restart_time),
     }
 }
 
 /// Returns the wait from which the request restarts.
-fn unusual_from(waiting: &Waiting, elsewhere: Duration) -> Duration {
-    let usual = waiting.first_event.usual;
+fn move_threshold(waiting: &Waiting, restart_time: Duration) -> Duration {
+    let p90 = waiting.first_event.p90;
     match waiting.awaited {
         AwaitedEvent::FirstEvent { program } => {
-            let worth_it = usual.mul_f64(UNUSUAL_TIMES).max(elsewhere);
+            let break_even = p90.mul_f64(OUTLIER_FACTOR).max(restart_time);
             // Latest restart with which the program is still in time. A program that is late in any
             // case moves when the restart pays off.
-            let last = program.and_then(|program| program.checked_sub(elsewhere));
-            let last = last.unwrap_or(worth_it);
-            let earliest = usual.mul_f64(URGENT_TIMES);
-            worth_it.min(last.max(earliest)).max(SHORTEST_UNUSUAL)
+            let latest_move = program.and_then(|program| program.checked_sub(restart_time));
+            let latest_move = latest_move.unwrap_or(break_even);
+            let earliest = p90.mul_f64(URGENT_FACTOR);
+            break_even
+                .min(latest_move.max(earliest))
+                .max(MIN_OUTLIER_WAIT)
         }
         AwaitedEvent::NextEvent {
             longest,
@@ -231,67 +234,67 @@
             bearable,
         } => longest
             .max(pause.unwrap_or_default())
-            .mul_f64(UNUSUAL_PAUSE_TIMES)
-            .max(bearable.unwrap_or(usual))
-            .max(elsewhere)
-            .max(SHORTEST_UNUSUAL),
+            .mul_f64(PAUSE_OUTLIER_FACTOR)
+            .max(bearable.unwrap_or(p90))
+            .max(restart_time)
+            .max(MIN_OUTLIER_WAIT),
     }
 }
 
 /// Returns true if no replica can answer a request with `left` remaining: even the fastest first
 /// events of its route take longer. Nothing is refused while these are unknown.
 #[must_use]
-pub fn cannot_meet_deadline(left: Duration, quickest: Option<Duration>) -> bool {
-    quickest.is_some_and(|quickest| left < quickest)
+pub fn cannot_meet_deadline(left: Duration, fastest: Option<Duration>) -> bool {
+    fastest.is_some_and(|fastest| left < fastest)
 }
 
 /// Quantile of a route's first events that counts as the fastest achievable time.
-pub const QUICKEST_SHARE: f64 = 0.05;
+pub const FASTEST_QUANTILE: f64 = 0.05;
 
 /// Multiple of the 90th percentile of answer times after which a repeatable request is hedged.
-const HEDGE_TIMES: f64 = 2.0;
+const HEDGE_FACTOR: f64 = 2.0;
 
 /// Returns the time after which a unary request is also sent to a second replica. `latest` is the
 /// time after which this happens in any case.
 #[must_use]
-pub fn hedge_after(usual: Option<Duration>, latest: Duration) -> Duration {
-    let early = usual.map(|usual| usual.mul_f64(HEDGE_TIMES));
-    early.map_or(latest, |early| early.max(SHORTEST_UNUSUAL).min(latest))
+pub fn hedge_after(p90: Option<Duration>, latest: Duration) -> Duration {
+    let early = p90.map(|p90| p90.mul_f64(HEDGE_FACTOR));
+    early.map_or(latest, |early| early.max(MIN_OUTLIER_WAIT).min(latest))
 }
 
 /// Budget for extra sends, earned by earlier requests. It limits duplicate work: under overload
 /// every request waits, and sending each one twice would increase the load further.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExtraSends {
+pub struct ExtraSendBudget {
     /// Extra sends earned by each request.
     share: f64,
     earned: f64,
 }
 
 /// Maximum balance, which covers the first moments of a replica's failure.
-const MOST_EARNED: f64 = 4.0;
+const MAX_EARNED_SENDS: f64 = 4.0;
 
-impl ExtraSends {
+impl ExtraSendBudget {
     /// Creates a budget of at most `share` extra sends for each request, beyond the first few.
     #[must_use]
     pub fn new(share: f64) -> Self {
         Self {
             share,
-            earned: MOST_EARNED,
+            earned: MAX_EARNED_SENDS,
         }
     }
 
     /// Adds the share of one request.
     pub fn earn(&mut self) {
-        self.earned = (self.earned + self.share).min(MOST_EARNED);
+        self.earned = (self.earned + self.share).min(MAX_EARNED_SENDS);
     }
 
     /// Takes an extra send. Returns false if none is left.
     pub fn spend(&mut self) -> bool {
-        let may = self.earned >= 1.0;
-        if may {
+        let is_available = self.earned >= 1.0;
+        if is_available {
             self.earned -= 1.0;
         }
-        may
+        is_available
     }
 }
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -18,10 +18,10 @@
 
 /// Approximate time in which a full replica has room for another program: one turn of its current
 /// programs.
-const ROOM_INTERVAL: Duration = Duration::from_millis(250);
+const FREE_SLOT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Fullness above that of the least full candidate up to which another one may be preferred.
-const NEARLY_AS_EMPTY: f64 = 0.1;
+const FULLNESS_TOLERANCE: f64 = 0.1;
 
 /// Chooses the less full of two candidates ("the power of two choices", Mitzenmacher 2001), which
 /// balances replicas without a view of all of them. `fullness` has an entry for each candidate,
@@ -33,13 +33,13 @@
         .iter()
         .enumerate()
         .filter_map(|(position, fullness)| fullness.map(|fullness| (position, fullness)));
-    let emptiest = known.min_by(|left, right| left.1.total_cmp(&right.1));
-    match emptiest {
+    let least_full = known.min_by(|left, right| left.1.total_cmp(&right.1));
+    match least_full {
         None => Placement::At(0),
         Some((position, fullness)) if fullness < limit => Placement::At(position),
         Some((_, fullness)) => Placement::Refuse {
             fullness,
-            retry_delay: ROOM_INTERVAL.mul_f64(0.5 + fullness.min(4.0) * (0.5 + spread)),
+            retry_delay: FREE_SLOT_INTERVAL.mul_f64(0.5 + fullness.min(4.0) * (0.5 + spread)),
         },
     }
 }
@@ -58,7 +58,7 @@
 ) -> Placement {
     let known = || fullness.iter().flatten();
     let least = known().copied().min_by(f64::total_cmp).unwrap_or(0.0);
-    let below = open_below.max(least + NEARLY_AS_EMPTY).min(limit);
+    let below = open_below.max(least + FULLNESS_TOLERANCE).min(limit);
     let open = fullness.iter().zip(seconds).enumerate();
     let open = open.filter(|(_, (fullness, _))| fullness.is_some_and(|known| known < below));
     let soonest = open.min_by(|(_, left), (_, right)| left.1.total_cmp(right.1));
--- a/crates/scheduling/src/pool/held_parts.rs
+++ b/crates/scheduling/src/pool/held_parts.rs
@@ -5,10 +5,10 @@
 
 /// Time for which an unused part is assumed to be held. Replicas evict the least recently used
 /// parts first.
-const HELD_FOR: Duration = Duration::from_secs(10);
+const PART_RETENTION: Duration = Duration::from_secs(10);
 
 /// Maximum number of parts that are remembered for one replica.
-const REMEMBERED: usize = 16;
+const MAX_PARTS: usize = 16;
 
 /// Shared parts of prompts that a replica has read lately.
 #[derive(Clone, Debug, Default)]
@@ -22,7 +22,7 @@
             known.1 = now;
             return;
         }
-        if self.0.len() >= REMEMBERED {
+        if self.0.len() >= MAX_PARTS {
             let oldest = (0..self.0.len()).min_by_key(|position| self.0[*position].1);
             if let Some(oldest) = oldest {
                 self.0.swap_remove(oldest);
@@ -33,6 +33,6 @@
 
     pub(super) fn holds(&self, part: u64, now: Timestamp) -> bool {
         let mut known = self.0.iter();
-        known.any(|(id, at)| *id == part && now.since(*at) < HELD_FOR)
+        known.any(|(id, at)| *id == part && now.since(*at) < PART_RETENTION)
     }
 }
--- a/crates/scheduling/src/pool/index.rs
+++ b/crates/scheduling/src/pool/index.rs
@@ -1,7 +1,7 @@
 //! Index of one service's replicas by zone, and of those that this gateway has used.
 
 use super::working_set::WorkingSet;
-use super::{CandidateScope, Extent, RoutingRequest};
+use super::{CandidateScope, RoutingRequest, ServiceSize};
 use luglink_fleet::{Backend, BackendId};
 use luglink_types::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -10,12 +10,12 @@
 /// saves connections and traffic between zones. With fewer, two choices do not balance the load of
 /// a zone's few replicas. If only the larger zones kept their programs, their replicas would also
 /// get those of the others.
-const ENOUGH_NEAR: usize = 8;
+const MIN_REPLICAS_PER_ZONE: usize = 8;
 
 /// Maximum number of a service's replicas that a gateway remembers, apart from those that have its
-/// requests. Each request is compared at all of these, and a gateway of a large fleet would
+/// requests. Each choice compares all of these, and a gateway of a large fleet would
 /// eventually have used every replica.
-const REMEMBERED: usize = 64;
+const MAX_USED_REPLICAS: usize = 64;
 
 /// Replicas of one service in one zone.
 #[derive(Clone, Debug, Default)]
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn grow_working_set(&mut self) {
-        self.working_set.grow_working_set();
+        self.working_set.grow();
     }
 
     pub(super) fn add(&mut self, backend: &Backend) {
@@ -55,14 +55,14 @@
         zone.listed += 1;
         self.slots = backend.slots;
         if !backend.draining {
-            zone.usable.insert(place(&backend.id));
+            zone.usable.insert(index_key(&backend.id));
         }
     }
 
     pub(super) fn remove(&mut self, backend: &Backend) {
         if let Some(zone) = self.zones.get_mut(&backend.zone) {
             zone.listed -= 1;
-            zone.usable.remove(&place(&backend.id));
+            zone.usable.remove(&index_key(&backend.id));
             if zone.listed == 0 {
                 self.zones.remove(&backend.zone);
             }
@@ -72,9 +72,9 @@
         }
     }
 
-    pub(super) fn service_size(&self) -> Extent {
+    pub(super) fn service_size(&self) -> ServiceSize {
         let usable = self.zones.values().map(|zone| zone.usable.len()).sum();
-        Extent {
+        ServiceSize {
             usable,
             zones: self.zones.len(),
         }
@@ -100,46 +100,46 @@
     }
 
     /// Removes the idle replica that was used first, if too many are remembered.
-    pub(super) fn forget_one(&mut self, is_idle: impl Fn(&BackendId) -> bool) -> Option<BackendId> {
-        if self.used.len() <= REMEMBERED {
+    pub(super) fn evict_idle(&mut self, is_idle: impl Fn(&BackendId) -> bool) -> Option<BackendId> {
+        if self.used.len() <= MAX_USED_REPLICAS {
             return None;
         }
         // The newest is about to be used.
         let others = self.used_order.len() - 1;
         let position = self.used_order.iter().take(others).position(is_idle)?;
-        let forgotten = self.used_order.remove(position)?;
-        self.used.remove(&forgotten);
-        Some(forgotten)
+        let evicted = self.used_order.remove(position)?;
+        self.used.remove(&evicted);
+        Some(evicted)
     }
 
     /// Returns true if programs of a zone stay in it: it has replicas, and every zone that has any
     /// has enough usable ones.
-    fn is_zonal(&self, zone: &str) -> bool {
+    fn keeps_programs_local(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
             && self
                 .zones
                 .values()
-                .all(|index| index.usable.len() >= ENOUGH_NEAR)
+                .all(|index| index.usable.len() >= MIN_REPLICAS_PER_ZONE)
     }
 
     /// Returns the replicas at which programs of a zone may start.
-    pub(super) fn reached<'index>(
+    pub(super) fn in_scope<'index>(
         &'index self,
         zone: &'index str,
-        reach: CandidateScope,
+        scope: CandidateScope,
     ) -> impl Iterator<Item = &'index BackendId> {
-        let is_zonal = self.is_zonal(zone);
+        let keeps_programs_local = self.keeps_programs_local(zone);
         let size = self.working_set.size();
-        let (first, count) = match (is_zonal, reach) {
+        let (first, count) = match (keeps_programs_local, scope) {
             (false, _) => (0, usize::MAX),
             (true, CandidateScope::Spare) => (size, size),
             (true, CandidateScope::Home | CandidateScope::OtherZones) => (0, size),
         };
         let zones = self.zones.iter().filter(move |(name, _)| {
-            let is_home = *name == zone || !is_zonal;
-            match reach {
+            let is_home = *name == zone || !keeps_programs_local;
+            match scope {
                 CandidateScope::Home => is_home,
-                CandidateScope::Spare => is_home && is_zonal,
+                CandidateScope::Spare => is_home && keeps_programs_local,
                 CandidateScope::OtherZones => !is_home,
             }
         });
@@ -154,16 +154,16 @@
     pub(super) fn draw_unused<'index>(
         &'index self,
         zone: &str,
-        wish: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
     ) -> Vec<&'index BackendId> {
         let near = self.zones.get(zone);
-        let near = near.and_then(|index| self.draw_in(index, wish));
+        let near = near.and_then(|index| self.draw_in(index, request));
         if let Some(near) = near {
             return vec![near];
         }
         let others = self.zones.iter().filter(|(name, _)| *name != zone);
         others
-            .filter_map(|(_, index)| self.draw_in(index, wish))
+            .filter_map(|(_, index)| self.draw_in(index, request))
             .collect()
     }
 
@@ -171,18 +171,18 @@
     fn draw_in<'index>(
         &self,
         index: &'index ZoneIndex,
-        wish: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
     ) -> Option<&'index BackendId> {
-        let is_free = |id: &&BackendId| !self.used.contains(id) && !wish.tried.contains(id);
+        let is_free = |id: &&BackendId| !self.used.contains(id) && !request.tried.contains(id);
         let size = self.working_set.size().min(index.usable.len());
         let ids = || index.usable.iter().map(|(_, id)| id);
-        let start = (wish.draw % size.max(1) as u64) as usize;
+        let start = (request.draw % size.max(1) as u64) as usize;
         let set = ids().take(size).skip(start).chain(ids().take(start));
         let spare = ids().skip(size);
         set.chain(spare).find(is_free)
     }
 }
 
-fn place(id: &BackendId) -> (u64, BackendId) {
+fn index_key(id: &BackendId) -> (u64, BackendId) {
     (id.stable_hash(), id.clone())
 }
--- a/crates/scheduling/src/pool/mod.rs
+++ b/crates/scheduling/src/pool/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::finish::Work;
 use crate::load_view::LoadView;
-pub use by_finish::{ChoiceBasis, Leaving};
+pub use by_finish::{ChoiceBasis, Relocation};
 use index::ServiceIndex;
 use luglink_fleet::{Backend, BackendChanges, BackendId, GatewayLoad, ReplicaKey, StatsReport};
 use luglink_types::Timestamp;
@@ -33,10 +33,10 @@
 
 /// Load, in shares of the slots above the least loaded replica, up to which a replica that holds
 /// the prompt is preferred.
-const CACHE_WORTH: f64 = 0.5;
+const CACHE_BONUS: f64 = 0.5;
 
 /// Load, in shares of the slots, that is added for a replica that always fails.
-const TROUBLE_COST: f64 = 3.0;
+const FAILURE_COST: f64 = 3.0;
 
 /// Request for a replica.
 #[derive(Clone, Debug, Default)]
@@ -66,7 +66,7 @@
 
 /// Size of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Extent {
+pub struct ServiceSize {
     /// Number of replicas that may get work.
     pub usable: usize,
     /// Number of zones with listed replicas.
@@ -92,10 +92,10 @@
     services: BTreeMap<String, ServiceIndex>,
     /// Records of the replicas that this gateway has used.
     records: HashMap<BackendId, Record>,
-    /// Observations of the replicas by all gateways of the zone.
+    /// Statistics of the replicas from all gateways of the zone.
     view: LoadView,
     /// True if requests that describe their work are placed by expected finish.
-    by_finish: bool,
+    expected_finish_enabled: bool,
 }
 
 /// Replica that may get a request, with this gateway's record of it.
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Applies changes of the list. Records of replicas that stay listed are kept.
+    /// Applies changes of the list. Records of replicas that stay listed are kept, unless the
+    /// replica has restarted.
     pub fn apply(&mut self, changes: &BackendChanges) {
         for id in &changes.removed {
             self.remove(id);
@@ -132,7 +133,7 @@
             if backend.incarnation.is_after(before.incarnation)
                 && let Some(record) = self.records.get_mut(&backend.id)
             {
-                record.begin_new_life();
+                record.reset_for_restart();
             }
             // Changes received over the network contain no incarnations.
             backend.incarnation = backend.incarnation.max(before.incarnation);
@@ -206,42 +207,46 @@
     #[must_use]
     pub fn choose(
         &self,
-        wish: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
         is_connected: impl Fn(&BackendId) -> bool,
         now: Timestamp,
     ) -> Option<Choice> {
-        let service = self.services.get(wish.service)?;
-        let fits = |id: &&BackendId| !wish.tried.contains(id);
+        let service = self.services.get(request.service)?;
+        let is_untried = |id: &&BackendId| !request.tried.contains(id);
         let used: Vec<Candidate<'_>> = service
             .used()
-            .filter(fits)
+            .filter(is_untried)
             .filter_map(|id| self.candidate(id))
             .collect();
-        let cached = wish.cached_at.filter(|id| fits(id) && !service.is_used(id));
+        let cached = request
+            .cached_at
+            .filter(|id| is_untried(id) && !service.is_used(id));
         let cached = cached.and_then(|id| self.candidate(id));
-        let cached = cached.filter(|cached| cached.backend.service == wish.service);
-        let drawn = service.draw_unused(&self.zone, wish);
+        let cached = cached.filter(|cached| cached.backend.service == request.service);
+        let drawn = service.draw_unused(&self.zone, request);
         let drawn = drawn.into_iter().filter_map(|id| self.candidate(id));
         let all: Vec<Candidate<'_>> = used.into_iter().chain(cached).chain(drawn).collect();
-        let sound = all
+        let healthy = all
             .iter()
             .copied()
             .filter(|candidate| candidate.record.ejected_until <= now);
-        let work = wish
+        let work = request
             .work
             .as_ref()
             .filter(|_| self.uses_expected_finish(now));
         let soonest = work.and_then(|work| {
-            let sound = sound.clone().collect();
-            self.soonest(sound, work, wish, &is_connected, now)
+            let healthy = healthy.clone().collect();
+            self.choose_soonest(healthy, work, request, &is_connected, now)
         });
         if soonest.is_some() {
             return soonest;
         }
-        let best = self.cheapest(sound, wish, is_connected, now).or_else(|| {
-            let ejected = all.iter().copied();
-            ejected.min_by_key(|candidate| candidate.record.ejected_until)
-        })?;
+        let best = self
+            .cheapest(healthy, request, is_connected, now)
+            .or_else(|| {
+                let ejected = all.iter().copied();
+                ejected.min_by_key(|candidate| candidate.record.ejected_until)
+            })?;
         Some(Choice {
             backend: best.backend.clone(),
             in_flight: best.record.in_flight,
@@ -254,14 +259,14 @@
     fn cheapest<'pool>(
         &self,
         candidates: impl Iterator<Item = Candidate<'pool>>,
-        wish: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
         is_connected: impl Fn(&BackendId) -> bool,
         now: Timestamp,
     ) -> Option<Candidate<'pool>> {
-        let fastest = self.fastest(wish.service);
+        let fastest_answer_ms = self.fastest_answer_ms(request.service);
         let mut best: Option<(f64, Candidate<'_>)> = None;
         for candidate in candidates {
-            let mut cost = self.cost(candidate, wish, fastest, now);
+            let mut cost = self.cost(candidate, request, fastest_answer_ms, now);
             let is_beaten = |cost: f64| best.is_some_and(|(least, _)| least <= cost);
             if is_beaten(cost) {
                 continue;
@@ -276,7 +281,7 @@
         best.map(|(_, candidate)| candidate)
     }
 
-    fn fastest(&self, service: &str) -> f64 {
+    fn fastest_answer_ms(&self, service: &str) -> f64 {
         let service = self.services.get(service);
         let used = service.into_iter().flat_map(ServiceIndex::used);
         used.filter_map(|id| self.records.get(id))
@@ -289,15 +294,15 @@
     fn cost(
         &self,
         candidate: Candidate<'_>,
-        wish: &RoutingRequest<'_>,
-        fastest: f64,
+        request: &RoutingRequest<'_>,
+        fastest_answer_ms: f64,
         now: Timestamp,
     ) -> f64 {
         let Candidate { backend, record } = candidate;
         let slots = f64::from(backend.slots.max(1));
         let load = f64::from(record.in_flight) / slots;
-        let slowness = if fastest > 0.0 && record.answer_ms > 2.0 * fastest {
-            (record.answer_ms / fastest - 1.0) / slots
+        let slowness = if fastest_answer_ms > 0.0 && record.answer_ms > 2.0 * fastest_answer_ms {
+            (record.answer_ms / fastest_answer_ms - 1.0) / slots
         } else {
             0.0
         };
@@ -306,13 +311,13 @@
         } else {
             OTHER_ZONE_COST
         };
-        let cached = if wish.cached_at == Some(&backend.id) {
-            -CACHE_WORTH
+        let cached = if request.cached_at == Some(&backend.id) {
+            -CACHE_BONUS
         } else {
             0.0
         };
-        let trouble = TROUBLE_COST * record.trouble_at(now);
-        load + slowness + zone + cached + trouble + tie_breaker(&backend.id, wish.draw)
+        let failure_cost = FAILURE_COST * record.failure_ratio_at(now);
+        load + slowness + zone + cached + failure_cost + tie_breaker(&backend.id, request.draw)
     }
 
     /// Returns the replica on which all gateways of a zone with the same list agree for a program,
@@ -323,8 +328,8 @@
         let homes = self
             .services
             .get(service)?
-            .reached(&self.zone, CandidateScope::Home);
-        homes.max_by_key(|id| home_rank(id, program)).cloned()
+            .in_scope(&self.zone, CandidateScope::Home);
+        homes.max_by_key(|id| rendezvous_rank(id, program)).cloned()
     }
 
     /// Returns the replicas at which a program may start, the same at all gateways of a zone with
@@ -335,23 +340,24 @@
         &self,
         service: &str,
         program: u64,
-        reach: CandidateScope,
+        scope: CandidateScope,
         count: usize,
         now: Timestamp,
     ) -> Vec<Backend> {
         let Some(service) = self.services.get(service) else {
             return Vec::new();
         };
-        let reached = service.reached(&self.zone, reach);
-        let mut ranked: Vec<(bool, u64, Candidate<'_>)> = reached
+        let in_scope = service.in_scope(&self.zone, scope);
+        let mut ranked: Vec<(bool, u64, Candidate<'_>)> = in_scope
             .filter_map(|id| self.candidate(id))
             .map(|candidate| {
-                let is_sound = candidate.record.ejected_until <= now;
-                let rank = home_rank(&candidate.backend.id, program);
-                (is_sound, rank, candidate)
+                let is_healthy = candidate.record.ejected_until <= now;
+                let rank = rendezvous_rank(&candidate.backend.id, program);
+                (is_healthy, rank, candidate)
             })
             .collect();
-        ranked.sort_unstable_by_key(|(is_sound, rank, _)| std::cmp::Reverse((*is_sound, *rank)));
+        ranked
+            .sort_unstable_by_key(|(is_healthy, rank, _)| std::cmp::Reverse((*is_healthy, *rank)));
         let best = ranked.into_iter().take(count);
         best.map(|(_, _, candidate)| candidate.backend.clone())
             .collect()
@@ -369,7 +375,7 @@
 
     /// Returns the size of a service.
     #[must_use]
-    pub fn service_size(&self, service: &str) -> Extent {
+    pub fn service_size(&self, service: &str) -> ServiceSize {
         let service = self.services.get(service);
         service.map(ServiceIndex::service_size).unwrap_or_default()
     }
@@ -389,16 +395,15 @@
         })
     }
 
-    /// Returns this gateway's observations of the replicas that it uses, for the others of its
-    /// zone.
+    /// Returns this gateway's statistics of the replicas that it uses, for the others of its zone.
     #[must_use]
     pub fn replica_stats(&self, now: Timestamp) -> StatsReport {
         let used = self.records.iter();
-        let replica_stats = used.filter_map(|(id, record)| record.sight(ReplicaKey::of(id), now));
+        let replica_stats = used.filter_map(|(id, record)| record.stats(ReplicaKey::of(id), now));
         StatsReport::sum([&StatsReport(replica_stats.collect())])
     }
 
-    /// Sets the observations of all gateways of the zone.
+    /// Sets the statistics from all gateways of the zone.
     pub fn set_zone_view(&mut self, replica_stats: &StatsReport, now: Timestamp) {
         self.view.take(replica_stats, now);
         for record in self.records.values_mut() {
@@ -414,9 +419,9 @@
             service.note_used(id);
             let records = &self.records;
             let is_idle = |id: &BackendId| records.get(id).is_none_or(Record::is_idle);
-            let forgotten = service.forget_one(is_idle);
-            if let Some(forgotten) = forgotten {
-                self.records.remove(&forgotten);
+            let evicted = service.evict_idle(is_idle);
+            if let Some(evicted) = evicted {
+                self.records.remove(&evicted);
             }
         }
         Some(self.records.entry(id.clone()).or_default())
@@ -464,7 +469,7 @@
 
 /// Returns the rank of a replica as a program's home, by rendezvous hashing (highest random
 /// weight).
-fn home_rank(id: &BackendId, program: u64) -> u64 {
+fn rendezvous_rank(id: &BackendId, program: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(id.0.as_bytes(), program)
 }
 
--- a/crates/scheduling/src/pool/step_mean.rs
+++ b/crates/scheduling/src/pool/step_mean.rs
@@ -8,7 +8,7 @@
 const HALF_LIFE: Duration = Duration::from_millis(500);
 
 /// Maximum pause that is counted: one long silence must not outweigh everything after it.
-const LONGEST: Duration = Duration::from_secs(1);
+const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// Mean pause between recent events.
 #[derive(Clone, Copy, Debug, Default)]
@@ -27,7 +27,7 @@
     };
 
     pub(super) fn note(&mut self, pause: Duration, now: Timestamp) {
-        let sample = pause.min(LONGEST).as_secs_f64() * 1e6;
+        let sample = pause.min(MAX_PAUSE).as_secs_f64() * 1e6;
         self.weight = self.weight_at(now) + 1.0;
         self.micros += (sample - self.micros) / self.weight;
         self.at = now;
@@ -38,7 +38,7 @@
         if self.weight == 0.0 {
             return 0.0;
         }
-        self.weight * faded(now.since(self.at), HALF_LIFE)
+        self.weight * decay_factor(now.since(self.at), HALF_LIFE)
     }
 
     pub(super) fn micros(&self) -> f64 {
@@ -47,6 +47,6 @@
 }
 
 /// Returns the factor by which a value with `half_life` decays in `age`.
-pub(super) fn faded(age: Duration, half_life: Duration) -> f64 {
+pub(super) fn decay_factor(age: Duration, half_life: Duration) -> f64 {
     0.5_f64.powf(age.as_secs_f64() / half_life.as_secs_f64())
 }
--- a/crates/scheduling/src/pool/working_set.rs
+++ b/crates/scheduling/src/pool/working_set.rs
@@ -13,18 +13,18 @@
 /// Slots that are provided for each request in flight. Sub-agents start together, and a batch grows
 /// slower with each request in it. A replica that is a quarter full takes five of them and still
 /// reads prompts.
-const HEADROOM: f64 = 4.0;
+const SLOTS_PER_REQUEST: f64 = 4.0;
 
 /// Minimum number of replicas that get work: the loss of some, or a burst before the gateways have
 /// informed each other, must leave enough.
-const LEAST: usize = 16;
+const MIN_REPLICAS: usize = 16;
 
 /// Time in which half of the replicas that are no longer needed cease to get new programs: longer
 /// than most programs take, so that they end where they started.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
 /// Factor by which the set grows if its replicas are busy.
-const GROWTH: f64 = 1.5;
+const GROWTH_FACTOR: f64 = 1.5;
 
 /// Number of a zone's replicas that get work.
 #[derive(Clone, Copy, Debug, Default)]
@@ -34,16 +34,16 @@
     /// Updates the size by the requests in flight in the zone. `slots` is the number of requests
     /// that one replica serves concurrently.
     pub(super) fn follow(&mut self, in_flight: f64, slots: u32, now: Timestamp) {
-        let need = in_flight * HEADROOM / f64::from(slots.max(1));
+        let need = in_flight * SLOTS_PER_REQUEST / f64::from(slots.max(1));
         self.0.follow(need, HALF_LIFE, now);
     }
 
     /// Grows at once.
-    pub(super) fn grow_working_set(&mut self) {
-        self.0.grow_to(self.size() as f64 * GROWTH);
+    pub(super) fn grow(&mut self) {
+        self.0.grow_to(self.size() as f64 * GROWTH_FACTOR);
     }
 
     pub(super) fn size(&self) -> usize {
-        (self.0.size().ceil() as usize).max(LEAST)
+        (self.0.size().ceil() as usize).max(MIN_REPLICAS)
     }
 }
--- a/crates/scheduling/src/program_table.rs
+++ b/crates/scheduling/src/program_table.rs
@@ -11,14 +11,14 @@
 use std::time::Duration;
 
 /// Maximum number of tracked programs, more than one gateway can run.
-const MOST_PROGRAMS: usize = 8_192;
+const MAX_PROGRAMS: usize = 8_192;
 
 /// Number of equal steps of a program's life for which the memory need is projected.
-const STEPS: usize = 16;
+const LOOKAHEAD_STEPS: usize = 16;
 
 /// Time constant of the average demand: shorter than the lives of programs, so that the average
 /// soon follows a burst, and long enough for some tens of turns.
-const AVERAGED_OVER: Duration = Duration::from_secs(2);
+const AVERAGING_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
 /// Interval between two samples of the demand.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
@@ -40,16 +40,16 @@
 
 /// Demand of the running programs as observed by one gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct OwnDemand {
+pub struct LocalDemand {
     /// Tokens needed in memory now, and after each step of the programs' lives until they end.
-    pub tokens: [f64; STEPS],
+    pub tokens: [f64; LOOKAHEAD_STEPS],
     /// Number of programs, including paused ones.
     pub programs: f64,
     /// Number of turns in flight.
     pub requests: f64,
 }
 
-impl OwnDemand {
+impl LocalDemand {
     /// Returns the maximum number of tokens needed at once.
     #[must_use]
     pub fn peak(&self) -> f64 {
@@ -58,37 +58,37 @@
 
     /// Returns the demand multiplied by a factor.
     #[must_use]
-    pub fn times(&self, factor: f64) -> Self {
-        self.towards(&Self::default(), 1.0 - factor)
+    pub fn scaled(&self, factor: f64) -> Self {
+        self.interpolate(&Self::default(), 1.0 - factor)
     }
 
     /// Returns the average with another demand of weight `weight`.
     #[must_use]
-    pub fn towards(&self, other: &Self, weight: f64) -> Self {
-        let between = |one: f64, other: f64| one + weight * (other - one);
+    pub fn interpolate(&self, other: &Self, weight: f64) -> Self {
+        let blend = |one: f64, other: f64| one + weight * (other - one);
         Self {
-            tokens: std::array::from_fn(|step| between(self.tokens[step], other.tokens[step])),
-            programs: between(self.programs, other.programs),
-            requests: between(self.requests, other.requests),
+            tokens: std::array::from_fn(|step| blend(self.tokens[step], other.tokens[step])),
+            programs: blend(self.programs, other.programs),
+            requests: blend(self.requests, other.requests),
         }
     }
 }
 
 /// Moving average of demands.
 #[derive(Clone, Copy, Debug, Default)]
-struct UsualDemand {
-    average: OwnDemand,
+struct AverageDemand {
+    average: LocalDemand,
     /// Sum of the weights of all samples so far; approaches one.
     weight: f64,
     at: Timestamp,
 }
 
-impl UsualDemand {
-    fn add(&mut self, demand: &OwnDemand, now: Timestamp) {
+impl AverageDemand {
+    fn add(&mut self, demand: &LocalDemand, now: Timestamp) {
         let elapsed = now.since(self.at).max(SAMPLE_INTERVAL);
-        let weight = 1.0 - (-elapsed.as_secs_f64() / AVERAGED_OVER.as_secs_f64()).exp();
+        let weight = 1.0 - (-elapsed.as_secs_f64() / AVERAGING_TIME_CONSTANT.as_secs_f64()).exp();
         self.weight += weight * (1.0 - self.weight);
-        self.average = self.average.towards(demand, weight / self.weight);
+        self.average = self.average.interpolate(demand, weight / self.weight);
         self.at = now;
     }
 }
@@ -101,7 +101,7 @@
     prompt: f64,
     in_flight: u32,
     /// Time at which its last turn started or ended.
-    seen: Timestamp,
+    last_active: Timestamp,
 }
 
 /// Programs running at this gateway.
@@ -109,21 +109,21 @@
 pub struct ProgramTable {
     programs: HashMap<u64, Program>,
     profiles: HashMap<String, RouteProfile>,
-    usual: HashMap<String, UsualDemand>,
+    averages: HashMap<String, AverageDemand>,
 }
 
 impl ProgramTable {
     /// Records the start of a turn. Each one must be followed by [`Self::end_turn`].
     pub fn begin_turn(&mut self, turn: &TurnStarted<'_>, now: Timestamp) {
         // The sample precedes the new turn: afterwards there is always at least one in flight.
-        let usual = self.usual.get(turn.service);
-        if usual.is_none_or(|usual| now.since(usual.at) >= SAMPLE_INTERVAL) {
+        let average = self.averages.get(turn.service);
+        if average.is_none_or(|average| now.since(average.at) >= SAMPLE_INTERVAL) {
             self.demand(turn.service, now);
         }
-        self.note(turn, now);
+        self.record_start(turn, now);
     }
 
-    fn note(&mut self, turn: &TurnStarted<'_>, now: Timestamp) {
+    fn record_start(&mut self, turn: &TurnStarted<'_>, now: Timestamp) {
         let prompt = turn.prompt_tokens as f64;
         if !self.profiles.contains_key(&turn.route.name) {
             let name = turn.route.name.clone();
@@ -135,14 +135,14 @@
         profile.note_turn(prompt, turn.is_first_turn, now);
         if let Some(program) = self.programs.get_mut(&turn.program) {
             if program.in_flight == 0 {
-                profile.note_pause(now.since(program.seen));
+                profile.note_pause(now.since(program.last_active));
             }
             program.prompt = prompt;
             program.in_flight += 1;
-            program.seen = now;
+            program.last_active = now;
             return;
         }
-        if self.programs.len() >= MOST_PROGRAMS {
+        if self.programs.len() >= MAX_PROGRAMS {
             return;
         }
         self.programs.insert(
@@ -152,7 +152,7 @@
                 service: turn.service.to_owned(),
                 prompt,
                 in_flight: 1,
-                seen: now,
+                last_active: now,
             },
         );
     }
@@ -163,7 +163,7 @@
             return;
         };
         program.in_flight = program.in_flight.saturating_sub(1);
-        program.seen = now;
+        program.last_active = now;
         if let Some(profile) = self.profiles.get_mut(&program.route) {
             profile.note_end(taken);
         }
@@ -176,20 +176,20 @@
     }
 
     /// Returns the demand of the programs running at a service. Removes those that have ended.
-    pub fn demand(&mut self, service: &str, now: Timestamp) -> OwnDemand {
+    pub fn demand(&mut self, service: &str, now: Timestamp) -> LocalDemand {
         let profiles = &self.profiles;
         self.programs.retain(|_, program| {
             let expiry = profiles.get(&program.route).map(RouteProfile::expiry);
-            program.in_flight > 0 || now.since(program.seen) < expiry.unwrap_or_default()
+            program.in_flight > 0 || now.since(program.last_active) < expiry.unwrap_or_default()
         });
-        let mut demand = OwnDemand::default();
+        let mut demand = LocalDemand::default();
         let programs = self.programs.values();
         for program in programs.filter(|program| program.service == service) {
             self.add(program, &mut demand, now);
         }
-        let usual = self.usual.entry(service.to_owned()).or_default();
-        if now.since(usual.at) >= SAMPLE_INTERVAL || usual.weight == 0.0 {
-            usual.add(&demand, now);
+        let average = self.averages.entry(service.to_owned()).or_default();
+        if now.since(average.at) >= SAMPLE_INTERVAL || average.weight == 0.0 {
+            average.add(&demand, now);
         }
         demand
     }
@@ -197,29 +197,30 @@
     /// Returns the average of recent results of [`Self::demand`]: the demand behind each request in
     /// flight at a gateway that has few at a time.
     #[must_use]
-    pub fn average_demand(&self, service: &str) -> OwnDemand {
-        let usual = self.usual.get(service);
-        usual.map(|usual| usual.average).unwrap_or_default()
+    pub fn average_demand(&self, service: &str) -> LocalDemand {
+        let average = self.averages.get(service);
+        average.map(|average| average.average).unwrap_or_default()
     }
 
     /// Adds the demand of a program from now until it ends. A paused program counts with the
     /// probability that it is still running, which this gateway cannot observe.
-    fn add(&self, program: &Program, demand: &mut OwnDemand, now: Timestamp) {
+    fn add(&self, program: &Program, demand: &mut LocalDemand, now: Timestamp) {
         let profile = self.profiles.get(&program.route).copied();
         let profile = profile.unwrap_or_default();
-        let left = 1.0 - profile.age(program.prompt);
-        let lines = if program.in_flight > 0 {
+        let remaining_life = 1.0 - profile.progress(program.prompt);
+        let weight = if program.in_flight > 0 {
             // Sub-agents have prompts of their own.
             f64::from(program.in_flight)
         } else {
-            profile.pauses_still(now.since(program.seen)) * profile.goes_on(program.prompt)
+            profile.pausing_probability(now.since(program.last_active))
+                * profile.continue_probability(program.prompt)
         };
-        demand.programs += lines.min(1.0);
+        demand.programs += weight.min(1.0);
         demand.requests += f64::from(program.in_flight);
-        let growth = profile.growth() / STEPS as f64;
-        let steps = (left * STEPS as f64).ceil() as usize;
+        let growth = profile.growth() / LOOKAHEAD_STEPS as f64;
+        let steps = (remaining_life * LOOKAHEAD_STEPS as f64).ceil() as usize;
         for (step, tokens) in demand.tokens.iter_mut().enumerate().take(steps.max(1)) {
-            *tokens += lines * (program.prompt + growth * step as f64);
+            *tokens += weight * (program.prompt + growth * step as f64);
         }
     }
 
@@ -235,7 +236,7 @@
         let names = configuration.route_names();
         self.profiles
             .retain(|name, _| names.contains(name.as_str()));
-        self.usual
+        self.averages
             .retain(|name, _| configuration.service(name).is_some());
     }
 }
--- a/crates/scheduling/src/prompt_parts.rs
+++ b/crates/scheduling/src/prompt_parts.rs
@@ -27,7 +27,7 @@
             .unwrap_or_default()
             .split(',')
             .take(MAX_PARTS)
-            .map_while(read_part)
+            .map_while(parse_part)
             .collect();
         let sum = parts
             .iter()
@@ -37,24 +37,24 @@
         let shared = shared.filter(|shared| !shared.is_empty());
         Some(Self {
             tokens,
-            shared: shared.map(together),
+            shared: shared.map(combine_parts),
         })
     }
 }
 
-fn read_part(part: &str) -> Option<(u64, u32)> {
+fn parse_part(part: &str) -> Option<(u64, u32)> {
     let (id, tokens) = part.trim().split_once(':')?;
     let id = u64::from_str_radix(id, 16).ok()?;
     Some((id, tokens.parse().ok()?))
 }
 
 /// Combines parts into one, because a part is held only if all parts before it are held too.
-fn together(parts: &[(u64, u32)]) -> SharedPart {
+fn combine_parts(parts: &[(u64, u32)]) -> SharedPart {
     let nothing = SharedPart { id: 0, tokens: 0 };
     parts
         .iter()
-        .fold(nothing, |before, (id, tokens)| SharedPart {
-            id: xxh3_64_with_seed(&id.to_le_bytes(), before.id),
-            tokens: before.tokens.saturating_add(*tokens),
+        .fold(nothing, |previous, (id, tokens)| SharedPart {
+            id: xxh3_64_with_seed(&id.to_le_bytes(), previous.id),
+            tokens: previous.tokens.saturating_add(*tokens),
         })
 }
--- a/crates/scheduling/src/route_profile.rs
+++ b/crates/scheduling/src/route_profile.rs
@@ -8,24 +8,24 @@
 use std::time::Duration;
 
 /// Maximum number of samples that an average covers.
-const AVERAGED_SAMPLES: f64 = 128.0;
+const MAX_AVERAGED_SAMPLES: f64 = 128.0;
 
 /// Time that the average prompt covers. The young programs of a burst must not count as typical
 /// ones.
-const PROMPTS_AVERAGED_OVER: Duration = Duration::from_secs(60);
+const PROMPT_AVERAGING_PERIOD: Duration = Duration::from_secs(60);
 
 /// Factor on the counts of turns and first turns after each turn. Their ratio must outlast a burst,
 /// which starts with many first turns and few later ones.
 const COUNT_RETENTION: f64 = 1.0 - 1.0 / 512.0;
 
 /// Turns per program that are assumed before any is known.
-const FIRST_TURNS: f64 = 4.0;
+const DEFAULT_TURNS: f64 = 4.0;
 
 /// Maximum number of turns per program that is assumed.
-const MOST_TURNS: f64 = 32.0;
+const MAX_TURNS: f64 = 32.0;
 
 /// Pause between turns that is assumed before any is known.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const DEFAULT_PAUSE: Duration = Duration::from_millis(200);
 
 /// Number of pauses after which a program that has not returned counts as ended, or as moved to
 /// another gateway.
@@ -33,8 +33,8 @@
 
 /// Bounds of that time. With a longer one, the time between two turns with other turns at other
 /// gateways in between would count as one pause.
-const SHORTEST_EXPIRY: Duration = Duration::from_millis(150);
-const LONGEST_EXPIRY: Duration = Duration::from_secs(1);
+const MIN_EXPIRY: Duration = Duration::from_millis(150);
+const MAX_EXPIRY: Duration = Duration::from_secs(1);
 
 /// Average over the latest samples.
 #[derive(Clone, Copy, Debug, Default)]
@@ -45,7 +45,7 @@
 
 impl Average {
     fn add(&mut self, sample: f64) {
-        self.samples = (self.samples + 1.0).min(AVERAGED_SAMPLES);
+        self.samples = (self.samples + 1.0).min(MAX_AVERAGED_SAMPLES);
         self.value += (sample - self.value) / self.samples;
     }
 
@@ -67,7 +67,7 @@
         let elapsed = now.since(self.at).as_secs_f64().max(1e-3);
         let elapsed = if self.seconds > 0.0 { elapsed } else { 1e-3 };
         self.at = now;
-        self.seconds = (self.seconds + elapsed).min(PROMPTS_AVERAGED_OVER.as_secs_f64());
+        self.seconds = (self.seconds + elapsed).min(PROMPT_AVERAGING_PERIOD.as_secs_f64());
         self.value += (sample - self.value) * (elapsed / self.seconds).min(1.0);
     }
 
@@ -80,7 +80,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RouteProfile {
     turns: f64,
-    beginnings: f64,
+    first_turns: f64,
     first_prompt: TimedAverage,
     prompt: TimedAverage,
     turn_seconds: Average,
@@ -91,10 +91,10 @@
     /// Records the start of a turn with a prompt of `prompt` tokens.
     pub(crate) fn note_turn(&mut self, prompt: f64, is_first_turn: bool, now: Timestamp) {
         self.turns = self.turns * COUNT_RETENTION + 1.0;
-        self.beginnings *= COUNT_RETENTION;
+        self.first_turns *= COUNT_RETENTION;
         self.prompt.add(prompt, now);
         if is_first_turn {
-            self.beginnings += 1.0;
+            self.first_turns += 1.0;
             self.first_prompt.add(prompt, now);
         }
     }
@@ -111,8 +111,8 @@
 
     /// Returns the mean number of turns per program.
     fn turns_per_program(&self) -> f64 {
-        let turns = (self.turns + FIRST_TURNS) / (self.beginnings + 1.0);
-        turns.clamp(1.0, MOST_TURNS)
+        let turns = (self.turns + DEFAULT_TURNS) / (self.first_turns + 1.0);
+        turns.clamp(1.0, MAX_TURNS)
     }
 
     /// Returns the number of tokens by which a prompt grows in a program's life. The average prompt
@@ -125,7 +125,7 @@
     }
 
     /// Returns the share of its life that a program has completed, by the growth of its prompt.
-    pub(crate) fn age(&self, prompt: f64) -> f64 {
+    pub(crate) fn progress(&self, prompt: f64) -> f64 {
         let growth = self.growth();
         let first = self.first_prompt.get().unwrap_or(prompt);
         if growth < 1.0 {
@@ -136,28 +136,28 @@
 
     /// Returns the probability that a program has a next turn. Prompts that do not grow give no
     /// information; then one turn out of the mean number of turns is the last.
-    pub(crate) fn goes_on(&self, prompt: f64) -> f64 {
+    pub(crate) fn continue_probability(&self, prompt: f64) -> f64 {
         if self.growth() < 1.0 {
             return 1.0 - 1.0 / self.turns_per_program();
         }
-        f64::from(u8::from(self.age(prompt) < 1.0))
+        f64::from(u8::from(self.progress(prompt) < 1.0))
     }
 
     fn pause(&self) -> Duration {
         let seconds = self.pause_seconds.get();
-        seconds.map_or(FIRST_PAUSE, Duration::from_secs_f64)
+        seconds.map_or(DEFAULT_PAUSE, Duration::from_secs_f64)
     }
 
     /// Returns the time after which a paused program is no longer counted.
     pub(crate) fn expiry(&self) -> Duration {
         let expiry = self.pause().mul_f64(EXPIRY_FACTOR);
-        expiry.clamp(SHORTEST_EXPIRY, LONGEST_EXPIRY)
+        expiry.clamp(MIN_EXPIRY, MAX_EXPIRY)
     }
 
     /// Returns the probability that a program is still pausing after a time. Its integral over all
     /// times is one pause, so that programs whose next turn goes to another gateway are not counted
     /// twice.
-    pub(crate) fn pauses_still(&self, time: Duration) -> f64 {
+    pub(crate) fn pausing_probability(&self, time: Duration) -> f64 {
         let pauses = time.as_secs_f64() / self.pause().as_secs_f64().max(1e-3);
         // Pauses differ, but not so much that most of them are short.
         (1.5 - pauses).clamp(0.0, 1.0)
--- a/crates/scheduling/src/shares.rs
+++ b/crates/scheduling/src/shares.rs
@@ -12,10 +12,10 @@
 /// Time in which a recorded demand decays to about a third. A gateway of a large fleet gets a
 /// program of each tenant only now and then; a shorter time would show no difference between
 /// tenants.
-const MEMORY: Duration = Duration::from_secs(30);
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(30);
 
 /// Maximum number of tracked tenants. Beyond it, those with the smallest demands are removed.
-const MOST_TENANTS: usize = 1_024;
+const MAX_TENANTS: usize = 1_024;
 
 /// Demand of one party.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -48,35 +48,35 @@
 
 /// Recent demand of a tenant, as of a time.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct RecentDemand {
     amount: f64,
     at: Timestamp,
 }
 
-impl Asked {
+impl RecentDemand {
     fn at(self, now: Timestamp) -> f64 {
-        self.amount * (-now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64()).exp()
+        self.amount * (-now.since(self.at).as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
 
 /// Recent demand of each tenant at this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct TenantDemands {
-    asked: HashMap<Option<TenantName>, Asked>,
+    demands: HashMap<Option<TenantName>, RecentDemand>,
 }
 
 impl TenantDemands {
     /// Records work that a tenant asks for, served or not.
     pub fn note(&mut self, tenant: Option<&TenantName>, amount: f64, now: Timestamp) {
-        if self.asked.len() >= MOST_TENANTS {
-            self.forget_least(now);
+        if self.demands.len() >= MAX_TENANTS {
+            self.remove_smallest(now);
         }
-        let asked = self.asked.entry(tenant.cloned()).or_insert(Asked {
+        let demand = self.demands.entry(tenant.cloned()).or_insert(RecentDemand {
             amount: 0.0,
             at: now,
         });
-        asked.amount = asked.at(now) + amount;
-        asked.at = now;
+        demand.amount = demand.at(now) + amount;
+        demand.at = now;
     }
 
     /// Returns the share of its demand that a tenant gets if the share `served` of the total demand
@@ -84,9 +84,9 @@
     #[must_use]
     pub fn served_share(&self, tenant: Option<&TenantName>, served: f64, now: Timestamp) -> f64 {
         let (tenants, demands): (Vec<_>, Vec<_>) = self
-            .asked
+            .demands
             .iter()
-            .map(|(name, asked)| (name.as_ref(), equal(asked.at(now))))
+            .map(|(name, demand)| (name.as_ref(), equal_weight_demand(demand.at(now))))
             .unzip();
         let all: f64 = demands.iter().map(|demand| demand.amount).sum();
         let shares = max_min_shares(&demands, served * all);
@@ -100,25 +100,25 @@
     /// Returns the number of tracked tenants.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.asked.len()
+        self.demands.len()
     }
 
     /// Returns true if no tenant is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.asked.is_empty()
+        self.demands.is_empty()
     }
 
-    fn forget_least(&mut self, now: Timestamp) {
-        let mut amounts: Vec<f64> = self.asked.values().map(|asked| asked.at(now)).collect();
+    fn remove_smallest(&mut self, now: Timestamp) {
+        let mut amounts: Vec<f64> = self.demands.values().map(|demand| demand.at(now)).collect();
         amounts.sort_by(f64::total_cmp);
         let median = amounts.get(amounts.len() / 2).copied().unwrap_or(0.0);
-        self.asked.retain(|_, asked| asked.at(now) > median);
+        self.demands.retain(|_, demand| demand.at(now) > median);
     }
 }
 
 /// Gives every tenant the same weight.
-fn equal(amount: f64) -> Demand {
+fn equal_weight_demand(amount: f64) -> Demand {
     Demand {
         amount,
         weight: 1.0,
--- a/crates/scheduling/src/usual.rs
+++ b/crates/scheduling/src/wait_histogram.rs
@@ -8,97 +8,97 @@
 use std::time::Duration;
 
 /// Buckets for each doubling of a wait.
-const CLASSES_PER_DOUBLING: f64 = 4.0;
+const BUCKETS_PER_DOUBLING: f64 = 4.0;
 
 /// Number of buckets: from one millisecond to about sixteen seconds.
-const CLASSES: usize = 56;
+const BUCKETS: usize = 56;
 
 /// Time after which a wait counts half.
 const HALF_LIFE: Duration = Duration::from_secs(10);
 
 /// Minimum total weight of the waits for a quantile to be known.
-const FEWEST: f64 = 20.0;
+const MIN_WEIGHT: f64 = 20.0;
 
 /// Histogram of waits whose weights decay.
 #[derive(Clone, Debug)]
-pub struct Usual {
-    weights: [f64; CLASSES],
-    faded_at: Timestamp,
+pub struct WaitHistogram {
+    weights: [f64; BUCKETS],
+    decayed_at: Timestamp,
 }
 
-impl Default for Usual {
+impl Default for WaitHistogram {
     fn default() -> Self {
         Self {
-            weights: [0.0; CLASSES],
-            faded_at: Timestamp::ZERO,
+            weights: [0.0; BUCKETS],
+            decayed_at: Timestamp::ZERO,
         }
     }
 }
 
-impl Usual {
+impl WaitHistogram {
     /// Records a completed wait.
     pub fn note(&mut self, wait: Duration, now: Timestamp) {
-        self.fade(now);
-        self.weights[class_of(wait)] += 1.0;
+        self.decay(now);
+        self.weights[bucket_of(wait)] += 1.0;
     }
 
     /// Returns the wait that is not exceeded by `share` of them, or `None` while too few are known.
     #[must_use]
     pub fn quantile(&self, share: f64, now: Timestamp) -> Option<Duration> {
-        if self.weight(now) < FEWEST {
+        if self.weight(now) < MIN_WEIGHT {
             return None;
         }
         let wanted = share * self.weights.iter().sum::<f64>();
         let mut below = 0.0;
-        for (class, weight) in self.weights.iter().enumerate() {
+        for (bucket, weight) in self.weights.iter().enumerate() {
             if *weight > 0.0 && below + weight >= wanted {
-                let part = ((wanted - below) / weight).clamp(0.0, 1.0);
-                return Some(place_in(class, part));
+                let fraction = ((wanted - below) / weight).clamp(0.0, 1.0);
+                return Some(wait_in(bucket, fraction));
             }
             below += weight;
         }
-        Some(place_in(CLASSES - 1, 1.0))
+        Some(wait_in(BUCKETS - 1, 1.0))
     }
 
     /// Returns the total weight of the waits after decay.
     #[must_use]
     pub fn weight(&self, now: Timestamp) -> f64 {
-        self.weights.iter().sum::<f64>() * fading(now.since(self.faded_at))
+        self.weights.iter().sum::<f64>() * decay_factor(now.since(self.decayed_at))
     }
 
     /// Returns the sum of two histograms.
     #[must_use]
-    pub fn with(&self, other: &Self, now: Timestamp) -> Self {
+    pub fn merged(&self, other: &Self, now: Timestamp) -> Self {
         let (mut sum, mut other) = (self.clone(), other.clone());
-        sum.fade(now);
-        other.fade(now);
+        sum.decay(now);
+        other.decay(now);
         for (weight, more) in sum.weights.iter_mut().zip(other.weights) {
             *weight += more;
         }
         sum
     }
 
-    fn fade(&mut self, now: Timestamp) {
-        let left = fading(now.since(self.faded_at));
+    fn decay(&mut self, now: Timestamp) {
+        let left = decay_factor(now.since(self.decayed_at));
         for weight in &mut self.weights {
             *weight *= left;
         }
-        self.faded_at = now;
+        self.decayed_at = now;
     }
 }
 
-fn fading(elapsed: Duration) -> f64 {
+fn decay_factor(elapsed: Duration) -> f64 {
     0.5_f64.powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64())
 }
 
-fn class_of(wait: Duration) -> usize {
+fn bucket_of(wait: Duration) -> usize {
     let milliseconds = (wait.as_secs_f64() * 1_000.0).max(1.0);
-    let class = (milliseconds.log2() * CLASSES_PER_DOUBLING).floor() as usize;
-    class.min(CLASSES - 1)
+    let bucket = (milliseconds.log2() * BUCKETS_PER_DOUBLING).floor() as usize;
+    bucket.min(BUCKETS - 1)
 }
 
 /// Returns the wait at a fraction, from 0 to 1, of a bucket.
-fn place_in(class: usize, part: f64) -> Duration {
-    let doublings = (class as f64 + part) / CLASSES_PER_DOUBLING;
+fn wait_in(bucket: usize, fraction: f64) -> Duration {
+    let doublings = (bucket as f64 + fraction) / BUCKETS_PER_DOUBLING;
     Duration::from_secs_f64(doublings.exp2() / 1_000.0)
 }
--- a/crates/scheduling/src/waits.rs
+++ b/crates/scheduling/src/waits.rs
@@ -1,7 +1,7 @@
 //! Waits that a gateway has observed on its routes.
 
-use crate::moves::{ExtraSends, FEW_UNUSUAL, QUICKEST_SHARE, USUAL_SHARE, WaitQuantiles};
-use crate::usual::Usual;
+use crate::moves::{ExtraSendBudget, FASTEST_QUANTILE, MAX_OUTLIER_RATIO, P90, WaitQuantiles};
+use crate::wait_histogram::WaitHistogram;
 use luglink_edge::{Configuration, Route};
 use luglink_types::Timestamp;
 use std::collections::HashMap;
@@ -9,13 +9,13 @@
 
 /// Maximum ratio of a route's requests that may move: more than the share of replicas that
 /// misbehave at once, and far fewer than would move if all were slow.
-const MOVED_SHARE: f64 = 0.15;
+const MAX_MOVE_RATIO: f64 = 0.15;
 
 /// Maximum ratio of requests that are hedged early.
-const HEDGED_SHARE: f64 = 0.05;
+const MAX_HEDGE_RATIO: f64 = 0.05;
 
 /// Ratio of waits at healthy replicas that are abandoned.
-const SOUND_VAIN: f64 = 0.01;
+const HEALTHY_ABANDON_RATIO: f64 = 0.01;
 
 /// Weight of a new wait in the ratio of outliers. The average covers about twenty waits, so that it
 /// changes within moments of a burst.
@@ -30,29 +30,29 @@
 /// Waits of one route.
 #[derive(Clone, Debug)]
 pub struct RouteWaits {
-    first_events: Usual,
+    first_events: WaitHistogram,
     /// Waits for first events that were abandoned.
-    vain: Usual,
-    pauses: Usual,
-    answers: Usual,
+    abandoned: WaitHistogram,
+    pauses: WaitHistogram,
+    answers: WaitHistogram,
     /// Ratio of outliers in the latest waits for first events.
     outlier_ratio: f64,
     /// Budget for moves of the route's requests.
-    pub moves: ExtraSends,
+    pub moves: ExtraSendBudget,
     /// Budget for early hedges of the route's requests.
-    pub hedges: ExtraSends,
+    pub hedges: ExtraSendBudget,
 }
 
 impl Default for RouteWaits {
     fn default() -> Self {
         Self {
-            first_events: Usual::default(),
-            vain: Usual::default(),
-            pauses: Usual::default(),
-            answers: Usual::default(),
+            first_events: WaitHistogram::default(),
+            abandoned: WaitHistogram::default(),
+            pauses: WaitHistogram::default(),
+            answers: WaitHistogram::default(),
             outlier_ratio: 0.0,
-            moves: ExtraSends::new(MOVED_SHARE),
-            hedges: ExtraSends::new(HEDGED_SHARE),
+            moves: ExtraSendBudget::new(MAX_MOVE_RATIO),
+            hedges: ExtraSendBudget::new(MAX_HEDGE_RATIO),
         }
     }
 }
@@ -73,16 +73,16 @@
 impl RouteWaits {
     /// Records the time from a send to the first event. The distribution is derived from the
     /// latency `target` while too few waits are known.
-    pub fn note_first_event(&mut self, wait: Duration, aim: Duration, now: Timestamp) {
-        let is_unusual = self.first_event(aim, now).is_exceeded_by(wait);
-        self.count_unusual(is_unusual);
+    pub fn note_first_event(&mut self, wait: Duration, target: Duration, now: Timestamp) {
+        let is_outlier = self.first_event(target, now).is_outlier(wait);
+        self.update_outlier_ratio(is_outlier);
         self.first_events.note(wait, now);
     }
 
     /// Records the time from a send until its first event was no longer awaited.
     pub fn note_abandoned(&mut self, wait: Duration, now: Timestamp) {
-        self.count_unusual(true);
-        self.vain.note(wait, now);
+        self.update_outlier_ratio(true);
+        self.abandoned.note(wait, now);
     }
 
     /// Returns the ratio of outliers in the latest waits for first events.
@@ -91,8 +91,8 @@
         self.outlier_ratio
     }
 
-    fn count_unusual(&mut self, is_unusual: bool) {
-        let sample = f64::from(u8::from(is_unusual));
+    fn update_outlier_ratio(&mut self, is_outlier: bool) {
+        let sample = f64::from(u8::from(is_outlier));
         self.outlier_ratio += SAMPLE_WEIGHT * (sample - self.outlier_ratio);
     }
 
@@ -109,12 +109,12 @@
     /// Returns the distribution of the waits for first events. It is derived from the latency
     /// `target` while too few waits are known.
     #[must_use]
-    pub fn first_event(&self, aim: Duration, now: Timestamp) -> WaitQuantiles {
-        let median = self.sound_quantile(0.5, now);
-        let usual = self.sound_quantile(USUAL_SHARE, now);
-        match (median, usual) {
-            (Some(median), Some(usual)) => WaitQuantiles { median, usual },
-            _ => WaitQuantiles::expected(aim),
+    pub fn first_event(&self, target: Duration, now: Timestamp) -> WaitQuantiles {
+        let median = self.healthy_quantile(0.5, now);
+        let p90 = self.healthy_quantile(P90, now);
+        match (median, p90) {
+            (Some(median), Some(p90)) => WaitQuantiles { median, p90 },
+            _ => WaitQuantiles::expected(target),
         }
     }
 
@@ -122,20 +122,23 @@
     /// they are attributed to other replicas, except for as many as healthy replicas cause: if
     /// those were left out too, waits would look shorter and shorter. If many are abandoned, all
     /// replicas are slow, and these waits count like the rest.
-    fn sound_quantile(&self, share: f64, now: Timestamp) -> Option<Duration> {
-        let (answered, vain) = (self.first_events.weight(now), self.vain.weight(now));
-        if vain > FEW_UNUSUAL * (vain + answered) {
-            return self.first_events.with(&self.vain, now).quantile(share, now);
+    fn healthy_quantile(&self, share: f64, now: Timestamp) -> Option<Duration> {
+        let (answered, abandoned) = (self.first_events.weight(now), self.abandoned.weight(now));
+        if abandoned > MAX_OUTLIER_RATIO * (abandoned + answered) {
+            return self
+                .first_events
+                .merged(&self.abandoned, now)
+                .quantile(share, now);
         }
-        let sound = answered + vain.min(SOUND_VAIN * answered);
-        let share = share * sound / answered.max(f64::MIN_POSITIVE);
+        let healthy = answered + abandoned.min(HEALTHY_ABANDON_RATIO * answered);
+        let share = share * healthy / answered.max(f64::MIN_POSITIVE);
         self.first_events.quantile(share, now)
     }
 
     /// Returns the time of the fastest first events, once enough are known.
     #[must_use]
     pub fn quickest_first_event(&self, now: Timestamp) -> Option<Duration> {
-        self.first_events.quantile(QUICKEST_SHARE, now)
+        self.first_events.quantile(FASTEST_QUANTILE, now)
     }
 
     /// Returns the median pause between events.
@@ -147,12 +150,12 @@
     /// Returns the 90th percentile of the pauses between events.
     #[must_use]
     pub fn p90_pause(&self, now: Timestamp) -> Option<Duration> {
-        self.pauses.quantile(USUAL_SHARE, now)
+        self.pauses.quantile(P90, now)
     }
 
     /// Returns the 90th percentile of the times to a complete answer.
     #[must_use]
     pub fn p90_answer_time(&self, now: Timestamp) -> Option<Duration> {
-        self.answers.quantile(USUAL_SHARE, now)
+        self.answers.quantile(P90, now)
     }
 }
--- a/crates/scheduling/src/zone_trend.rs
+++ b/crates/scheduling/src/zone_trend.rs
@@ -8,17 +8,17 @@
 use std::time::Duration;
 
 /// Time constant with which gateways average their requests in flight.
-const AVERAGED_OVER: Duration = Duration::from_secs(1);
+const AVERAGING_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
 /// Weight of a new slope. The average covers two or three sums, so that random variation does not
 /// count as a burst.
 const SLOPE_WEIGHT: f64 = 0.4;
 
 /// Time between two sums from which nothing is known of the time between them.
-const GAP: Duration = Duration::from_secs(2);
+const MAX_GAP: Duration = Duration::from_secs(2);
 
 /// Minimum time between two sums for a slope.
-const SHORTEST_STEP: Duration = Duration::from_millis(50);
+const MIN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Trend of the sums of one service.
 #[derive(Clone, Copy, Debug, Default)]
@@ -26,24 +26,24 @@
     requests: f64,
     /// Change of the sum, in requests per second.
     slope: f64,
-    told_at: Option<Timestamp>,
+    received_at: Option<Timestamp>,
 }
 
 impl ZoneTrend {
     /// Records a newer sum.
     pub fn take(&mut self, requests: f64, now: Timestamp) {
-        let step = self.told_at.map(|told_at| now.since(told_at));
-        match step {
-            Some(step) if step < SHORTEST_STEP => {}
-            Some(step) if step < GAP => {
-                let slope = (requests - self.requests) / step.as_secs_f64();
+        let interval = self.received_at.map(|received_at| now.since(received_at));
+        match interval {
+            Some(interval) if interval < MIN_INTERVAL => {}
+            Some(interval) if interval < MAX_GAP => {
+                let slope = (requests - self.requests) / interval.as_secs_f64();
                 self.slope += SLOPE_WEIGHT * (slope - self.slope);
             }
             _ => self.slope = 0.0,
         }
-        if step.is_none_or(|step| step >= SHORTEST_STEP) {
+        if interval.is_none_or(|interval| interval >= MIN_INTERVAL) {
             self.requests = requests;
-            self.told_at = Some(now);
+            self.received_at = Some(now);
         }
     }
 
@@ -51,9 +51,9 @@
     /// lags by that rate times its time constant.
     #[must_use]
     pub fn now(&self, now: Timestamp) -> Option<ZoneRequests> {
-        let age = now.since(self.told_at?);
-        let behind = (AVERAGED_OVER + age).min(GAP);
-        let requests = self.requests + self.slope * behind.as_secs_f64();
+        let age = now.since(self.received_at?);
+        let lag = (AVERAGING_TIME_CONSTANT + age).min(MAX_GAP);
+        let requests = self.requests + self.slope * lag.as_secs_f64();
         Some(ZoneRequests {
             requests: requests.max(0.0),
             age,
--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -4,10 +4,10 @@
 mod fleet;
 
 use engine::Engines;
-use fleet::{DIGEST, DRAFT, End, Outcome, Wanted, Way, Zone, arrivals, together};
+use fleet::{DIGEST, DRAFT, Outcome, Policy, ProgramEnd, ProgramRequest, Zone, arrivals, merge};
 use luglink_edge::{Route, RouteKind, Target};
 use luglink_scheduling::{
-    Capacity, FleetDemand, NewProgram, OwnDemand, ProgramAdmission, Shortage, ZoneRequests,
+    Capacity, FleetDemand, LocalDemand, NewProgram, ProgramAdmission, Shortage, ZoneRequests,
 };
 use luglink_types::Timestamp;
 use proptest::prelude::*;
@@ -15,28 +15,28 @@
 
 const BURST_FROM_MS: u64 = 15_000;
 const BURST_TO_MS: u64 = 21_000;
-const DAY_MS: u64 = 34_000;
+const RUN_MS: u64 = 34_000;
 
 /// Seeds for different arrivals of the same load.
 const SEEDS: [u64; 3] = [1, 11, 21];
 
 /// Digests at five times their rate for six seconds, at engines that have lost a fifth of their
 /// replicas.
-fn digests_at_five_times(seed: u64) -> Vec<Wanted> {
-    together(vec![
-        arrivals(&DRAFT, 17.5, 0, DAY_MS, seed),
-        arrivals(&DIGEST, 9.5, 0, DAY_MS, seed + 1),
+fn five_times_digests(seed: u64) -> Vec<ProgramRequest> {
+    merge(vec![
+        arrivals(&DRAFT, 17.5, 0, RUN_MS, seed),
+        arrivals(&DIGEST, 9.5, 0, RUN_MS, seed + 1),
         arrivals(&DIGEST, 38.0, BURST_FROM_MS, BURST_TO_MS, seed + 2),
     ])
 }
 
-fn is_burst(wanted: &Wanted) -> bool {
-    (BURST_FROM_MS..BURST_TO_MS).contains(&wanted.at)
+fn is_burst(requested: &ProgramRequest) -> bool {
+    (BURST_FROM_MS..BURST_TO_MS).contains(&requested.at)
 }
 
 /// Returns the share of the burst's digests that the memory holds, besides the drafts, when the
 /// youngest of them have started.
-fn allowed_share(offered: f64) -> f64 {
+fn expected_share(offered: f64) -> f64 {
     let cycle_ms = 300.0 + DIGEST.pause_ms as f64;
     let seconds = (BURST_TO_MS - BURST_FROM_MS) as f64 / 1_000.0;
     let turns = seconds * 1_000.0 / cycle_ms;
@@ -47,84 +47,100 @@
     (memory / size / offered).min(1.0)
 }
 
-fn show(name: &str, outcome: &Outcome, wanted: &[Wanted]) {
+fn print_shares(name: &str, outcome: &Outcome, requested: &[ProgramRequest]) {
     for (kind, priority) in [("drafts", 0), ("digests", 2)] {
-        let which = |wanted: &Wanted| is_burst(wanted) && wanted.kind.priority == priority;
-        let share = |end| outcome.share(wanted, end, which);
+        let which =
+            |requested: &ProgramRequest| is_burst(requested) && requested.kind.priority == priority;
+        let share = |end| outcome.share(requested, end, which);
         println!(
-            "{name} {kind}: in time {:.3}, late {:.3}, refused {:.3}; read again {}, gave way {}",
-            share(End::InTime),
-            share(End::Late),
-            share(End::Refused),
-            outcome.read_again,
-            outcome.gave_way,
+            "{name} {kind}: in time {:.3}, late {:.3}, refused {:.3}; {} tokens read again, {} prompts evicted",
+            share(ProgramEnd::InTime),
+            share(ProgramEnd::Late),
+            share(ProgramEnd::Refused),
+            outcome.reread_tokens,
+            outcome.evicted_prompts,
         );
     }
 }
 
 #[test]
-fn programs_beyond_what_memory_holds_do_not_cost_those_that_it_does() {
+fn excess_programs_do_not_harm_those_that_fit_in_memory() {
     for seed in SEEDS {
-        let wanted = digests_at_five_times(seed);
-        let plain = Zone::new(Way::All).play(&wanted);
-        let kept = Zone::new(Way::WorkingSet).play(&wanted);
-        show("plain", &plain, &wanted);
-        show("kept", &kept, &wanted);
-        let digests = |wanted: &Wanted| is_burst(wanted) && wanted.kind.priority == 2;
-        let drafts = |wanted: &Wanted| is_burst(wanted) && wanted.kind.priority == 0;
-        let offered = wanted.iter().filter(|wanted| digests(wanted)).count() as f64;
-        let allowed = allowed_share(offered);
-        println!("allowed {allowed:.3}");
+        let requested = five_times_digests(seed);
+        let unlimited = Zone::new(Policy::AdmitAll).run(&requested);
+        let limited = Zone::new(Policy::WorkingSet).run(&requested);
+        print_shares("unlimited", &unlimited, &requested);
+        print_shares("limited", &limited, &requested);
+        let digests =
+            |requested: &ProgramRequest| is_burst(requested) && requested.kind.priority == 2;
+        let drafts =
+            |requested: &ProgramRequest| is_burst(requested) && requested.kind.priority == 0;
+        let offered = requested
+            .iter()
+            .filter(|requested| digests(requested))
+            .count() as f64;
+        let expected = expected_share(offered);
+        println!("expected share {expected:.3}");
         // Without admission control, prompts are evicted and few programs end in time.
-        assert!(plain.gave_way as f64 > offered);
-        assert!(plain.share(&wanted, End::InTime, digests) < 0.5 * allowed);
-        let in_time = kept.share(&wanted, End::InTime, digests);
-        assert!(in_time >= 0.9 * allowed, "{seed}: {in_time} of {allowed}");
-        let in_time = kept.share(&wanted, End::InTime, drafts);
+        assert!(unlimited.evicted_prompts as f64 > offered);
+        assert!(unlimited.share(&requested, ProgramEnd::InTime, digests) < 0.5 * expected);
+        let in_time = limited.share(&requested, ProgramEnd::InTime, digests);
+        assert!(in_time >= 0.9 * expected, "{seed}: {in_time} of {expected}");
+        let in_time = limited.share(&requested, ProgramEnd::InTime, drafts);
         assert!(in_time >= 0.9, "{seed}: {in_time}");
-        let gave_way = kept.gave_way as f64;
-        assert!(gave_way < 0.02 * offered, "{seed}: {gave_way}");
+        let evicted_prompts = limited.evicted_prompts as f64;
+        assert!(
+            evicted_prompts < 0.02 * offered,
+            "{seed}: {evicted_prompts}"
+        );
     }
 }
 
 #[test]
-fn two_seconds_after_a_burst_all_is_as_before() {
+fn admission_recovers_within_two_seconds_after_a_burst() {
     for seed in SEEDS {
-        let wanted = digests_at_five_times(seed);
-        let kept = Zone::new(Way::WorkingSet).play(&wanted);
-        assert!(!kept.refusals.is_empty());
+        let requested = five_times_digests(seed);
+        let limited = Zone::new(Policy::WorkingSet).run(&requested);
+        assert!(!limited.refusals.is_empty());
         let recovered = BURST_TO_MS + 2_000;
-        let later = |wanted: &Wanted| wanted.at > recovered;
-        assert_eq!(kept.share(&wanted, End::Refused, later), 0.0);
-        let in_time = kept.share(&wanted, End::InTime, later);
+        let later = |requested: &ProgramRequest| requested.at > recovered;
+        assert_eq!(limited.share(&requested, ProgramEnd::Refused, later), 0.0);
+        let in_time = limited.share(&requested, ProgramEnd::InTime, later);
         assert!(in_time >= 0.98, "{seed}: {in_time}");
-        let asked = wanted.iter().filter(|wanted| later(wanted)).count();
-        let refusals = kept.refusals.iter().filter(|at| **at > recovered).count();
+        let asked = requested
+            .iter()
+            .filter(|requested| later(requested))
+            .count();
+        let refusals = limited
+            .refusals
+            .iter()
+            .filter(|at| **at > recovered)
+            .count();
         assert!(refusals * 50 <= asked, "{seed}: {refusals} of {asked}");
     }
 }
 
 #[test]
-fn without_a_burst_nobody_is_refused() {
-    let wanted = together(vec![
-        arrivals(&DRAFT, 17.5, 0, DAY_MS, 1),
-        arrivals(&DIGEST, 9.5, 0, DAY_MS, 2),
+fn no_program_is_refused_without_a_burst() {
+    let requested = merge(vec![
+        arrivals(&DRAFT, 17.5, 0, RUN_MS, 1),
+        arrivals(&DIGEST, 9.5, 0, RUN_MS, 2),
     ]);
-    let kept = Zone::new(Way::FairShares).play(&wanted);
-    assert_eq!(kept.refusals.len(), 0);
+    let limited = Zone::new(Policy::FairShares).run(&requested);
+    assert_eq!(limited.refusals.len(), 0);
 }
 
 #[test]
-fn the_urgent_kind_is_never_served_less() {
+fn urgent_programs_are_never_refused_more_often() {
     for factor in [1.0, 4.0, 8.0] {
-        let wanted = together(vec![
+        let requested = merge(vec![
             arrivals(&DRAFT, 17.5 * factor, 0, 20_000, 4),
             arrivals(&DIGEST, 38.0, 0, 20_000, 5),
         ]);
-        let kept = Zone::new(Way::FairShares).play(&wanted);
+        let limited = Zone::new(Policy::FairShares).run(&requested);
         let refused = |priority: u8| {
-            kept.share(&wanted, End::Refused, |wanted| {
-                wanted.kind.priority == priority
+            limited.share(&requested, ProgramEnd::Refused, |requested| {
+                requested.kind.priority == priority
             })
         };
         assert!(
@@ -136,7 +152,7 @@
     }
 }
 
-const SERVICE_ROOM: Capacity = Capacity {
+const SERVICE_CAPACITY: Capacity = Capacity {
     tokens: 100_000.0,
     slots: 100.0,
 };
@@ -163,9 +179,9 @@
     }
 }
 
-fn newcomer(route: &Route, place: f64) -> NewProgram<'_> {
+fn new_program(route: &Route, unit_draw: f64) -> NewProgram<'_> {
     NewProgram {
-        place: ((place * 4_294_967_296.0) as u64) << 32,
+        hash_fraction: ((unit_draw * 4_294_967_296.0) as u64) << 32,
         route,
         tenant: None,
         prompt_tokens: 1_000,
@@ -185,14 +201,20 @@
 }
 
 #[test]
-fn what_is_short_is_told() {
+fn refusals_name_the_shortage() {
     let route = route(1);
-    let mut intake = ProgramAdmission::default();
+    let mut admission = ProgramAdmission::default();
     let mut refused_for = |tokens: f64, requests: f64| {
         let demand = demand(tokens, requests);
-        let newcomer = newcomer(&route, 0.5);
-        let entry = intake.admit(&newcomer, SERVICE_ROOM, &demand, true, Timestamp::ZERO);
-        entry.refused_for
+        let new_program = new_program(&route, 0.5);
+        let decision = admission.admit(
+            &new_program,
+            SERVICE_CAPACITY,
+            &demand,
+            true,
+            Timestamp::ZERO,
+        );
+        decision.refused_for
     };
     assert_eq!(refused_for(10_000.0, 10.0), None);
     assert_eq!(refused_for(120_000.0, 10.0), Some(Shortage::Memory));
@@ -200,46 +222,46 @@
 }
 
 #[test]
-fn where_no_replica_is_known_others_decide() {
+fn programs_are_admitted_while_the_capacity_is_unknown() {
     let route = route(1);
-    let mut intake = ProgramAdmission::default();
-    let newcomer = newcomer(&route, 0.99);
+    let mut admission = ProgramAdmission::default();
+    let new_program = new_program(&route, 0.99);
     let demand = demand(1e9, 1e9);
-    let entry = intake.admit(
-        &newcomer,
+    let decision = admission.admit(
+        &new_program,
         Capacity::default(),
         &demand,
         true,
         Timestamp::ZERO,
     );
-    assert_eq!(entry.refused_for, None);
+    assert_eq!(decision.refused_for, None);
 }
 
 #[test]
-fn who_comes_back_goes_before_new_ones() {
+fn retried_programs_precede_new_ones() {
     let route = route(1);
-    let mut intake = ProgramAdmission::default();
+    let mut admission = ProgramAdmission::default();
     // Short of memory, but not full.
     let demand = demand(89_000.0, 10.0);
-    let mut asks = |place: f64, at: u64| {
-        let newcomer = newcomer(&route, place);
+    let mut ask = |unit_draw: f64, at: u64| {
+        let new_program = new_program(&route, unit_draw);
         let now = Timestamp::from_millis(at);
-        intake.admit(&newcomer, SERVICE_ROOM, &demand, false, now)
+        admission.admit(&new_program, SERVICE_CAPACITY, &demand, false, now)
     };
-    let first = asks(0.8, 0);
+    let first = ask(0.8, 0);
     assert!((0.25..0.7).contains(&first.share), "{}", first.share);
     assert!(first.refused_for.is_some());
-    assert_eq!(asks(0.8, 500).refused_for, None);
+    assert_eq!(ask(0.8, 500).refused_for, None);
     // A new program with a similar draw is still refused.
-    assert!(asks(0.801, 600).refused_for.is_some());
+    assert!(ask(0.801, 600).refused_for.is_some());
 }
 
 #[test]
-fn a_sum_that_is_old_refuses_nobody_by_chance() {
-    let mut own = OwnDemand {
+fn a_stale_sum_causes_no_refusals() {
+    let mut own = LocalDemand {
         programs: 4.0,
         requests: 2.0,
-        ..OwnDemand::default()
+        ..LocalDemand::default()
     };
     own.tokens[0] = 4_000.0;
     let zone = |age_ms| {
@@ -259,38 +281,38 @@
 proptest! {
     /// Under the same load, an admitted program would be admitted at a more urgent priority too.
     #[test]
-    fn a_more_urgent_kind_is_let_in_wherever_a_less_urgent_one_is(
+    fn more_urgent_programs_get_at_least_the_same_share(
         tokens in 0.0..150_000.0_f64,
         requests in 0.0..150.0_f64,
-        place in 0.0..0.999_f64,
+        unit_draw in 0.0..0.999_f64,
     ) {
         let (urgent, patient) = (route(0), route(2));
-        let mut intake = ProgramAdmission::default();
+        let mut admission = ProgramAdmission::default();
         let demand = demand(tokens, requests);
-        let mut asks = |route: &Route| {
-            let newcomer = newcomer(route, place);
-            intake.admit(&newcomer, SERVICE_ROOM, &demand, false, Timestamp::ZERO).share
+        let mut ask = |route: &Route| {
+            let new_program = new_program(route, unit_draw);
+            admission.admit(&new_program, SERVICE_CAPACITY, &demand, false, Timestamp::ZERO).share
         };
-        let urgent = asks(&urgent);
-        let patient = asks(&patient);
+        let urgent = ask(&urgent);
+        let patient = ask(&patient);
         prop_assert!(urgent >= patient);
     }
 
     /// The retry delay is at most a third of the caller's remaining time.
     #[test]
-    fn a_refusal_names_a_time_that_helps(
+    fn retry_delays_are_positive_and_bounded(
         tokens in 100_000.0..1_000_000.0_f64,
         left_ms in 1_u64..10_000,
         spread in 0.0..1.0_f64,
     ) {
         let route = route(1);
-        let mut intake = ProgramAdmission::default();
+        let mut admission = ProgramAdmission::default();
         let remaining = Duration::from_millis(left_ms);
-        let newcomer = NewProgram { remaining, spread, ..newcomer(&route, 0.5) };
+        let new_program = NewProgram { remaining, spread, ..new_program(&route, 0.5) };
         let demand = demand(tokens, 10.0);
-        let entry = intake.admit(&newcomer, SERVICE_ROOM, &demand, false, Timestamp::ZERO);
-        prop_assert!(entry.refused_for.is_some());
-        prop_assert!(entry.retry_delay <= remaining.mul_f64(1.0 / 3.0));
-        prop_assert!(entry.retry_delay > Duration::ZERO);
+        let decision = admission.admit(&new_program, SERVICE_CAPACITY, &demand, false, Timestamp::ZERO);
+        prop_assert!(decision.refused_for.is_some());
+        prop_assert!(decision.retry_delay <= remaining.mul_f64(1.0 / 3.0));
+        prop_assert!(decision.retry_delay > Duration::ZERO);
     }
 }
--- a/crates/scheduling/tests/engine/mod.rs
+++ b/crates/scheduling/tests/engine/mod.rs
@@ -22,17 +22,17 @@
     Running { to_read: u64, decode_ms: u64 },
 }
 
-struct Held {
+struct RunningProgram {
     work: Work,
     state: State,
     is_cached: bool,
-    used: u64,
+    last_used: u64,
 }
 
 /// Change of a program in a step.
 pub enum Event {
     TurnStarted(Work),
-    TurnEnds(Work),
+    TurnEnded(Work),
 }
 
 pub struct Engines {
@@ -40,10 +40,10 @@
     pub slots: usize,
     pub read_per_ms: u64,
     pub decode_ms: u64,
-    programs: Vec<Held>,
+    programs: Vec<RunningProgram>,
     /// Tokens read again, and evicted prompts.
-    pub read_again: u64,
-    pub gave_way: u64,
+    pub reread_tokens: u64,
+    pub evicted_prompts: u64,
 }
 
 impl Engines {
@@ -56,105 +56,107 @@
             read_per_ms: replicas * 54,
             decode_ms: 300,
             programs: Vec::new(),
-            read_again: 0,
-            gave_way: 0,
+            reread_tokens: 0,
+            evicted_prompts: 0,
         }
     }
 
     pub fn begin(&mut self, work: Work, now: u64) {
-        self.programs.push(Held {
+        self.programs.push(RunningProgram {
             work,
             state: State::Pausing { until: now },
             is_cached: false,
-            used: now,
+            last_used: now,
         });
     }
 
     pub fn requests(&self) -> usize {
         self.programs
             .iter()
-            .filter(|held| !matches!(held.state, State::Pausing { .. }))
+            .filter(|program| !matches!(program.state, State::Pausing { .. }))
             .count()
     }
 
     pub fn step(&mut self, now: u64) -> Vec<Event> {
         let mut events = Vec::new();
-        for held in &mut self.programs {
-            if matches!(held.state, State::Pausing { until } if until <= now) {
-                held.state = State::Waiting;
-                events.push(Event::TurnStarted(held.work.clone()));
+        for program in &mut self.programs {
+            if matches!(program.state, State::Pausing { until } if until <= now) {
+                program.state = State::Waiting;
+                events.push(Event::TurnStarted(program.work.clone()));
             }
         }
         self.start_waiting(now);
-        self.give_way();
+        self.evict_prompts();
         self.run(now, &mut events);
-        self.programs.retain(|held| held.work.turns_left > 0);
+        self.programs.retain(|program| program.work.turns_left > 0);
         events
     }
 
     fn start_waiting(&mut self, now: u64) {
-        let is_running = |held: &&Held| matches!(held.state, State::Running { .. });
+        let is_running = |program: &&RunningProgram| matches!(program.state, State::Running { .. });
         let mut running = self.programs.iter().filter(is_running).count();
         let mut used: u64 = self
             .programs
             .iter()
             .filter(is_running)
-            .map(|held| held.work.prompt)
+            .map(|program| program.work.prompt)
             .sum();
         self.programs
-            .sort_by_key(|held| (held.work.priority, held.used));
-        for held in self
+            .sort_by_key(|program| (program.work.priority, program.last_used));
+        for program in self
             .programs
             .iter_mut()
-            .filter(|held| matches!(held.state, State::Waiting))
+            .filter(|program| matches!(program.state, State::Waiting))
         {
-            if running < self.slots && used + held.work.prompt <= self.memory {
+            if running < self.slots && used + program.work.prompt <= self.memory {
                 running += 1;
-                used += held.work.prompt;
-                let is_first = held.work.growth == 0 || held.used == now;
-                let to_read = if held.is_cached {
-                    held.work.growth
+                used += program.work.prompt;
+                let is_first = program.work.growth == 0 || program.last_used == now;
+                let to_read = if program.is_cached {
+                    program.work.growth
                 } else {
-                    held.work.prompt
+                    program.work.prompt
                 };
-                self.read_again += if held.is_cached || is_first {
+                self.reread_tokens += if program.is_cached || is_first {
                     0
                 } else {
                     to_read
                 };
-                held.state = State::Running {
+                program.state = State::Running {
                     to_read,
                     decode_ms: self.decode_ms,
                 };
-                held.is_cached = false;
+                program.is_cached = false;
             }
         }
     }
 
     /// Evicts the least recently used prompts for those that are read.
-    fn give_way(&mut self) {
-        let needs = |held: &&Held| held.is_cached || matches!(held.state, State::Running { .. });
+    fn evict_prompts(&mut self) {
+        let needs = |program: &&RunningProgram| {
+            program.is_cached || matches!(program.state, State::Running { .. })
+        };
         let mut used: u64 = self
             .programs
             .iter()
             .filter(needs)
-            .map(|held| held.work.prompt)
+            .map(|program| program.work.prompt)
             .sum();
-        self.programs.sort_by_key(|held| held.used);
-        for held in self.programs.iter_mut().filter(|held| held.is_cached) {
+        self.programs.sort_by_key(|program| program.last_used);
+        for program in self.programs.iter_mut().filter(|program| program.is_cached) {
             if used <= self.memory {
                 return;
             }
-            used -= held.work.prompt;
-            held.is_cached = false;
-            self.gave_way += 1;
+            used -= program.work.prompt;
+            program.is_cached = false;
+            self.evicted_prompts += 1;
         }
     }
 
     fn run(&mut self, now: u64, events: &mut Vec<Event>) {
         let mut reads = self.read_per_ms * STEP_MS;
-        for held in &mut self.programs {
-            let State::Running { to_read, decode_ms } = &mut held.state else {
+        for program in &mut self.programs {
+            let State::Running { to_read, decode_ms } = &mut program.state else {
                 continue;
             };
             let read = reads.min(*to_read);
@@ -164,13 +166,13 @@
                 *decode_ms = decode_ms.saturating_sub(STEP_MS);
             }
             if *decode_ms == 0 {
-                held.work.turns_left -= 1;
-                held.work.prompt += held.work.growth;
-                held.state = State::Pausing {
-                    until: now + held.work.pause_ms,
+                program.work.turns_left -= 1;
+                program.work.prompt += program.work.growth;
+                program.state = State::Pausing {
+                    until: now + program.work.pause_ms,
                 };
-                (held.is_cached, held.used) = (true, now);
-                events.push(Event::TurnEnds(held.work.clone()));
+                (program.is_cached, program.last_used) = (true, now);
+                events.push(Event::TurnEnded(program.work.clone()));
             }
         }
     }
--- a/crates/scheduling/tests/expected_finish.rs
+++ b/crates/scheduling/tests/expected_finish.rs
@@ -10,30 +10,30 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 use std::time::Duration;
-use support::{ENGINES, Run, SLOWNESS, Seen, backends, id, pool, random, slow, speed, work};
+use support::{ENGINES, ReplayStats, Run, SLOWNESS, backends, id, pool, random, slow, speed, work};
 
 const UNTIL_MS: u64 = 72_000;
 
 /// Maximum load of an engine relative to its share by speed.
-const BOUND: f64 = 1.25;
+const MAX_LOAD_RATIO: f64 = 1.25;
 
-fn play(by_finish: bool, seed: u64) -> Seen {
+fn run(by_finish: bool, seed: u64) -> ReplayStats {
     let run = Run {
         until_ms: UNTIL_MS,
         by_finish,
         seed,
     };
-    let seen = run.play();
+    let stats = run.run();
     println!(
-        "seed {seed}, by finish {by_finish}: mean {:.0} ms, 99th percentile {} ms, busiest {:.2} of earned, \
-         begun at slow ones {} of {:.0}",
-        mean(&seen.turn_ms),
-        percentile(&seen.turn_ms, 0.99),
-        busiest(&seen),
-        seen.began_at_slow,
-        earned_at_slow(&seen),
+        "seed {seed}, by finish {by_finish}: mean {:.0} ms, 99th percentile {} ms, maximum load {:.2} of the share by speed, \
+         turns started at slow engines {} of {:.0}",
+        mean(&stats.turn_ms),
+        percentile(&stats.turn_ms, 0.99),
+        max_load_ratio(&stats),
+        stats.started_at_slow,
+        max_turns_at_slow(&stats),
     );
-    seen
+    stats
 }
 
 fn mean(values: &[u64]) -> f64 {
@@ -47,26 +47,26 @@
 }
 
 /// Returns the maximum load of an engine relative to its share by speed.
-fn busiest(seen: &Seen) -> f64 {
-    let requests = seen.occupied.iter().sum::<usize>() as f64;
+fn max_load_ratio(stats: &ReplayStats) -> f64 {
+    let requests = stats.request_ticks.iter().sum::<usize>() as f64;
     let speeds: f64 = (0..ENGINES).map(speed).sum();
     let shares = (0..ENGINES).map(|engine| {
         let earned = requests * speed(engine) / speeds;
-        seen.occupied[engine] as f64 / earned
+        stats.request_ticks[engine] as f64 / earned
     });
     shares.fold(0.0, f64::max)
 }
 
 /// Returns the maximum number of turns for engines that have been slow for a second, by their share
 /// and the bound.
-fn earned_at_slow(seen: &Seen) -> f64 {
+fn max_turns_at_slow(stats: &ReplayStats) -> f64 {
     let speeds: f64 = (0..ENGINES).map(speed).sum();
-    let per_ms = seen.began as f64 / UNTIL_MS as f64;
+    let per_ms = stats.started as f64 / UNTIL_MS as f64;
     let earned = (0..UNTIL_MS).filter_map(|at_ms| {
         let (engine, since_ms) = slow(at_ms)?;
         (since_ms >= 1_000).then(|| per_ms * speed(engine) / SLOWNESS / speeds)
     });
-    BOUND * earned.sum::<f64>()
+    MAX_LOAD_RATIO * earned.sum::<f64>()
 }
 
 const SEEDS: [u64; 3] = [1, 88_172_645_463_325_252, 7_777_777];
@@ -74,20 +74,20 @@
 #[test]
 fn the_busiest_engine_has_little_more_than_its_speed_earns() {
     for seed in SEEDS {
-        assert!(busiest(&play(false, seed)) > BOUND);
-        assert!(busiest(&play(true, seed)) <= BOUND);
+        assert!(max_load_ratio(&run(false, seed)) > MAX_LOAD_RATIO);
+        assert!(max_load_ratio(&run(true, seed)) <= MAX_LOAD_RATIO);
     }
 }
 
 #[test]
-fn turns_leave_an_engine_within_a_second_of_its_turning_slow() {
+fn turns_leave_a_slow_engine_within_a_second() {
     for seed in SEEDS {
-        let plain = play(false, seed);
-        assert!(plain.began_at_slow as f64 > earned_at_slow(&plain));
-        let seen = play(true, seed);
-        assert!(seen.began_at_slow as f64 <= earned_at_slow(&seen));
-        assert!(percentile(&seen.turn_ms, 0.99) < percentile(&plain.turn_ms, 0.99));
-        assert!(mean(&seen.turn_ms) < mean(&plain.turn_ms));
+        let plain = run(false, seed);
+        assert!(plain.started_at_slow as f64 > max_turns_at_slow(&plain));
+        let stats = run(true, seed);
+        assert!(stats.started_at_slow as f64 <= max_turns_at_slow(&stats));
+        assert!(percentile(&stats.turn_ms, 0.99) < percentile(&plain.turn_ms, 0.99));
+        assert!(mean(&stats.turn_ms) < mean(&plain.turn_ms));
     }
 }
 
@@ -128,7 +128,7 @@
 const NOW: Timestamp = Timestamp::from_millis(10_000);
 
 #[test]
-fn gateways_that_hold_the_same_stale_view_spread() {
+fn gateways_with_the_same_stale_view_spread_their_requests() {
     // One looks best, and a third of all look nearly as good.
     let stale = view(|engine| match engine % 3 {
         _ if engine == 5 => (0, 30),
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_turn_stays_where_its_prompt_is_until_that_costs_much_more() {
+fn a_turn_stays_with_its_prompt_until_the_cost_is_much_higher() {
     let holder = id(4);
     let wish = RoutingRequest {
         cached_at: Some(&holder),
@@ -171,7 +171,7 @@
         let replica_stats = view(|engine| (2, if engine == 4 { pause } else { 40 }));
         pool.set_zone_view(&replica_stats, NOW);
         let choice = pool.choose(&wish, |_| true, NOW).unwrap();
-        let leaving = choice.basis.unwrap().leaving;
+        let leaving = choice.basis.unwrap().relocation;
         assert_eq!(leaving.is_none(), choice.backend.id == holder);
         choice.backend.id == holder
     };
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn one_gateway_s_word_of_trouble_alone_ejects_no_replica() {
+fn failures_seen_by_one_gateway_alone_eject_no_replica() {
     let holder = id(4);
     let wish = RoutingRequest {
         cached_at: Some(&holder),
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_replica_in_trouble_is_tried_again_after_a_while() {
+fn a_failing_replica_is_tried_again_later() {
     let mut pool = pool(true);
     for _ in 0..8 {
         pool.troubled(&id(4), NOW);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn what_a_gateway_sees_is_told_while_it_is_new() {
+fn recent_statistics_are_reported() {
     let mut pool = pool(true);
     pool.begin(&id(1));
     for _ in 0..4 {
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn own_requests_since_the_view_count_besides_it() {
+fn requests_since_the_view_are_added_to_it() {
     let mut pool = pool(true);
     use_all(&mut pool);
     pool.begin(&id(3));
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn programs_with_the_same_shared_part_begin_at_a_few_replicas() {
+fn programs_with_the_same_shared_part_start_at_few_replicas() {
     let mut homes = BTreeSet::new();
     let mut state = 5;
     for _ in 0..400 {
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_shared_part_that_a_replica_has_read_lately_is_not_counted_again() {
+fn a_recently_read_shared_part_need_not_be_read_again() {
     let mut pool = pool(true);
     pool.note_connected(&id(3));
     pool.note_connected(&id(6));
@@ -295,50 +295,50 @@
 }
 
 #[test]
-fn without_the_feature_what_a_request_asks_for_changes_nothing() {
+fn work_is_ignored_without_expected_finish() {
     let mut pool = pool(false);
     use_all(&mut pool);
     pool.set_zone_view(&view(|engine| (engine as u32, 40 + engine as u32)), NOW);
     for draw in 0..200 {
-        let told = RoutingRequest {
+        let with_work = RoutingRequest {
             draw,
             ..wish(work(1))
         };
-        let untold = RoutingRequest {
+        let without_work = RoutingRequest {
             work: None,
-            ..told.clone()
+            ..with_work.clone()
         };
-        let told = pool.choose(&told, |_| false, NOW);
-        assert_eq!(told, pool.choose(&untold, |_| false, NOW));
-        assert!(told.unwrap().basis.is_none());
+        let with_work = pool.choose(&with_work, |_| false, NOW);
+        assert_eq!(with_work, pool.choose(&without_work, |_| false, NOW));
+        assert!(with_work.unwrap().basis.is_none());
     }
 }
 
 #[test]
-fn without_a_view_of_the_present_the_plain_way_holds() {
-    let mut told = pool(true);
+fn a_stale_view_falls_back_to_the_choice_by_load() {
+    let mut with_work = pool(true);
     let mut plain = pool(false);
-    for pool in [&mut told, &mut plain] {
+    for pool in [&mut with_work, &mut plain] {
         use_all(pool);
         pool.set_zone_view(&view(|engine| (engine as u32, 40)), NOW);
     }
     let late = NOW.plus(Duration::from_secs(3));
-    assert!(told.uses_expected_finish(NOW) && !told.uses_expected_finish(late));
+    assert!(with_work.uses_expected_finish(NOW) && !with_work.uses_expected_finish(late));
     for draw in 0..50 {
         let wish = RoutingRequest {
             draw,
             ..wish(work(1))
         };
-        let choice = told.choose(&wish, |_| false, late);
+        let choice = with_work.choose(&wish, |_| false, late);
         assert_eq!(choice, plain.choose(&wish, |_| false, late));
-        let candidates = told.candidates_by_finish("llm", draw, &work(1), 2, late);
+        let candidates = with_work.candidates_by_finish("llm", draw, &work(1), 2, late);
         let plain = plain.candidates("llm", draw, CandidateScope::Home, 2, late);
         assert_eq!(candidates, plain);
     }
 }
 
 #[test]
-fn prompts_are_read_as_callers_tell_of_them() {
+fn prompt_descriptions_are_parsed() {
     let read = |usage, parts| PromptParts::read(Some(usage), Some(parts)).unwrap();
     let prompt = read("1460,300", "5c1e07a2:800,91bd3f06:410,e4402b7d:250");
     assert_eq!(
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn the_length_of_answers_is_learned_and_never_above_the_most() {
+fn answer_lengths_are_learned_and_capped_at_the_maximum() {
     let mut lengths = AnswerLengths::default();
     assert!((lengths.expected("draft", 200, 10) - 10.0).abs() < 1e-9);
     for _ in 0..300 {
@@ -397,11 +397,11 @@
     }
 
     #[test]
-    fn cost_rises_with_load_trouble_and_what_must_be_read(
+    fn cost_rises_with_load_failures_and_tokens_to_read(
         requests in 0.0..60.0_f64,
         more in 0.0..20.0_f64,
         pause_seconds in 0.001..1.0_f64,
-        trouble in 0.0..0.9_f64,
+        failure_ratio in 0.0..0.9_f64,
         tokens_to_read in 0_u32..20_000,
         slots in 1_u32..64,
     ) {
@@ -410,7 +410,7 @@
             requests,
             measured_at_requests: 2.0,
             pause_seconds,
-            trouble,
+            failure_ratio,
             is_near: true,
             tokens_to_read,
         };
@@ -418,11 +418,11 @@
         let least = cost(state);
         prop_assert!(least.is_finite() && least > 0.0);
         let busier = cost(ReplicaState { requests: requests + more, ..state });
-        let troubled = cost(ReplicaState { trouble: trouble + 0.1, ..state });
+        let failing = cost(ReplicaState { failure_ratio: failure_ratio + 0.1, ..state });
         let reading = cost(ReplicaState { tokens_to_read: tokens_to_read + 500, ..state });
         let slower = cost(ReplicaState { pause_seconds: pause_seconds * 2.0, ..state });
         let farther = cost(ReplicaState { is_near: false, ..state });
         prop_assert!(busier >= least);
-        prop_assert!([troubled, reading, slower, farther].iter().all(|cost| *cost > least));
+        prop_assert!([failing, reading, slower, farther].iter().all(|cost| *cost > least));
     }
 }
--- a/crates/scheduling/tests/fleet/mod.rs
+++ b/crates/scheduling/tests/fleet/mod.rs
@@ -13,14 +13,14 @@
 const GATEWAYS: usize = 18;
 const REPLICAS: u64 = 10;
 /// Interval between two sums of the zone's requests, and time constant of their average.
-const NEWS_MS: u64 = 250;
-const AVERAGED_MS: f64 = 1_000.0;
+const SUM_INTERVAL_MS: u64 = 250;
+const TIME_CONSTANT_MS: f64 = 1_000.0;
 /// Number of retries of a caller.
 const RETRIES: u32 = 1;
 
 /// Kind of program.
 #[derive(Clone)]
-pub struct Kind {
+pub struct ProgramKind {
     pub name: &'static str,
     pub priority: u8,
     pub turns: u32,
@@ -30,7 +30,7 @@
 }
 
 /// Program of three turns.
-pub const DRAFT: Kind = Kind {
+pub const DRAFT: ProgramKind = ProgramKind {
     name: "draft",
     priority: 0,
     turns: 3,
@@ -39,7 +39,7 @@
     pause_ms: 390,
 };
 /// Program of eleven turns.
-pub const DIGEST: Kind = Kind {
+pub const DIGEST: ProgramKind = ProgramKind {
     name: "digest",
     priority: 2,
     turns: 11,
@@ -48,7 +48,7 @@
     pause_ms: 350,
 };
 
-impl Kind {
+impl ProgramKind {
     /// Returns the program's time on idle engines, in milliseconds.
     pub fn ideal_ms(&self) -> u64 {
         u64::from(self.turns) * (300 + self.pause_ms)
@@ -79,15 +79,15 @@
 
 /// Program that a caller wants to run.
 #[derive(Clone)]
-pub struct Wanted {
+pub struct ProgramRequest {
     pub at: u64,
-    pub kind: Kind,
+    pub kind: ProgramKind,
     pub tenant: Option<usize>,
 }
 
 /// End of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum ProgramEnd {
     InTime,
     Late,
     Refused,
@@ -95,8 +95,8 @@
 
 /// Admission policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    All,
+pub enum Policy {
+    AdmitAll,
     WorkingSet,
     FairShares,
 }
@@ -110,23 +110,30 @@
 /// Result of a load. Each test file uses a part of it.
 #[allow(dead_code)]
 pub struct Outcome {
-    pub ends: Vec<End>,
-    pub read_again: u64,
-    pub gave_way: u64,
+    pub ends: Vec<ProgramEnd>,
+    pub reread_tokens: u64,
+    pub evicted_prompts: u64,
     /// Times of all refusals, including those of programs that were admitted later.
     pub refusals: Vec<u64>,
 }
 
 impl Outcome {
-    pub fn share(&self, wanted: &[Wanted], end: End, which: impl Fn(&Wanted) -> bool) -> f64 {
-        let chosen: Vec<usize> = (0..wanted.len()).filter(|id| which(&wanted[*id])).collect();
+    pub fn share(
+        &self,
+        requested: &[ProgramRequest],
+        end: ProgramEnd,
+        which: impl Fn(&ProgramRequest) -> bool,
+    ) -> f64 {
+        let chosen: Vec<usize> = (0..requested.len())
+            .filter(|id| which(&requested[*id]))
+            .collect();
         let such = chosen.iter().filter(|id| self.ends[**id] == end).count();
         such as f64 / chosen.len().max(1) as f64
     }
 }
 
 pub struct Zone {
-    way: Way,
+    policy: Policy,
     engines: Engines,
     gateways: Vec<Gateway>,
     average: f64,
@@ -135,9 +142,9 @@
 }
 
 impl Zone {
-    pub fn new(way: Way) -> Self {
+    pub fn new(policy: Policy) -> Self {
         Self {
-            way,
+            policy,
             engines: Engines::new(REPLICAS),
             gateways: (0..GATEWAYS).map(|_| Gateway::default()).collect(),
             average: 0.0,
@@ -152,15 +159,15 @@
     }
 
     /// Runs programs in the order of their times.
-    pub fn play(mut self, wanted: &[Wanted]) -> Outcome {
-        let last = wanted.last().map_or(0, |wanted| wanted.at);
-        let mut ends = vec![End::Late; wanted.len()];
+    pub fn run(mut self, requested: &[ProgramRequest]) -> Outcome {
+        let last = requested.last().map_or(0, |requested| requested.at);
+        let mut ends = vec![ProgramEnd::Late; requested.len()];
         let mut arrivals: Vec<(u64, usize, u32)> = Vec::new();
         let mut refusals = Vec::new();
         let mut next = 0;
-        let mut began_turn = vec![0; wanted.len()];
+        let mut turn_started_at = vec![0; requested.len()];
         for now in (0..last + 30_000).step_by(STEP_MS as usize) {
-            while next < wanted.len() && wanted[next].at <= now {
+            while next < requested.len() && requested[next].at <= now {
                 arrivals.push((now, next, 0));
                 next += 1;
             }
@@ -168,11 +175,11 @@
             arrivals = rest;
             let due: Vec<(u64, usize, u32)> = due;
             for (_, id, tries) in due {
-                match self.ask(&wanted[id], id, now) {
-                    None => self.engines.begin(work(id, &wanted[id].kind), now),
+                match self.ask(&requested[id], id, now) {
+                    None => self.engines.begin(work(id, &requested[id].kind), now),
                     Some(retry_delay) => {
                         refusals.push(now);
-                        ends[id] = End::Refused;
+                        ends[id] = ProgramEnd::Refused;
                         if tries < RETRIES {
                             arrivals.push((now + retry_delay.as_millis() as u64, id, tries + 1));
                         }
@@ -182,70 +189,70 @@
             for event in self.engines.step(now) {
                 match event {
                     Event::TurnStarted(work) => {
-                        began_turn[work.id] = now;
-                        self.note_turn(&work, &wanted[work.id].kind, now);
+                        turn_started_at[work.id] = now;
+                        self.note_turn(&work, &requested[work.id].kind, now);
                     }
-                    Event::TurnEnds(work) => {
-                        let taken = Duration::from_millis(now - began_turn[work.id]);
+                    Event::TurnEnded(work) => {
+                        let taken = Duration::from_millis(now - turn_started_at[work.id]);
                         self.end_turn(&work, taken, now);
-                        let Wanted { at, kind, .. } = &wanted[work.id];
+                        let ProgramRequest { at, kind, .. } = &requested[work.id];
                         let is_over = work.turns_left == 0;
                         let in_time = now <= at + 2 * kind.ideal_ms();
                         ends[work.id] = if is_over && in_time {
-                            End::InTime
+                            ProgramEnd::InTime
                         } else {
-                            End::Late
+                            ProgramEnd::Late
                         };
                     }
                 }
             }
-            self.tell(now);
+            self.share_sum(now);
         }
         Outcome {
             ends,
-            read_again: self.engines.read_again,
-            gave_way: self.engines.gave_way,
+            reread_tokens: self.engines.reread_tokens,
+            evicted_prompts: self.engines.evicted_prompts,
             refusals,
         }
     }
 
-    fn ask(&mut self, wanted: &Wanted, id: usize, now: u64) -> Option<Duration> {
-        if self.way == Way::All {
+    fn ask(&mut self, requested: &ProgramRequest, id: usize, now: u64) -> Option<Duration> {
+        if self.policy == Policy::AdmitAll {
             return None;
         }
         let spread = (self.draw() >> 32) as f64 / f64::from(u32::MAX);
         let position = (self.draw() % GATEWAYS as u64) as usize;
         let time = Timestamp::from_millis(now);
-        let room = Capacity {
+        let capacity = Capacity {
             tokens: self.engines.memory as f64,
             slots: self.engines.slots as f64,
         };
         let gateway = &mut self.gateways[position];
-        let own = gateway.programs.demand("s", time);
-        let usual = gateway.programs.average_demand("s");
-        let demand = FleetDemand::estimate(own, usual, GATEWAYS as f64, self.trend.now(time));
-        let route = wanted.kind.route();
-        let tenant = wanted
+        let local = gateway.programs.demand("s", time);
+        let average = gateway.programs.average_demand("s");
+        let demand = FleetDemand::estimate(local, average, GATEWAYS as f64, self.trend.now(time));
+        let route = requested.kind.route();
+        let tenant = requested
             .tenant
             .map(|tenant| TenantName::from(format!("t{tenant}").as_str()));
-        let newcomer = NewProgram {
-            place: xxh3_64(&id.to_le_bytes()),
+        let new_program = NewProgram {
+            hash_fraction: xxh3_64(&id.to_le_bytes()),
             route: &route,
             tenant: tenant.as_ref(),
-            prompt_tokens: wanted.kind.prompt,
+            prompt_tokens: requested.kind.prompt,
             remaining: Duration::from_secs(4),
             lifetime: gateway.programs.lifetime(&route.name),
             spread,
         };
-        let fair_shares = self.way == Way::FairShares;
-        let entry = gateway
+        let fair_shares = self.policy == Policy::FairShares;
+        let decision = gateway
             .intake
-            .admit(&newcomer, room, &demand, fair_shares, time);
-        entry.refused_for.map(|_| entry.retry_delay)
+            .admit(&new_program, capacity, &demand, fair_shares, time);
+        decision.refused_for.map(|_| decision.retry_delay)
     }
 
     /// Records the start of a turn at its gateway; each turn reaches any of them.
-    fn note_turn(&mut self, work: &Work, kind: &Kind, now: u64) {
+    fn note_turn(&mut self, work: &Work, kind: &ProgramKind, now: u64) {
         let position = self.turn_gateway(work.id, work.turns_left);
         let turn = TurnStarted {
             program: work.id as u64,
@@ -273,16 +280,16 @@
         ) % GATEWAYS as u64) as usize
     }
 
-    fn tell(&mut self, now: u64) {
-        let weight = STEP_MS as f64 / AVERAGED_MS;
+    fn share_sum(&mut self, now: u64) {
+        let weight = STEP_MS as f64 / TIME_CONSTANT_MS;
         self.average += weight * (self.engines.requests() as f64 - self.average);
-        if now.is_multiple_of(NEWS_MS) {
+        if now.is_multiple_of(SUM_INTERVAL_MS) {
             self.trend.take(self.average, Timestamp::from_millis(now));
         }
     }
 }
 
-fn work(id: usize, kind: &Kind) -> Work {
+fn work(id: usize, kind: &ProgramKind) -> Work {
     Work {
         id,
         priority: kind.priority,
@@ -294,18 +301,24 @@
 }
 
 /// Returns programs of a kind at random times with a constant mean rate.
-pub fn arrivals(kind: &Kind, per_s: f64, from_ms: u64, to_ms: u64, seed: u64) -> Vec<Wanted> {
+pub fn arrivals(
+    kind: &ProgramKind,
+    per_s: f64,
+    from_ms: u64,
+    to_ms: u64,
+    seed: u64,
+) -> Vec<ProgramRequest> {
     let mut at = from_ms as f64;
     let mut draws = seed;
-    let mut wanted = Vec::new();
+    let mut requested = Vec::new();
     loop {
         draws = xxh3_64(&draws.to_le_bytes());
         let uniform = ((draws >> 32) as f64 + 1.0) / 4_294_967_297.0;
         at -= uniform.ln() * 1_000.0 / per_s;
         if at >= to_ms as f64 {
-            return wanted;
+            return requested;
         }
-        wanted.push(Wanted {
+        requested.push(ProgramRequest {
             at: at as u64,
             kind: kind.clone(),
             tenant: None,
@@ -314,8 +327,8 @@
 }
 
 /// Merges several loads.
-pub fn together(loads: Vec<Vec<Wanted>>) -> Vec<Wanted> {
-    let mut all: Vec<Wanted> = loads.into_iter().flatten().collect();
-    all.sort_by_key(|wanted| wanted.at);
+pub fn merge(loads: Vec<Vec<ProgramRequest>>) -> Vec<ProgramRequest> {
+    let mut all: Vec<ProgramRequest> = loads.into_iter().flatten().collect();
+    all.sort_by_key(|requested| requested.at);
     all
 }
--- a/crates/scheduling/tests/held_bytes.rs
+++ b/crates/scheduling/tests/held_bytes.rs
@@ -23,15 +23,15 @@
 /// of admitted callers and the maximum number of held bytes.
 fn replay(held: &mut HeldBytes, of: impl Fn(u64) -> Option<TenantName>) -> (usize, u64) {
     let mut open: Vec<HolderId> = Vec::new();
-    let mut most = 0;
+    let mut max_held = 0;
     for number in 0..STALLED_CALLERS {
         if let Ok(holder) = held.admit(of(number), BODY_BYTES) {
             held.set_can_be_cut(holder, true);
             open.push(holder);
         }
-        most = most.max(held.total());
+        max_held = max_held.max(held.total());
     }
-    let let_in = open.len();
+    let admitted = open.len();
     for answered in (0..ANSWER_BYTES).step_by(16 << 10) {
         for holder in open.clone() {
             if let Growth::Granted(cuts) = held.resize(holder, BODY_BYTES + answered) {
@@ -40,33 +40,36 @@
                 held.release(holder);
                 open.retain(|open| *open != holder);
             }
-            most = most.max(held.total());
+            max_held = max_held.max(held.total());
         }
     }
-    (let_in, most)
+    (admitted, max_held)
 }
 
 #[test]
-fn without_a_bound_callers_that_stop_reading_fill_the_machine() {
-    let (let_in, most) = replay(&mut HeldBytes::unbounded(), |_| None);
-    assert_eq!(let_in as u64, STALLED_CALLERS);
-    assert!(most > MACHINE_BYTES, "{most}");
+fn stalled_callers_exhaust_the_memory_without_a_limit() {
+    let (admitted, max_held) = replay(&mut HeldBytes::unbounded(), |_| None);
+    assert_eq!(admitted as u64, STALLED_CALLERS);
+    assert!(max_held > MACHINE_BYTES, "{max_held}");
 }
 
 #[test]
-fn with_a_bound_they_stay_within_their_part_of_it() {
+fn stalled_callers_stay_within_the_limit() {
     let mut held = HeldBytes::new(LIMIT);
-    let (let_in, most) = replay(&mut held, |_| None);
-    assert!(most <= LIMIT, "{most}");
-    assert!(let_in > 0 && (let_in as u64) < STALLED_CALLERS);
-    assert!(held.total() > LIMIT / 2, "those that fit are served on");
+    let (admitted, max_held) = replay(&mut held, |_| None);
+    assert!(max_held <= LIMIT, "{max_held}");
+    assert!(admitted > 0 && (admitted as u64) < STALLED_CALLERS);
+    assert!(
+        held.total() > LIMIT / 2,
+        "callers that fit are still served"
+    );
 }
 
 #[test]
-fn a_tenant_whose_callers_all_stop_leaves_half_to_the_others() {
+fn a_stalled_tenant_leaves_half_of_the_limit_to_others() {
     let mut held = HeldBytes::new(LIMIT);
-    let (_, most) = replay(&mut held, |_| tenant(1));
-    assert!(most <= LIMIT / 2, "{most}");
+    let (_, max_held) = replay(&mut held, |_| tenant(1));
+    assert!(max_held <= LIMIT / 2, "{max_held}");
     assert_eq!(held.admit(tenant(1), LIMIT / 2), Err(HeldBound::Tenant));
     assert!(held.admit(tenant(2), LIMIT / 2).is_ok());
 }
@@ -82,7 +85,7 @@
     }
     held.admit(None, 340).unwrap();
     let Growth::Granted(cuts) = held.resize(small, 100) else {
-        panic!("it may grow");
+        panic!("the holder may grow");
     };
     let cut: Vec<HolderId> = cuts.iter().map(|cut| cut.holder).collect();
     assert_eq!(cut, [newer]);
@@ -91,14 +94,18 @@
 }
 
 #[test]
-fn the_newest_large_holder_is_denied_rather_than_others_cut() {
+fn the_newest_large_holder_is_denied_instead_of_cutting_others() {
     let mut held = HeldBytes::new(1_000);
     let old = held.admit(None, 450).unwrap();
     let newest = held.admit(None, 450).unwrap();
     held.set_can_be_cut(old, true);
     held.set_can_be_cut(newest, true);
     let grown = held.resize(newest, 500);
-    assert_eq!(grown, Growth::Granted(Vec::new()), "up to its bound it may");
+    assert_eq!(
+        grown,
+        Growth::Granted(Vec::new()),
+        "the holder may grow up to its limit"
+    );
     held.admit(None, 50).unwrap();
     assert_eq!(held.resize(newest, 501), Growth::Denied(HeldBound::Request));
     let grown = held.resize(old, 480);
@@ -111,7 +118,7 @@
 }
 
 #[test]
-fn what_runs_unseen_is_not_cut() {
+fn holders_that_cannot_be_cut_are_kept() {
     let mut held = HeldBytes::new(1_000);
     let sent = held.admit(None, 500).unwrap();
     let growing = held.admit(None, 400).unwrap();
@@ -148,7 +155,7 @@
 
 proptest! {
     #[test]
-    fn sums_are_those_of_the_holders_and_within_every_bound(
+    fn totals_match_the_holders_and_stay_within_all_limits(
         steps in prop::collection::vec(step(), 1..120),
     ) {
         const SMALL_LIMIT: u64 = 1_000;
--- a/crates/scheduling/tests/incarnations.rs
+++ b/crates/scheduling/tests/incarnations.rs
@@ -23,14 +23,14 @@
     }
 }
 
-fn show(pool: &mut Pool, before: &[Backend], after: &[Backend]) {
+fn apply_list(pool: &mut Pool, before: &[Backend], after: &[Backend]) {
     let before = BackendList::new(before.to_vec());
     pool.apply(&before.changes_to(&BackendList::new(after.to_vec())));
 }
 
 fn pool_of(replicas: &[Backend]) -> Pool {
     let mut pool = Pool::new("here");
-    show(&mut pool, &[], replicas);
+    apply_list(&mut pool, &[], replicas);
     pool
 }
 
@@ -50,47 +50,51 @@
 }
 
 #[test]
-fn a_new_life_gets_work_although_the_old_one_was_ejected() {
+fn a_restarted_replica_gets_work_after_an_ejection() {
     let before = [replica("a", 5), replica("b", 5)];
     let mut pool = pool_of(&before);
     for _ in 0..6 {
         pool.failed(&id("a"), NOW);
     }
     pool.succeeded(&id("b"), Duration::from_millis(20));
-    assert_eq!(choices(&pool), (0, 100), "it fails, so it rests");
-    show(&mut pool, &before, &[replica("a", 8), replica("b", 5)]);
-    let (reborn, other) = choices(&pool);
-    assert!(reborn > 20 && other > 20, "{reborn} and {other}");
+    assert_eq!(choices(&pool), (0, 100), "the failing replica is ejected");
+    apply_list(&mut pool, &before, &[replica("a", 8), replica("b", 5)]);
+    let (restarted, other) = choices(&pool);
+    assert!(restarted > 20 && other > 20, "{restarted} and {other}");
 }
 
 #[test]
-fn a_new_life_is_not_slow_because_the_old_one_was() {
+fn a_restarted_replica_does_not_inherit_slowness() {
     let before = [replica("a", 5), replica("b", 5)];
     let mut pool = pool_of(&before);
     pool.succeeded(&id("a"), Duration::from_secs(9));
     pool.succeeded(&id("b"), Duration::from_millis(20));
     assert_eq!(choices(&pool), (0, 100));
-    show(&mut pool, &before, &[replica("a", 8), replica("b", 5)]);
+    apply_list(&mut pool, &before, &[replica("a", 8), replica("b", 5)]);
     assert!(choices(&pool).0 > 20);
 }
 
 #[test]
-fn requests_that_wait_on_the_old_life_stay_counted_until_they_end() {
+fn requests_at_the_old_incarnation_stay_counted_until_they_end() {
     let before = [replica("a", 5)];
     let mut pool = pool_of(&before);
     pool.begin(&id("a"));
     pool.begin(&id("a"));
-    show(&mut pool, &before, &[replica("a", 8)]);
+    apply_list(&mut pool, &before, &[replica("a", 8)]);
     pool.begin(&id("a"));
-    let under_way = |pool: &Pool| pool.in_flight().map(|(_, count)| count).sum::<u32>();
-    assert_eq!(under_way(&pool), 3);
+    let in_flight = |pool: &Pool| pool.in_flight().map(|(_, count)| count).sum::<u32>();
+    assert_eq!(in_flight(&pool), 3);
     pool.end(&id("a"));
     pool.end(&id("a"));
-    assert_eq!(under_way(&pool), 1, "the one that the new life has");
+    assert_eq!(
+        in_flight(&pool),
+        1,
+        "only the request at the new incarnation is left"
+    );
 }
 
 #[test]
-fn whoever_was_sent_to_the_old_life_is_told_apart() {
+fn requests_sent_to_the_old_incarnation_are_recognized() {
     let before = [replica("a", 5)];
     let mut pool = pool_of(&before);
     let sent_to = pool.usable(&id("a")).unwrap().clone();
@@ -102,24 +106,24 @@
     assert!(pool.has_restarted(&sent_to));
     assert!(
         pool.lists(&id("a")),
-        "it may have run there: it is not gone"
+        "the replica is still listed, so the request may have run there"
     );
 }
 
 #[test]
-fn a_change_that_says_nothing_of_lives_forgets_nothing() {
+fn a_change_without_incarnations_keeps_the_record() {
     let before = [replica("a", 5), replica("b", 5)];
     let mut pool = pool_of(&before);
     for _ in 0..6 {
         pool.failed(&id("a"), NOW);
     }
-    let untold = Backend {
+    let without_incarnation = Backend {
         slots: 11,
         ..replica("a", 0)
     };
-    show(&mut pool, &before, &[untold, replica("b", 5)]);
+    apply_list(&mut pool, &before, &[without_incarnation, replica("b", 5)]);
     assert_eq!(choices(&pool), (0, 100));
     assert_eq!(pool.usable(&id("a")).unwrap().incarnation, Incarnation(5));
-    show(&mut pool, &before, &[replica("a", 6), replica("b", 5)]);
-    assert!(choices(&pool).0 > 20, "a restart is still seen after it");
+    apply_list(&mut pool, &before, &[replica("a", 6), replica("b", 5)]);
+    assert!(choices(&pool).0 > 20, "a later restart is still detected");
 }
--- a/crates/scheduling/tests/load_shedding.rs
+++ b/crates/scheduling/tests/load_shedding.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-const AIM_MS: u64 = 200;
+const TARGET_MS: u64 = 200;
 
 fn route(name: &str) -> Route {
     Route {
@@ -15,7 +15,7 @@
         path_prefix: "/x/".to_owned(),
         kind: RouteKind::Streaming,
         timeout_ms: 4_000,
-        target_latency_ms: AIM_MS,
+        target_latency_ms: TARGET_MS,
         priority: 1,
         targets: vec![Target {
             service: "s".to_owned(),
@@ -31,7 +31,7 @@
 }
 
 /// Records a delay every 20 ms for `seconds`. Returns the end of that time.
-fn run(
+fn record_delays(
     shedder: &mut LoadShedder,
     route: &Route,
     delay_ms: u64,
@@ -47,7 +47,7 @@
 }
 
 /// Returns how many of 1,000 programs are admitted.
-fn let_in(shedder: &mut LoadShedder, route: &Route, now: Timestamp) -> usize {
+fn admitted_programs(shedder: &mut LoadShedder, route: &Route, now: Timestamp) -> usize {
     let draws = (0..1_000_u64).map(|program| program * (u64::MAX / 1_000));
     draws
         .filter(|draw| shedder.admit(route, *draw, now) == ShedDecision::Admit)
@@ -55,62 +55,71 @@
 }
 
 #[test]
-fn everyone_is_let_in_while_first_events_are_in_time() {
+fn all_programs_are_admitted_while_first_events_are_in_time() {
     let (mut shedder, route) = (LoadShedder::default(), route("r"));
-    assert_eq!(let_in(&mut shedder, &route, Timestamp::ZERO), 1_000);
-    let now = run(&mut shedder, &route, AIM_MS * 9 / 10, Timestamp::ZERO, 10);
-    assert_eq!(let_in(&mut shedder, &route, now), 1_000);
+    assert_eq!(
+        admitted_programs(&mut shedder, &route, Timestamp::ZERO),
+        1_000
+    );
+    let now = record_delays(
+        &mut shedder,
+        &route,
+        TARGET_MS * 9 / 10,
+        Timestamp::ZERO,
+        10,
+    );
+    assert_eq!(admitted_programs(&mut shedder, &route, now), 1_000);
 }
 
 #[test]
-fn fewer_are_let_in_the_longer_they_come_late_but_never_none() {
+fn the_admitted_share_falls_while_late_but_not_to_zero() {
     let (mut shedder, route) = (LoadShedder::default(), route("r"));
-    let soon = run(&mut shedder, &route, 3 * AIM_MS, Timestamp::ZERO, 1);
-    let first = let_in(&mut shedder, &route, soon);
-    let later = run(&mut shedder, &route, 3 * AIM_MS, soon, 1);
-    let second = let_in(&mut shedder, &route, later);
+    let soon = record_delays(&mut shedder, &route, 3 * TARGET_MS, Timestamp::ZERO, 1);
+    let first = admitted_programs(&mut shedder, &route, soon);
+    let later = record_delays(&mut shedder, &route, 3 * TARGET_MS, soon, 1);
+    let second = admitted_programs(&mut shedder, &route, later);
     assert!(second < first && first < 1_000, "{first} then {second}");
-    let much_later = run(&mut shedder, &route, 3 * AIM_MS, later, 60);
-    let last = let_in(&mut shedder, &route, much_later);
+    let much_later = record_delays(&mut shedder, &route, 3 * TARGET_MS, later, 60);
+    let last = admitted_programs(&mut shedder, &route, much_later);
     assert!((250..=350).contains(&last), "{last}");
 }
 
 #[test]
-fn all_are_let_in_again_once_the_load_has_fallen() {
+fn all_programs_are_admitted_again_after_the_load_falls() {
     let (mut shedder, route) = (LoadShedder::default(), route("r"));
-    let now = run(&mut shedder, &route, 3 * AIM_MS, Timestamp::ZERO, 10);
-    let now = run(&mut shedder, &route, AIM_MS / 4, now, 5);
-    assert_eq!(let_in(&mut shedder, &route, now), 1_000);
+    let now = record_delays(&mut shedder, &route, 3 * TARGET_MS, Timestamp::ZERO, 10);
+    let now = record_delays(&mut shedder, &route, TARGET_MS / 4, now, 5);
+    assert_eq!(admitted_programs(&mut shedder, &route, now), 1_000);
 }
 
 #[test]
-fn a_route_that_nobody_uses_forgets_that_it_was_late() {
+fn an_unused_route_recovers() {
     let (mut shedder, route) = (LoadShedder::default(), route("r"));
-    let mut now = run(&mut shedder, &route, 3 * AIM_MS, Timestamp::ZERO, 10);
+    let mut now = record_delays(&mut shedder, &route, 3 * TARGET_MS, Timestamp::ZERO, 10);
     for _ in 0..60 {
         now = now.plus(Duration::from_millis(250));
-        let_in(&mut shedder, &route, now);
+        admitted_programs(&mut shedder, &route, now);
     }
-    assert_eq!(let_in(&mut shedder, &route, now), 1_000);
+    assert_eq!(admitted_programs(&mut shedder, &route, now), 1_000);
 }
 
 #[test]
-fn a_late_route_does_not_cost_another_one_its_programs() {
+fn a_late_route_does_not_affect_another_one() {
     let mut shedder = LoadShedder::default();
-    let now = run(
+    let now = record_delays(
         &mut shedder,
         &route("late"),
-        3 * AIM_MS,
+        3 * TARGET_MS,
         Timestamp::ZERO,
         10,
     );
-    assert_eq!(let_in(&mut shedder, &route("other"), now), 1_000);
+    assert_eq!(admitted_programs(&mut shedder, &route("other"), now), 1_000);
 }
 
 #[test]
-fn who_is_refused_is_told_when_to_come_back() {
+fn refusals_include_a_retry_delay() {
     let (mut shedder, route) = (LoadShedder::default(), route("r"));
-    let now = run(&mut shedder, &route, 3 * AIM_MS, Timestamp::ZERO, 10);
+    let now = record_delays(&mut shedder, &route, 3 * TARGET_MS, Timestamp::ZERO, 10);
     let pause = |draw| match shedder.admit(&route, draw, now) {
         ShedDecision::Refuse { retry_delay, .. } => retry_delay,
         ShedDecision::Admit => Duration::ZERO,
@@ -130,12 +139,12 @@
 proptest! {
     /// Repeated attempts do not get a program admitted, and an admitted one stays so when more are.
     #[test]
-    fn programs_are_treated_alike_at_each_try(draw: u64, seconds in 0_u64..10) {
+    fn decisions_are_the_same_on_each_attempt(draw: u64, seconds in 0_u64..10) {
         let (mut shedder, route) = (LoadShedder::default(), route("r"));
-        let now = run(&mut shedder, &route, 3 * AIM_MS, Timestamp::ZERO, seconds);
+        let now = record_delays(&mut shedder, &route, 3 * TARGET_MS, Timestamp::ZERO, seconds);
         let first = shedder.admit(&route, draw, now);
         prop_assert_eq!(shedder.admit(&route, draw, now), first);
-        let later = run(&mut shedder, &route, AIM_MS / 4, now, 1);
+        let later = record_delays(&mut shedder, &route, TARGET_MS / 4, now, 1);
         if first == ShedDecision::Admit {
             prop_assert_eq!(shedder.admit(&route, draw, later), ShedDecision::Admit);
         }
@@ -143,15 +152,15 @@
 }
 
 #[test]
-fn a_route_that_is_not_in_force_any_more_is_forgotten() {
+fn removed_routes_are_forgotten() {
     let (mut shedder, gone, stays) = (LoadShedder::default(), route("gone"), route("stays"));
-    let now = run(&mut shedder, &gone, 3 * AIM_MS, Timestamp::ZERO, 10);
-    let now = run(&mut shedder, &stays, 3 * AIM_MS, now, 10);
+    let now = record_delays(&mut shedder, &gone, 3 * TARGET_MS, Timestamp::ZERO, 10);
+    let now = record_delays(&mut shedder, &stays, 3 * TARGET_MS, now, 10);
     let configuration = Configuration {
         routes: vec![stays.clone()],
         ..Configuration::default()
     };
     shedder.keep_only(&configuration);
-    assert_eq!(let_in(&mut shedder, &gone, now), 1_000);
-    assert!(let_in(&mut shedder, &stays, now) < 1_000);
+    assert_eq!(admitted_programs(&mut shedder, &gone, now), 1_000);
+    assert!(admitted_programs(&mut shedder, &stays, now) < 1_000);
 }
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -2,27 +2,27 @@
 
 use luglink_edge::{Configuration, Route, RouteKind};
 use luglink_scheduling::{
-    AwaitedEvent, ExtraSends, Features, MoveDecision, RerunLimits, Restart, Stay, Usual,
-    WaitQuantiles, Waiting, Waits, cannot_meet_deadline, decide_move, hedge_after,
+    AwaitedEvent, ExtraSendBudget, Features, MoveDecision, RerunLimits, Restart, Stay,
+    WaitHistogram, WaitQuantiles, Waiting, Waits, cannot_meet_deadline, decide_move, hedge_after,
 };
 use luglink_types::{Switch, Switches, Timestamp};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::time::Duration;
 
-const AIM: Duration = Duration::from_millis(200);
+const TARGET_LATENCY: Duration = Duration::from_millis(200);
 const CALLER_WAITS: Duration = Duration::from_secs(4);
 /// Time for which a silent replica sends nothing.
-const SILENCE: Duration = Duration::from_secs(6);
+const SILENT_TIME: Duration = Duration::from_secs(6);
 /// Median of the first events of healthy replicas, and the standard deviation of their logarithm.
 const MEDIAN: Duration = Duration::from_millis(146);
 const SPREAD: f64 = 0.59;
 /// 90th percentile of the first events of healthy replicas.
-const USUAL: Duration = Duration::from_millis(311);
+const P90_WAIT: Duration = Duration::from_millis(311);
 /// Time to connect to another replica and read a prompt there.
-const ELSEWHERE: Duration = Duration::from_millis(90);
+const RESTART_TIME: Duration = Duration::from_millis(90);
 /// Time for which turns that move avoid a replica that another one has left.
-const TROUBLE_LASTS: Duration = Duration::from_secs(10);
+const AVOIDANCE_TIME: Duration = Duration::from_secs(10);
 const REPLICAS: u64 = 40;
 const TURNS_PER_S: u64 = 10;
 const SECONDS: u64 = 2_000;
@@ -51,11 +51,11 @@
     seed: u64,
     /// Number of silent replicas.
     silent: u64,
-    slower: f64,
+    slowdown: f64,
     /// All replicas are four times slower in every second interval of that length.
     wave: Option<Duration>,
     /// Replicas that turns have left, and when.
-    troubled: HashMap<u64, Timestamp>,
+    left_replicas: HashMap<u64, Timestamp>,
 }
 
 impl Engines {
@@ -68,7 +68,7 @@
     fn follow_wave(&mut self, now: Timestamp) {
         if let Some(length) = self.wave {
             let stretches = now.since(Timestamp::ZERO).as_secs() / length.as_secs();
-            self.slower = if stretches % 2 == 1 { 4.0 } else { 1.0 };
+            self.slowdown = if stretches % 2 == 1 { 4.0 } else { 1.0 };
         }
     }
 
@@ -77,44 +77,45 @@
     }
 
     /// Chooses another replica, if possible one that no turn has left lately.
-    fn choose_besides(&mut self, first: u64, now: Timestamp) -> u64 {
-        self.troubled.insert(first, now);
-        self.troubled.retain(|_, at| now.since(*at) < TROUBLE_LASTS);
-        let sound = (0..REPLICAS).filter(|replica| !self.troubled.contains_key(replica));
-        let sound: Vec<u64> = sound.collect();
-        if sound.is_empty() {
+    fn choose_other(&mut self, first: u64, now: Timestamp) -> u64 {
+        self.left_replicas.insert(first, now);
+        self.left_replicas
+            .retain(|_, at| now.since(*at) < AVOIDANCE_TIME);
+        let healthy = (0..REPLICAS).filter(|replica| !self.left_replicas.contains_key(replica));
+        let healthy: Vec<u64> = healthy.collect();
+        if healthy.is_empty() {
             return (first + 1) % REPLICAS;
         }
-        sound[(self.draw() * sound.len() as f64) as usize]
+        healthy[(self.draw() * healthy.len() as f64) as usize]
     }
 
     fn first_event(&mut self, replica: u64) -> Duration {
         // The sum of twelve uniform random numbers is close to a normal one.
         let normal: f64 = (0..12).map(|_| self.draw()).sum::<f64>() - 6.0;
-        let sound = MEDIAN.mul_f64((normal * SPREAD).exp() * self.slower);
+        let healthy = MEDIAN.mul_f64((normal * SPREAD).exp() * self.slowdown);
         if replica < self.silent {
-            SILENCE + sound
+            SILENT_TIME + healthy
         } else {
-            sound
+            healthy
         }
     }
 }
 
 #[derive(Debug, Default)]
-struct Day {
+struct ReplayStats {
     turns: u32,
     /// Turns without a first event within three times the 90th percentile and the time to read a
     /// prompt elsewhere.
     late: u32,
     at_silent: u32,
     at_silent_late: u32,
-    sound: u32,
-    sound_moved: u32,
+    healthy: u32,
+    healthy_moved: u32,
     moved: u32,
 }
 
-fn play(engines: &mut Engines, has_moves: bool) -> Day {
-    let (mut waits, route, mut day) = (Waits::default(), route(), Day::default());
+fn replay(engines: &mut Engines, moves_enabled: bool) -> ReplayStats {
+    let (mut waits, route, mut stats) = (Waits::default(), route(), ReplayStats::default());
     for number in 0..SECONDS * TURNS_PER_S {
         let now = Timestamp::from_micros(number * 1_000_000 / TURNS_PER_S);
         engines.follow_wave(now);
@@ -122,37 +123,38 @@
         let here = engines.first_event(first);
         let waits = waits.route(&route);
         waits.moves.earn();
-        let mut waiting = waiting(waits.first_event(AIM, now));
+        let mut waiting = waiting(waits.first_event(TARGET_LATENCY, now));
         waiting.outlier_ratio = waits.outlier_ratio();
-        let at = moves_at(&waiting).filter(|at| has_moves && *at < here && waits.moves.spend());
+        let at =
+            move_time(&waiting).filter(|at| moves_enabled && *at < here && waits.moves.spend());
         let waited = match at {
             None => here,
             Some(at) => {
                 waits.note_abandoned(at, now);
-                let other = engines.choose_besides(first, now);
-                at + ELSEWHERE + engines.first_event(other)
+                let other = engines.choose_other(first, now);
+                at + RESTART_TIME + engines.first_event(other)
             }
         };
         // The time of another replica, which reads the prompt again, is not part of the
         // distribution.
         if at.is_none() && here < CALLER_WAITS {
-            waits.note_first_event(here, AIM, now);
+            waits.note_first_event(here, TARGET_LATENCY, now);
         } else if at.is_none() {
             waits.note_abandoned(CALLER_WAITS, now);
         }
-        let is_late = waited > 3 * USUAL.mul_f64(engines.slower) + ELSEWHERE;
-        day.turns += 1;
-        day.late += u32::from(is_late);
-        day.moved += u32::from(at.is_some());
+        let is_late = waited > 3 * P90_WAIT.mul_f64(engines.slowdown) + RESTART_TIME;
+        stats.turns += 1;
+        stats.late += u32::from(is_late);
+        stats.moved += u32::from(at.is_some());
         if first < engines.silent {
-            day.at_silent += 1;
-            day.at_silent_late += u32::from(is_late);
+            stats.at_silent += 1;
+            stats.at_silent_late += u32::from(is_late);
         } else {
-            day.sound += 1;
-            day.sound_moved += u32::from(at.is_some());
+            stats.healthy += 1;
+            stats.healthy_moved += u32::from(at.is_some());
         }
     }
-    day
+    stats
 }
 
 fn waiting(first_event: WaitQuantiles) -> Waiting {
@@ -176,9 +178,9 @@
 }
 
 /// Applies the decisions as a gateway does. Returns the time of the move.
-fn moves_at(from: &Waiting) -> Option<Duration> {
+fn move_time(from: &Waiting) -> Option<Duration> {
     let mut waiting = *from;
-    while waiting.waited < SILENCE {
+    while waiting.waited < SILENT_TIME {
         match decide_move(&waiting) {
             MoveDecision::Move { .. } => return Some(waiting.waited),
             MoveDecision::Stay(_) => return None,
@@ -196,95 +198,95 @@
     Engines {
         seed: 7,
         silent,
-        slower: 1.0,
+        slowdown: 1.0,
         wave: None,
-        troubled: HashMap::new(),
+        left_replicas: HashMap::new(),
     }
 }
 
 #[test]
 fn turns_at_silent_replicas_are_answered_by_others() {
     let silent = REPLICAS / 10;
-    let plain = play(&mut engines(silent), false);
+    let plain = replay(&mut engines(silent), false);
     assert_eq!(plain.at_silent_late, plain.at_silent);
-    let moved = play(&mut engines(silent), true);
+    let moved = replay(&mut engines(silent), true);
     // Nine in ten waits at the second replica do not exceed the 90th percentile.
     assert!(moved.at_silent_late * 10 <= moved.at_silent, "{moved:?}");
     assert!(moved.late * 3 < plain.late, "{moved:?} {plain:?}");
-    assert!(moved.sound_moved * 100 <= moved.sound * 2, "{moved:?}");
+    assert!(moved.healthy_moved * 100 <= moved.healthy * 2, "{moved:?}");
 }
 
 #[test]
-fn hardly_a_turn_moves_while_all_replicas_are_well() {
-    let day = play(&mut engines(0), true);
-    assert!(day.moved * 100 <= day.turns * 3, "{day:?}");
+fn few_turns_move_while_all_replicas_are_healthy() {
+    let stats = replay(&mut engines(0), true);
+    assert!(stats.moved * 100 <= stats.turns * 3, "{stats:?}");
 }
 
 #[test]
-fn what_is_usual_follows_the_load_and_few_turns_move_meanwhile() {
+fn quantiles_follow_the_load_and_few_turns_move() {
     let mut slow = engines(0);
-    slow.slower = 5.0;
-    let day = play(&mut slow, true);
-    assert!(day.moved * 100 <= day.turns * 3, "{day:?}");
+    slow.slowdown = 5.0;
+    let stats = replay(&mut slow, true);
+    assert!(stats.moved * 100 <= stats.turns * 3, "{stats:?}");
     // Moves cannot make up for half of the replicas being silent.
-    let day = play(&mut engines(REPLICAS / 2), true);
-    assert!(day.moved * 5 <= day.turns + 20, "{day:?}");
+    let stats = replay(&mut engines(REPLICAS / 2), true);
+    assert!(stats.moved * 5 <= stats.turns + 20, "{stats:?}");
 }
 
 #[test]
-fn waves_of_load_move_few_turns() {
+fn few_turns_move_during_waves_of_load() {
     let mut engines = engines(0);
     engines.wave = Some(Duration::from_secs(6));
-    let day = play(&mut engines, true);
-    assert!(day.moved * 100 <= day.turns * 3, "{day:?}");
+    let stats = replay(&mut engines, true);
+    assert!(stats.moved * 100 <= stats.turns * 3, "{stats:?}");
 }
 
 #[test]
-fn nothing_moves_while_many_waits_are_unusual() {
-    let mut waiting = waiting(WaitQuantiles::expected(AIM));
+fn nothing_moves_while_many_waits_are_outliers() {
+    let mut waiting = waiting(WaitQuantiles::expected(TARGET_LATENCY));
     waiting.outlier_ratio = 0.5;
-    assert_eq!(moves_at(&waiting), None);
+    assert_eq!(move_time(&waiting), None);
 }
 
 #[test]
 fn a_turn_that_no_replica_can_answer_in_time_stays() {
-    let mut waiting = waiting(WaitQuantiles::expected(AIM));
+    let mut waiting = waiting(WaitQuantiles::expected(TARGET_LATENCY));
     waiting.left = Duration::from_millis(250);
     let stays = MoveDecision::Stay(Stay::TooLate);
     assert_eq!(decide_move(&waiting), stays);
 }
 
 #[test]
-fn a_program_that_is_short_of_time_moves_sooner_but_not_at_once() {
+fn an_urgent_program_moves_sooner_but_not_at_once() {
     let usual = WaitQuantiles {
-        median: AIM / 2,
-        usual: AIM,
+        median: TARGET_LATENCY / 2,
+        p90: TARGET_LATENCY,
     };
     let mut waiting = waiting(usual);
-    let calm = moves_at(&waiting).unwrap();
+    let relaxed = move_time(&waiting).unwrap();
     let mut within = |program_ms| {
         waiting.awaited = AwaitedEvent::FirstEvent {
             program: Some(Duration::from_millis(program_ms)),
         };
-        moves_at(&waiting).unwrap()
+        move_time(&waiting).unwrap()
     };
-    assert!(within(520) < calm);
-    assert!(within(520) > AIM);
-    assert_eq!(within(10_000), calm);
-    assert_eq!(within(10), calm, "a program that is late in any case");
+    assert!(within(520) < relaxed);
+    assert!(within(520) > TARGET_LATENCY);
+    assert_eq!(within(10_000), relaxed);
+    assert_eq!(within(10), relaxed, "a program that is late in any case");
 }
 
 #[test]
-fn a_stream_moves_when_a_pause_is_far_beyond_those_before() {
+fn a_stream_moves_after_a_pause_far_longer_than_before() {
     let moves_after = |longest_ms, bearable_ms| {
-        let mut waiting = waiting(WaitQuantiles::expected(AIM));
+        let mut waiting = waiting(WaitQuantiles::expected(TARGET_LATENCY));
         waiting.restart.tokens = 0;
         waiting.awaited = AwaitedEvent::NextEvent {
             longest: Duration::from_millis(longest_ms),
             usual: Some(Duration::from_millis(30)),
             bearable: Some(Duration::from_millis(bearable_ms)),
         };
-        moves_at(&waiting).unwrap()
+        move_time(&waiting).unwrap()
     };
     assert_eq!(moves_after(30, 300), Duration::from_millis(300));
     assert!(moves_after(200, 300) >= Duration::from_millis(800));
@@ -292,8 +294,8 @@
 }
 
 #[test]
-fn a_few_long_waits_do_not_shift_what_is_usual() {
-    let mut usual = Usual::default();
+fn a_few_long_waits_do_not_shift_the_quantile() {
+    let mut usual = WaitHistogram::default();
     let now = Timestamp::from_micros(1_000_000);
     for number in 0..100 {
         let ms = if number % 6 == 0 { 6_000 } else { 100 };
@@ -303,11 +305,15 @@
     let expected = Duration::from_millis(100)..Duration::from_millis(125);
     assert!(expected.contains(&learned), "{learned:?}");
     let much_later = now.plus(Duration::from_secs(60));
-    assert_eq!(usual.quantile(0.8, much_later), None, "it has faded");
+    assert_eq!(
+        usual.quantile(0.8, much_later),
+        None,
+        "old waits have decayed"
+    );
 }
 
 #[test]
-fn only_what_no_replica_can_answer_is_hopeless() {
+fn only_deadlines_below_the_fastest_answer_cannot_be_met() {
     let ms = Duration::from_millis;
     assert!(!cannot_meet_deadline(ms(1), None));
     assert!(cannot_meet_deadline(ms(20), Some(ms(40))));
@@ -315,12 +321,12 @@
 }
 
 #[test]
-fn second_sends_are_early_where_answers_are_quick_and_bounded_in_number() {
+fn hedges_are_early_for_quick_answers_and_limited_in_number() {
     let ms = Duration::from_millis;
     assert_eq!(hedge_after(None, ms(375)), ms(375));
     assert_eq!(hedge_after(Some(ms(70)), ms(375)), ms(140));
     assert_eq!(hedge_after(Some(ms(900)), ms(375)), ms(375));
-    let mut extra = ExtraSends::new(0.05);
+    let mut extra = ExtraSendBudget::new(0.05);
     let granted = (0..1_000).filter(|_| {
         extra.earn();
         extra.spend()
@@ -330,7 +336,7 @@
 }
 
 #[test]
-fn nothing_changes_where_no_second_replica_is_allowed() {
+fn moves_and_hedges_need_a_second_attempt() {
     let configuration = |route: &Route| Configuration {
         routes: vec![route.clone()],
         ..Configuration::default()
@@ -391,7 +397,7 @@
             awaited,
             waited: ms(waited),
             left: ms(left),
-            first_event: WaitQuantiles { median: ms(median), usual: ms(median + more) },
+            first_event: WaitQuantiles { median: ms(median), p90: ms(median + more) },
             outlier_ratio,
             restart: Restart { tokens, step: step.map(ms) },
             reruns: RerunLimits { is_repeatable, may_have_run, max_attempts, has_untried_replica },
@@ -401,7 +407,7 @@
 
 proptest! {
     #[test]
-    fn nothing_moves_that_may_not(waiting in any_waiting()) {
+    fn only_permitted_requests_move(waiting in any_waiting()) {
         let reruns = waiting.reruns;
         if let MoveDecision::Move { .. } = decide_move(&waiting) {
             prop_assert!(reruns.is_repeatable && reruns.has_untried_replica);
@@ -412,13 +418,13 @@
 
     /// However often a request moves, it is never sent to more replicas than allowed.
     #[test]
-    fn never_more_replicas_than_allowed(waiting in any_waiting()) {
+    fn requests_never_reach_more_replicas_than_allowed(waiting in any_waiting()) {
         let mut waiting = waiting;
         waiting.reruns.may_have_run = 1;
         waiting.reruns.has_untried_replica = true;
         waiting.outlier_ratio = 0.0;
         waiting.left = Duration::from_secs(3_600);
-        while moves_at(&waiting).is_some() {
+        while move_time(&waiting).is_some() {
             waiting.waited = Duration::ZERO;
             waiting.reruns.may_have_run += 1;
         }
@@ -426,7 +432,7 @@
     }
 
     #[test]
-    fn a_look_is_never_due_at_once(waiting in any_waiting()) {
+    fn decisions_are_never_repeated_immediately(waiting in any_waiting()) {
         if let MoveDecision::WaitOn(pause) = decide_move(&waiting) {
             prop_assert!(pause > Duration::ZERO);
         }
--- a/crates/scheduling/tests/placement.rs
+++ b/crates/scheduling/tests/placement.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_replica_is_as_full_as_its_slots_or_its_memory() {
+fn fullness_is_the_maximum_of_slots_and_memory() {
     assert_eq!(report(4, 0, 100).fullness(8), 0.5);
     assert_eq!(report(4, 0, 900).fullness(8), 0.9);
     assert_eq!(report(8, 4, 900).fullness(8), 1.5);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_emptier_candidate_is_taken_and_the_first_of_equals() {
+fn the_less_full_candidate_is_chosen_and_the_first_of_equals() {
     let at = |fullness: &[Option<f64>]| place(fullness, 1.0, 0.0);
     assert_eq!(at(&[Some(0.5), Some(0.25)]), Placement::At(1));
     assert_eq!(at(&[Some(0.5), Some(0.5)]), Placement::At(0));
@@ -33,14 +33,14 @@
 }
 
 #[test]
-fn candidates_that_say_nothing_do_not_keep_a_program_out() {
+fn candidates_without_a_report_do_not_refuse_a_program() {
     assert_eq!(place(&[None, None], 1.0, 0.0), Placement::At(0));
     assert_eq!(place(&[], 1.0, 0.0), Placement::At(0));
 }
 
 proptest! {
     #[test]
-    fn a_program_is_refused_just_when_all_that_say_something_are_full(
+    fn programs_are_refused_exactly_when_all_reporting_candidates_are_full(
         fullness in prop::collection::vec(prop::option::of(0.0_f64..6.0), 1..5),
         limit in 0.1_f64..2.0,
         spread in 0.0_f64..=1.0,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_sooner_of_candidates_that_are_nearly_as_empty_is_taken() {
+fn the_sooner_of_similarly_full_candidates_is_chosen() {
     let soonest =
         |fullness: &[Option<f64>], seconds: &[f64]| place_soonest(fullness, seconds, 0.4, 0.8, 0.0);
     let both = [Some(0.1), Some(0.3)];
--- a/crates/scheduling/tests/pool.rs
+++ b/crates/scheduling/tests/pool.rs
@@ -27,12 +27,12 @@
 
 fn pool(backends: Vec<Backend>) -> Pool {
     let mut pool = Pool::new("here");
-    show(&mut pool, &BackendList::default(), backends);
+    apply_list(&mut pool, &BackendList::default(), backends);
     pool
 }
 
 /// Replaces the list `before`.
-fn show(pool: &mut Pool, before: &BackendList, backends: Vec<Backend>) {
+fn apply_list(pool: &mut Pool, before: &BackendList, backends: Vec<Backend>) {
     pool.apply(&before.changes_to(&BackendList::new(backends)));
 }
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn leaving_replicas_and_other_services_get_nothing() {
+fn draining_replicas_and_other_services_get_no_requests() {
     let mut leaving = backend("a", "here");
     leaving.draining = true;
     let mut other = backend("b", "here");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_replica_that_was_tried_is_not_taken_again() {
+fn a_tried_replica_is_not_chosen_again() {
     let pool = pool(vec![backend("a", "here"), backend("b", "there")]);
     let tried = [id("a")];
     let wish = RoutingRequest {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn near_ones_are_preferred_until_they_are_busier() {
+fn near_replicas_are_preferred_until_they_are_busier() {
     let mut pool = pool(vec![backend("near", "here"), backend("far", "there")]);
     assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "near");
     for _ in 0..3 {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn the_cache_draws_a_request_unless_its_replica_is_much_busier() {
+fn the_replica_with_the_prompt_is_chosen_unless_much_busier() {
     let mut pool = pool(vec![backend("cold", "here"), backend("warm", "there")]);
     let warm = id("warm");
     let wish = RoutingRequest {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_replica_that_failed_pauses_longer_each_time_and_an_answer_ends_that() {
+fn ejections_lengthen_with_each_failure_and_end_with_a_success() {
     let mut pool = pool(vec![backend("a", "here"), backend("b", "there")]);
     let now = Timestamp::from_millis(1_000);
     let first = pool.failed(&id("a"), now).unwrap().since(now);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn when_all_failed_the_one_that_pauses_least_is_taken() {
+fn if_all_replicas_are_ejected_the_shortest_ejection_is_chosen() {
     let mut pool = pool(vec![backend("a", "here"), backend("b", "there")]);
     let now = Timestamp::from_millis(1_000);
     pool.failed(&id("a"), now);
@@ -136,14 +136,14 @@
 }
 
 #[test]
-fn a_new_list_keeps_what_is_known_of_those_that_stay() {
+fn a_new_list_keeps_the_records_of_remaining_replicas() {
     let before = vec![backend("a", "here"), backend("b", "here")];
     let mut pool = pool(before.clone());
     for _ in 0..4 {
         pool.begin(&id("a"));
     }
     let after = vec![backend("a", "here"), backend("c", "here")];
-    show(&mut pool, &BackendList::new(before), after);
+    apply_list(&mut pool, &BackendList::new(before), after);
     assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "c");
     assert!(!pool.lists(&id("b")));
     // Requests at replicas that were removed end without an error.
@@ -154,7 +154,7 @@
 fn gateways_with_the_same_list_agree_on_a_program_s_home() {
     let backends: Vec<Backend> = (0..5).map(|n| backend(&n.to_string(), "here")).collect();
     let mut elsewhere = Pool::new("there");
-    show(&mut elsewhere, &BackendList::default(), backends.clone());
+    apply_list(&mut elsewhere, &BackendList::default(), backends.clone());
     let here = pool(backends);
     let homes: Vec<_> = (0..100)
         .map(|program| here.home(SERVICE, program))
@@ -168,10 +168,14 @@
 }
 
 #[test]
-fn a_replica_that_fails_now_and_then_gets_less_until_that_is_long_ago() {
+fn occasional_failures_count_until_they_decay() {
     let mut pool = pool(vec![backend("grey", "here"), backend("sound", "there")]);
     let now = Timestamp::from_millis(100_000);
-    assert_eq!(chosen(&pool, &wish(), now).unwrap(), "grey", "it is nearer");
+    assert_eq!(
+        chosen(&pool, &wish(), now).unwrap(),
+        "grey",
+        "the replica is nearer"
+    );
     for _ in 0..3 {
         pool.troubled(&id("grey"), now);
         pool.succeeded(&id("grey"), Duration::from_millis(10));
@@ -183,7 +187,7 @@
 }
 
 #[test]
-fn a_replica_with_a_connection_at_rest_is_preferred_until_it_is_busier_or_farther() {
+fn a_replica_with_an_idle_connection_is_preferred_unless_busier_or_farther() {
     let mut pool = pool(vec![
         backend("new", "here"),
         backend("kept", "here"),
@@ -203,7 +207,7 @@
         assert_ne!(
             chosen(&pool, "far", draw),
             "far",
-            "a connection is not worth the way"
+            "a connection does not outweigh the distance"
         );
     }
     pool.begin(&id("kept"));
@@ -238,7 +242,7 @@
 }
 
 #[test]
-fn leaving_replicas_do_not_make_a_zone_large_enough() {
+fn draining_replicas_do_not_count_for_the_size_of_a_zone() {
     let mut backends: Vec<Backend> = (0..15)
         .map(|number| Backend {
             draining: number > 6,
@@ -252,7 +256,7 @@
 }
 
 #[test]
-fn programs_stay_in_their_zones_only_where_every_zone_has_enough_replicas() {
+fn programs_stay_in_their_zones_only_if_every_zone_has_enough_replicas() {
     let in_zone = |zone: &str, count: usize| -> Vec<Backend> {
         let name = |number| format!("{zone}-{number}");
         (0..count)
@@ -274,7 +278,7 @@
 }
 
 #[test]
-fn programs_of_a_zone_without_replicas_have_a_home_elsewhere() {
+fn programs_of_a_zone_without_replicas_have_a_home_in_another_zone() {
     let backends = (0..15).map(|number| backend(&format!("there-{number}"), "there"));
     assert!(pool(backends.collect()).home(SERVICE, 1).is_some());
 }
@@ -297,7 +301,7 @@
 }
 
 #[test]
-fn replicas_that_failed_are_candidates_only_when_no_others_are_left() {
+fn ejected_replicas_are_the_last_candidates() {
     let backends = (0..3).map(|number| backend(&format!("here-{number}"), "here"));
     let mut pool = pool(backends.collect());
     let candidates = |pool: &Pool, count| {
@@ -314,7 +318,7 @@
 }
 
 #[test]
-fn where_programs_stay_in_their_zone_the_other_zones_are_elsewhere() {
+fn candidates_in_other_zones_are_separate_from_home() {
     let zone =
         |zone: &'static str| (0..8).map(move |number| backend(&format!("{zone}-{number}"), zone));
     let pool = pool(zone("here").chain(zone("there")).collect());
@@ -329,7 +333,7 @@
 }
 
 /// Returns the replicas of two zones.
-fn large(in_each: usize) -> Vec<Backend> {
+fn two_zones(in_each: usize) -> Vec<Backend> {
     let zone = |zone: &'static str| {
         (0..in_each).map(move |number| backend(&format!("{zone}-{number}"), zone))
     };
@@ -349,35 +353,39 @@
 /// A choice compares the replicas that this gateway has used lately and a drawn one, not the whole
 /// fleet.
 #[test]
-fn a_choice_looks_at_a_few_replicas_however_many_there_are() {
+fn a_choice_compares_few_replicas_in_any_fleet() {
     for in_each in [50, 500, 5_000, 10_000] {
-        let mut pool = pool(large(in_each));
+        let mut pool = pool(two_zones(in_each));
         // Over time this gateway uses every replica.
         for number in 0..in_each {
             let used = id(&format!("here-{number}"));
             pool.begin(&used);
             pool.end(&used);
         }
-        let looks = Cell::new(0);
+        let connection_checks = Cell::new(0);
         for draw in 0..50 {
             let wish = RoutingRequest { draw, ..wish() };
             let is_connected = |_: &BackendId| {
-                looks.set(looks.get() + 1);
+                connection_checks.set(connection_checks.get() + 1);
                 false
             };
             pool.choose(&wish, is_connected, Timestamp::ZERO).unwrap();
         }
-        assert!(looks.get() <= 50 * 66, "{in_each}: {}", looks.get());
+        assert!(
+            connection_checks.get() <= 50 * 66,
+            "{in_each}: {}",
+            connection_checks.get()
+        );
     }
 }
 
 #[test]
-fn programs_begin_at_as_many_replicas_as_the_load_needs() {
+fn programs_start_at_as_many_replicas_as_the_load_needs() {
     let homes = |pool: &Pool| -> BTreeSet<BackendId> {
         let homes = (0..5_000).filter_map(|program| pool.home(SERVICE, program));
         homes.collect()
     };
-    let mut pool = pool(large(1_000));
+    let mut pool = pool(two_zones(1_000));
     let idle = homes(&pool);
     assert!(idle.len() <= 16, "{}", idle.len());
     let now = Timestamp::from_millis(1_000);
@@ -385,21 +393,21 @@
     pool.follow_zone_load(&load(100), now);
     let busy = homes(&pool);
     assert_eq!(busy.len(), 40);
-    assert!(busy.is_superset(&idle), "those that are warm stay in use");
+    assert!(busy.is_superset(&idle), "replicas in use stay in use");
     pool.follow_zone_load(&load(0), now.plus(Duration::from_secs(1)));
-    assert!(homes(&pool).len() > 30, "it shrinks slowly");
+    assert!(homes(&pool).len() > 30, "the working set shrinks slowly");
     pool.follow_zone_load(&load(0), now.plus(Duration::from_secs(100)));
     assert_eq!(homes(&pool), idle);
     pool.follow_zone_load(&load(100_000), now.plus(Duration::from_secs(101)));
     assert!(
         homes(&pool).len() > 980,
-        "all but those that no program fell to"
+        "all replicas except those that no program maps to"
     );
 }
 
 #[test]
-fn busy_replicas_make_the_working_set_grow_at_once() {
-    let mut pool = pool(large(1_000));
+fn the_working_set_grows_at_once() {
+    let mut pool = pool(two_zones(1_000));
     let reach = |pool: &Pool, reach| {
         let found = pool.candidates(SERVICE, 1, reach, 1_000, Timestamp::ZERO);
         let found: BTreeSet<BackendId> = found.into_iter().map(|found| found.id).collect();
@@ -415,8 +423,8 @@
 
 /// A crash of many replicas must leave the zone enough of them at once.
 #[test]
-fn others_take_the_place_of_members_of_the_working_set_that_leave() {
-    let backends = large(1_000);
+fn draining_members_of_the_working_set_are_replaced() {
+    let backends = two_zones(1_000);
     let mut pool = pool(backends.clone());
     let homes = |pool: &Pool| -> BTreeSet<BackendId> {
         let homes = (0..2_000).filter_map(|program| pool.home(SERVICE, program));
@@ -428,7 +436,7 @@
         draining: leaving.contains(&backend.id),
         ..backend
     });
-    show(
+    apply_list(
         &mut pool,
         &BackendList::new(backends.clone()),
         left.collect(),
@@ -442,8 +450,8 @@
 /// If all replicas that a gateway has used are busy, another one of the working set gets the
 /// request.
 #[test]
-fn requests_go_to_the_working_set_until_all_of_it_has_been_tried() {
-    let pool = pool(large(1_000));
+fn requests_use_the_working_set_until_all_of_it_was_tried() {
+    let pool = pool(two_zones(1_000));
     let mut tried = Vec::new();
     let set: BTreeSet<String> = (0..2_000)
         .filter_map(|program| pool.home(SERVICE, program))
--- a/crates/scheduling/tests/program_table.rs
+++ b/crates/scheduling/tests/program_table.rs
@@ -33,10 +33,10 @@
 
 /// Runs a program of five turns of 100 ms with pauses of the same length and prompts from 1,000 to
 /// 1,400 tokens.
-fn play(table: &mut ProgramTable, program: u64, from_ms: u64) -> u64 {
+fn run_program(table: &mut ProgramTable, program: u64, from_ms: u64) -> u64 {
     let route = route();
     for turn in 0..5 {
-        let begins = from_ms + turn * 200;
+        let start_ms = from_ms + turn * 200;
         let turn = TurnStarted {
             program,
             route: &route,
@@ -44,18 +44,18 @@
             prompt_tokens: 1_000 + 100 * turn,
             is_first_turn: turn == 0,
         };
-        table.begin_turn(&turn, at(begins));
-        table.end_turn(program, Duration::from_millis(100), at(begins + 100));
+        table.begin_turn(&turn, at(start_ms));
+        table.end_turn(program, Duration::from_millis(100), at(start_ms + 100));
     }
     from_ms + 1_000
 }
 
 #[test]
-fn a_program_that_begins_needs_what_others_came_to_need() {
+fn a_new_program_is_projected_to_need_what_others_did() {
     let mut table = ProgramTable::default();
     let mut now = 0;
     for program in 0..20 {
-        now = play(&mut table, program, now);
+        now = run_program(&mut table, program, now);
     }
     // All programs have ended.
     now += 2_000;
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_program_that_pauses_is_under_way_until_it_does_not_come_back() {
+fn a_paused_program_counts_until_it_expires() {
     let mut table = ProgramTable::default();
     let route = route();
     let first = TurnStarted {
@@ -99,13 +99,13 @@
 }
 
 #[test]
-fn a_sum_that_rises_is_taken_further_and_a_steady_one_as_it_is() {
+fn rising_sums_are_extrapolated_and_steady_ones_kept() {
     let mut steady = ZoneTrend::default();
     assert!(steady.now(at(0)).is_none());
     let mut rising = ZoneTrend::default();
-    for news in 0..8 {
-        steady.take(50.0, at(news * 250));
-        rising.take(50.0 + 10.0 * news as f64, at(news * 250));
+    for interval in 0..8 {
+        steady.take(50.0, at(interval * 250));
+        rising.take(50.0 + 10.0 * interval as f64, at(interval * 250));
     }
     let now = at(7 * 250);
     assert_eq!(steady.now(now).unwrap().requests, 50.0);
--- a/crates/scheduling/tests/support/engine.rs
+++ b/crates/scheduling/tests/support/engine.rs
@@ -8,15 +8,15 @@
 /// Events of an answer.
 pub const EVENTS: u32 = 12;
 /// Pause between events of a lone request, at speed 1.
-const LONE_PAUSE_MS: f64 = 45.0;
+const SOLO_PAUSE_MS: f64 = 45.0;
 /// Prompt tokens read in the time of an event of ten tokens.
 const TOKENS_READ_PER_EVENT: f64 = 2_500.0;
 /// Time after which gateways suspect a replica that sends no response head.
-const SUSPICION_MS: u64 = 500;
+const SUSPICION_TIMEOUT_MS: u64 = 500;
 
 pub struct Turn {
     pub gateway: usize,
-    pub began_ms: u64,
+    pub started_ms: u64,
     pub turns_left: u32,
     tokens_to_read: f64,
     progress: f64,
@@ -25,7 +25,7 @@
 }
 
 /// Event of a turn that a gateway observes.
-pub enum Happened {
+pub enum TurnEvent {
     First { gateway: usize, wait: Duration },
     Event { gateway: usize, pause: Duration },
     Silent { gateway: usize },
@@ -45,7 +45,7 @@
     pub fn push(&mut self, now_ms: u64, tokens_to_read: u32, gateway: usize, turns_left: u32) {
         self.turns.push(Turn {
             gateway,
-            began_ms: now_ms,
+            started_ms: now_ms,
             turns_left,
             tokens_to_read: f64::from(tokens_to_read),
             progress: 0.0,
@@ -55,25 +55,26 @@
     }
 
     /// Advances by one tick and returns the events.
-    pub fn advance(&mut self, pace: f64, now_ms: u64) -> Vec<Happened> {
+    pub fn advance(&mut self, pace: f64, now_ms: u64) -> Vec<TurnEvent> {
         let running = self.turns.len().min(SLOTS as usize);
         let batch = 1.0 + running as f64 / f64::from(SLOTS);
-        let events = TICK_MS as f64 * pace / (LONE_PAUSE_MS * batch);
+        let generated = TICK_MS as f64 * pace / (SOLO_PAUSE_MS * batch);
         let batch = self.turns.iter_mut().take(running);
-        let mut happened: Vec<Happened> =
-            batch.filter_map(|turn| turn.run(events, now_ms)).collect();
-        let silent = self.turns.iter().filter(|turn| turn.is_suspect(now_ms));
-        happened.extend(silent.map(|turn| Happened::Silent {
+        let mut turn_events: Vec<TurnEvent> = batch
+            .filter_map(|turn| turn.run(generated, now_ms))
+            .collect();
+        let silent = self.turns.iter().filter(|turn| turn.is_suspected(now_ms));
+        turn_events.extend(silent.map(|turn| TurnEvent::Silent {
             gateway: turn.gateway,
         }));
         let ended = self.turns.extract_if(.., |turn| turn.events == EVENTS);
-        happened.extend(ended.map(Happened::Ended));
-        happened
+        turn_events.extend(ended.map(TurnEvent::Ended));
+        turn_events
     }
 }
 
 impl Turn {
-    fn run(&mut self, events: f64, now_ms: u64) -> Option<Happened> {
+    fn run(&mut self, events: f64, now_ms: u64) -> Option<TurnEvent> {
         if self.tokens_to_read > 0.0 {
             self.tokens_to_read -= TOKENS_READ_PER_EVENT * events;
             return None;
@@ -88,17 +89,17 @@
         self.event_at_ms = now_ms;
         let gateway = self.gateway;
         Some(match self.events {
-            1 => Happened::First {
+            1 => TurnEvent::First {
                 gateway,
                 wait: pause,
             },
-            _ => Happened::Event { gateway, pause },
+            _ => TurnEvent::Event { gateway, pause },
         })
     }
 
-    fn is_suspect(&self, now_ms: u64) -> bool {
-        let waited_ms = now_ms - self.began_ms;
-        let is_due = waited_ms > 0 && waited_ms.is_multiple_of(SUSPICION_MS);
-        self.events == 0 && is_due && waited_ms <= 4 * SUSPICION_MS
+    fn is_suspected(&self, now_ms: u64) -> bool {
+        let waited_ms = now_ms - self.started_ms;
+        let is_due = waited_ms > 0 && waited_ms.is_multiple_of(SUSPICION_TIMEOUT_MS);
+        self.events == 0 && is_due && waited_ms <= 4 * SUSPICION_TIMEOUT_MS
     }
 }
