--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 mod engine;
 
-use engine::{EVENTS, Engine, Happened, SLOTS, TICK_MS};
+use engine::{EVENTS, Engine, SLOTS, TICK_MS, TurnEvent};
 use luglink_fleet::{
     Backend, BackendId, BackendList, GatewayLoad, Incarnation, ServiceLoad, StatsReport,
 };
@@ -18,20 +18,20 @@
 /// Programs that start in a second, which makes 150 turns.
 const PROGRAMS_PER_S: u64 = 25;
 const TURNS: u32 = 6;
-const THINK_MS: u64 = 150;
+const TOOL_TIME_MS: u64 = 150;
 const SHARED_TOKENS: u32 = 1_500;
 const OWN_TOKENS: u32 = 1_000;
 const NEW_TOKENS: u32 = 150;
 
 /// Results of a replay.
 #[derive(Default)]
-pub struct Seen {
+pub struct ReplayStats {
     pub turn_ms: Vec<u64>,
     /// Sum over ticks of the requests at each engine.
-    pub occupied: Vec<usize>,
+    pub request_ticks: Vec<usize>,
     /// Turns that started, and how many of them at an engine that had been slow for a second.
-    pub began: usize,
-    pub began_at_slow: usize,
+    pub started: usize,
+    pub started_at_slow: usize,
 }
 
 pub struct Run {
@@ -97,7 +97,7 @@
 
 impl Run {
     /// Runs programs of several turns, each of which reaches any gateway.
-    pub fn play(&self) -> Seen {
+    pub fn run(&self) -> ReplayStats {
         let mut replay = Replay::new(self);
         for now_ms in (0..self.until_ms).step_by(TICK_MS as usize) {
             if now_ms % VIEW_INTERVAL_MS == 0 {
@@ -108,12 +108,12 @@
                 replay.advance(engine, now_ms);
             }
         }
-        replay.seen
+        replay.stats
     }
 }
 
 /// Turn that is due.
-struct Due {
+struct DueTurn {
     at_ms: u64,
     turns_left: u32,
     holder: Option<usize>,
@@ -122,10 +122,10 @@
 struct Replay {
     pools: Vec<Pool>,
     engines: Vec<Engine>,
-    due: Vec<Due>,
+    due: Vec<DueTurn>,
     view: StatsReport,
     random: u64,
-    seen: Seen,
+    stats: ReplayStats,
 }
 
 impl Replay {
@@ -136,9 +136,9 @@
             due: Vec::new(),
             view: StatsReport::default(),
             random: run.seed,
-            seen: Seen {
-                occupied: vec![0; ENGINES],
-                ..Seen::default()
+            stats: ReplayStats {
+                request_ticks: vec![0; ENGINES],
+                ..ReplayStats::default()
             },
         }
     }
@@ -151,18 +151,18 @@
             pool.follow_zone_load(&load, now);
             pool.set_zone_view(&self.view, now);
         }
-        let words: Vec<StatsReport> = self
+        let reports: Vec<StatsReport> = self
             .pools
             .iter()
             .map(|pool| pool.replica_stats(now))
             .collect();
-        self.view = StatsReport::sum(&words);
+        self.view = StatsReport::sum(&reports);
     }
 
     fn begin_turns(&mut self, now_ms: u64) {
         let in_a_million = PROGRAMS_PER_S * TICK_MS * 1_000;
         if random(&mut self.random) % 1_000_000 < in_a_million {
-            self.due.push(Due {
+            self.due.push(DueTurn {
                 at_ms: now_ms,
                 turns_left: TURNS,
                 holder: None,
@@ -176,20 +176,20 @@
         }
     }
 
-    fn begin(&mut self, due: &Due, now_ms: u64) {
+    fn begin(&mut self, due: &DueTurn, now_ms: u64) {
         let gateway = random(&mut self.random) as usize % GATEWAYS;
         let draw = random(&mut self.random);
         let mut work = work(draw % 4);
         let pool = &mut self.pools[gateway];
-        let place = match due.holder {
+        let prompt_holder = match due.holder {
             Some(holder) => holder,
             None => {
-                let place = first_place(pool, &self.engines, &work, draw, at(now_ms));
+                let prompt_holder = start_replica(pool, &self.engines, &work, draw, at(now_ms));
                 work.new_tokens = OWN_TOKENS;
-                place
+                prompt_holder
             }
         };
-        let cached = id(place);
+        let cached = id(prompt_holder);
         let wish = RoutingRequest {
             service: "llm",
             cached_at: Some(&cached),
@@ -199,36 +199,36 @@
         };
         let chosen = pool.choose(&wish, |_| true, at(now_ms)).unwrap().backend;
         pool.begin(&chosen.id);
-        let engine = number(&chosen);
-        self.seen.began += 1;
+        let engine = engine_number(&chosen);
+        self.stats.started += 1;
         let at_slow = |(slow, since_ms)| slow == engine && since_ms >= 1_000;
-        self.seen.began_at_slow += usize::from(slow(now_ms).is_some_and(at_slow));
-        let reading = if engine == place {
+        self.stats.started_at_slow += usize::from(slow(now_ms).is_some_and(at_slow));
+        let tokens_to_read = if engine == prompt_holder {
             work.new_tokens
         } else {
             work.prompt_tokens
         };
-        self.engines[engine].push(now_ms, reading, gateway, due.turns_left);
+        self.engines[engine].push(now_ms, tokens_to_read, gateway, due.turns_left);
     }
 
     fn advance(&mut self, engine: usize, now_ms: u64) {
-        self.seen.occupied[engine] += self.engines[engine].len();
+        self.stats.request_ticks[engine] += self.engines[engine].len();
         let is_slow = slow(now_ms).is_some_and(|(slow, _)| slow == engine);
         let pace = speed(engine) / if is_slow { SLOWNESS } else { 1.0 };
         let (id, now) = (id(engine), at(now_ms));
-        for happened in self.engines[engine].advance(pace, now_ms) {
-            match happened {
-                Happened::Event { gateway, pause } => {
+        for event in self.engines[engine].advance(pace, now_ms) {
+            match event {
+                TurnEvent::Event { gateway, pause } => {
                     self.pools[gateway].note_step(&id, pause, now)
                 }
-                Happened::First { gateway, wait } => self.pools[gateway].succeeded(&id, wait),
-                Happened::Silent { gateway } => self.pools[gateway].troubled(&id, now),
-                Happened::Ended(turn) => {
+                TurnEvent::First { gateway, wait } => self.pools[gateway].succeeded(&id, wait),
+                TurnEvent::Silent { gateway } => self.pools[gateway].troubled(&id, now),
+                TurnEvent::Ended(turn) => {
                     self.pools[turn.gateway].end(&id);
-                    self.seen.turn_ms.push(now_ms - turn.began_ms);
+                    self.stats.turn_ms.push(now_ms - turn.started_ms);
                     if turn.turns_left > 1 {
-                        self.due.push(Due {
-                            at_ms: now_ms + THINK_MS,
+                        self.due.push(DueTurn {
+                            at_ms: now_ms + TOOL_TIME_MS,
                             turns_left: turn.turns_left - 1,
                             holder: Some(engine),
                         });
@@ -243,7 +243,7 @@
     Timestamp::from_millis(now_ms + 1)
 }
 
-fn number(backend: &Backend) -> usize {
+fn engine_number(backend: &Backend) -> usize {
     let number = (0..ENGINES).find(|engine| id(*engine) == backend.id);
     number.unwrap()
 }
@@ -261,9 +261,9 @@
 }
 
 /// Returns the engine at which a program starts, by the reports of two engines.
-fn first_place(pool: &Pool, engines: &[Engine], work: &Work, draw: u64, now: Timestamp) -> usize {
+fn start_replica(pool: &Pool, engines: &[Engine], work: &Work, draw: u64, now: Timestamp) -> usize {
     let drawn = pool.candidates_by_finish("llm", draw, work, 2, now);
-    let numbers: Vec<usize> = drawn.iter().map(number).collect();
+    let numbers: Vec<usize> = drawn.iter().map(engine_number).collect();
     let fullness: Vec<Option<f64>> = numbers
         .iter()
         .map(|engine| Some(engines[*engine].len() as f64 / f64::from(SLOTS)))
--- a/crates/scheduling/tests/patience.rs
+++ b/crates/scheduling/tests/wait_limits.rs
@@ -6,36 +6,36 @@
 
 /// Time from the start of a member's process until its fleet's first leader is announced, with slow
 /// processors, after a loss of all power.
-const USUAL_START: Duration = Duration::from_millis(900);
+const TYPICAL_START: Duration = Duration::from_millis(900);
 
 #[test]
-fn a_request_with_time_enough_outlasts_a_usual_start() {
-    assert!(max_startup_wait(Some(Duration::from_secs(4))) > USUAL_START);
-    assert!(max_startup_wait(None) > USUAL_START);
+fn requests_outlast_a_typical_start() {
+    assert!(max_startup_wait(Some(Duration::from_secs(4))) > TYPICAL_START);
+    assert!(max_startup_wait(None) > TYPICAL_START);
 }
 
 proptest! {
     #[test]
-    fn a_caller_that_is_sent_away_has_more_than_half_of_its_time_left(allowed_ms in 1_u64..60_000) {
+    fn refused_callers_keep_more_than_half_of_their_time(allowed_ms in 1_u64..60_000) {
         let allowed = Duration::from_millis(allowed_ms);
         prop_assert!(max_startup_wait(Some(allowed)) < allowed / 2);
     }
 
     #[test]
-    fn waits_for_room_leave_time_for_another_gateway(allowed_ms in 1_u64..60_000) {
+    fn capacity_waits_leave_time_for_another_gateway(allowed_ms in 1_u64..60_000) {
         let allowed = Duration::from_millis(allowed_ms);
         prop_assert!(max_capacity_wait(allowed) < allowed / 2);
     }
 
     #[test]
-    fn pauses_grow_to_a_bound(pauses in 0_u32..1_000) {
+    fn retry_delays_grow_to_a_maximum(pauses in 0_u32..1_000) {
         prop_assert!(capacity_retry_delay(pauses) <= capacity_retry_delay(pauses + 1));
         prop_assert!(capacity_retry_delay(pauses) <= Duration::from_millis(80));
     }
 
     #[test]
-    fn nobody_waits_for_long(allowed_ms in proptest::option::of(0_u64..10_000_000)) {
-        let patience = max_startup_wait(allowed_ms.map(Duration::from_millis));
-        prop_assert!(patience <= Duration::from_millis(1_500));
+    fn startup_waits_are_bounded(allowed_ms in proptest::option::of(0_u64..10_000_000)) {
+        let startup_wait = max_startup_wait(allowed_ms.map(Duration::from_millis));
+        prop_assert!(startup_wait <= Duration::from_millis(1_500));
     }
 }
