--- a/crates/scheduling/benches/pool.rs
+++ b/crates/scheduling/benches/pool.rs
@@ -19,7 +19,7 @@
     divan::main();
 }
 
-fn list(count: usize, leaving: usize) -> BackendList {
+fn list(count: usize, draining: usize) -> BackendList {
     let backend = |number: usize| Backend {
         id: BackendId(format!("i-{number:08x}")),
         service: if (number / ZONES.len()).is_multiple_of(3) {
@@ -31,7 +31,7 @@
         address: ([10, 0, 0, 1], 1_000).into(),
         zone: ZONES[number % ZONES.len()].to_owned(),
         slots: 6,
-        draining: number < leaving,
+        draining: number < draining,
         incarnation: Incarnation::UNKNOWN,
     };
     BackendList::new((0..count).map(backend).collect())
@@ -49,12 +49,12 @@
     let mut draw = 0;
     bencher.bench_local(|| {
         draw += 1;
-        let wish = RoutingRequest {
+        let request = RoutingRequest {
             service: "plain",
             draw,
             ..RoutingRequest::default()
         };
-        pool.choose(black_box(&wish), |_| false, Timestamp::ZERO)
+        pool.choose(black_box(&request), |_| false, Timestamp::ZERO)
     });
 }
 
@@ -70,7 +70,7 @@
     let mut draw = 0;
     bencher.bench_local(|| {
         draw += 1;
-        let wish = RoutingRequest {
+        let request = RoutingRequest {
             service: "llm",
             draw,
             work: Some(Work {
@@ -81,7 +81,7 @@
             }),
             ..RoutingRequest::default()
         };
-        pool.choose(black_box(&wish), |_| true, now)
+        pool.choose(black_box(&request), |_| true, now)
     });
 }
 
@@ -98,12 +98,12 @@
 #[divan::bench(args = REPLICAS)]
 fn take_a_change_of_60(bencher: Bencher<'_, '_>, replicas: usize) {
     let lists = [list(replicas, 0), list(replicas, CHANGED)];
-    let there = lists[0].changes_to(&lists[1]);
+    let forward = lists[0].changes_to(&lists[1]);
     let back = lists[1].changes_to(&lists[0]);
     let mut pool = pool(replicas);
     let mut copy = lists[0].clone();
     bencher.bench_local(|| {
-        for changes in [&there, &back] {
+        for changes in [&forward, &back] {
             assert!(copy.apply(changes));
             pool.apply(changes);
         }
--- a/crates/scheduling/src/moves.rs
+++ b/crates/scheduling/src/moves.rs
@@ -51,7 +51,7 @@
 pub struct WaitQuantiles {
     /// Median wait.
     pub median: Duration,
-    /// [`P90`] quantile of the waits.
+    /// 90th percentile of the waits.
     pub p90: Duration,
 }
 
--- a/crates/scheduling/tests/expected_finish.rs
+++ b/crates/scheduling/tests/expected_finish.rs
@@ -51,8 +51,8 @@
     let requests = stats.request_ticks.iter().sum::<usize>() as f64;
     let speeds: f64 = (0..ENGINES).map(speed).sum();
     let shares = (0..ENGINES).map(|engine| {
-        let earned = requests * speed(engine) / speeds;
-        stats.request_ticks[engine] as f64 / earned
+        let fair_share = requests * speed(engine) / speeds;
+        stats.request_ticks[engine] as f64 / fair_share
     });
     shares.fold(0.0, f64::max)
 }
@@ -62,11 +62,11 @@
 fn max_turns_at_slow(stats: &ReplayStats) -> f64 {
     let speeds: f64 = (0..ENGINES).map(speed).sum();
     let per_ms = stats.started as f64 / UNTIL_MS as f64;
-    let earned = (0..UNTIL_MS).filter_map(|at_ms| {
+    let fair_share = (0..UNTIL_MS).filter_map(|at_ms| {
         let (engine, since_ms) = slow(at_ms)?;
         (since_ms >= 1_000).then(|| per_ms * speed(engine) / SLOWNESS / speeds)
     });
-    MAX_LOAD_RATIO * earned.sum::<f64>()
+    MAX_LOAD_RATIO * fair_share.sum::<f64>()
 }
 
 const SEEDS: [u64; 3] = [1, 88_172_645_463_325_252, 7_777_777];
@@ -82,16 +82,16 @@
 #[test]
 fn turns_leave_a_slow_engine_within_a_second() {
     for seed in SEEDS {
-        let plain = run(false, seed);
-        assert!(plain.started_at_slow as f64 > max_turns_at_slow(&plain));
+        let by_load = run(false, seed);
+        assert!(by_load.started_at_slow as f64 > max_turns_at_slow(&by_load));
         let stats = run(true, seed);
         assert!(stats.started_at_slow as f64 <= max_turns_at_slow(&stats));
-        assert!(percentile(&stats.turn_ms, 0.99) < percentile(&plain.turn_ms, 0.99));
-        assert!(mean(&stats.turn_ms) < mean(&plain.turn_ms));
+        assert!(percentile(&stats.turn_ms, 0.99) < percentile(&by_load.turn_ms, 0.99));
+        assert!(mean(&stats.turn_ms) < mean(&by_load.turn_ms));
     }
 }
 
-fn wish(work: Work) -> RoutingRequest<'static> {
+fn request(work: Work) -> RoutingRequest<'static> {
     RoutingRequest {
         service: "llm",
         work: Some(work),
@@ -101,7 +101,7 @@
 
 /// Returns a view with the requests and the pause between events of each engine.
 fn view(of: impl Fn(usize) -> (u32, u32)) -> StatsReport {
-    let sight = |engine| {
+    let stats = |engine| {
         let (requests, step_millis) = of(engine);
         ReplicaStats {
             replica: ReplicaKey::of(&id(engine)),
@@ -111,7 +111,7 @@
             ..ReplicaStats::default()
         }
     };
-    StatsReport((0..ENGINES).map(sight).collect())
+    StatsReport((0..ENGINES).map(stats).collect())
 }
 
 /// Marks all engines as used, so that all are compared.
@@ -121,8 +121,8 @@
     }
 }
 
-fn chosen(pool: &Pool, wish: &RoutingRequest<'_>, now: Timestamp) -> BackendId {
-    pool.choose(wish, |_| true, now).unwrap().backend.id
+fn chosen(pool: &Pool, request: &RoutingRequest<'_>, now: Timestamp) -> BackendId {
+    pool.choose(request, |_| true, now).unwrap().backend.id
 }
 
 const NOW: Timestamp = Timestamp::from_millis(10_000);
@@ -141,38 +141,38 @@
         let mut pool = pool(true);
         use_all(&mut pool);
         pool.set_zone_view(&stale, NOW);
-        let wish = RoutingRequest {
+        let request = RoutingRequest {
             draw: random(&mut state),
-            ..wish(work(1))
+            ..request(work(1))
         };
-        let engine = chosen(&pool, &wish, NOW.plus(Duration::from_millis(200)));
+        let engine = chosen(&pool, &request, NOW.plus(Duration::from_millis(200)));
         placed[(0..ENGINES).find(|other| id(*other) == engine).unwrap()] += 1;
     }
-    let most = placed.iter().max().unwrap();
+    let max_placed = placed.iter().max().unwrap();
     let good: u32 = (0..ENGINES)
         .filter(|engine| engine % 3 == 2)
         .map(|engine| placed[engine])
         .sum();
     // Fifteen are nearly as good, and each would get 4 or 5 of 68; none gets three times that.
-    assert!(*most <= 13, "{placed:?}");
+    assert!(*max_placed <= 13, "{placed:?}");
     assert!(good >= 54, "{placed:?}");
 }
 
 #[test]
 fn a_turn_stays_with_its_prompt_until_the_cost_is_much_higher() {
     let holder = id(4);
-    let wish = RoutingRequest {
+    let request = RoutingRequest {
         cached_at: Some(&holder),
-        ..wish(work(1))
+        ..request(work(1))
     };
     let stays_at = |pause| {
         let mut pool = pool(true);
         use_all(&mut pool);
         let replica_stats = view(|engine| (2, if engine == 4 { pause } else { 40 }));
         pool.set_zone_view(&replica_stats, NOW);
-        let choice = pool.choose(&wish, |_| true, NOW).unwrap();
-        let leaving = choice.basis.unwrap().relocation;
-        assert_eq!(leaving.is_none(), choice.backend.id == holder);
+        let choice = pool.choose(&request, |_| true, NOW).unwrap();
+        let relocation = choice.basis.unwrap().relocation;
+        assert_eq!(relocation.is_none(), choice.backend.id == holder);
         choice.backend.id == holder
     };
     assert!(stays_at(40));
@@ -183,9 +183,9 @@
 #[test]
 fn failures_seen_by_one_gateway_alone_eject_no_replica() {
     let holder = id(4);
-    let wish = RoutingRequest {
+    let request = RoutingRequest {
         cached_at: Some(&holder),
-        ..wish(work(1))
+        ..request(work(1))
     };
     let stays_with = |reporting_gateways, failures_tenths| {
         let mut pool = pool(true);
@@ -196,7 +196,7 @@
         // A replica that hangs sends no events.
         replica_stats.0[4].samples_tenths = 10;
         pool.set_zone_view(&replica_stats, NOW);
-        chosen(&pool, &wish, NOW) == holder
+        chosen(&pool, &request, NOW) == holder
     };
     assert!(stays_with(1, 100));
     assert!(!stays_with(5, 100));
@@ -231,7 +231,7 @@
         let key = ReplicaKey::of(&id(engine));
         *replica_stats
             .iter()
-            .find(|sight| sight.replica == key)
+            .find(|stats| stats.replica == key)
             .unwrap()
     };
     assert_eq!((of(1).in_flight_tenths, of(1).samples_tenths), (10, 40));
@@ -302,7 +302,7 @@
     for draw in 0..200 {
         let with_work = RoutingRequest {
             draw,
-            ..wish(work(1))
+            ..request(work(1))
         };
         let without_work = RoutingRequest {
             work: None,
@@ -317,23 +317,23 @@
 #[test]
 fn a_stale_view_falls_back_to_the_choice_by_load() {
     let mut with_work = pool(true);
-    let mut plain = pool(false);
-    for pool in [&mut with_work, &mut plain] {
+    let mut by_load = pool(false);
+    for pool in [&mut with_work, &mut by_load] {
         use_all(pool);
         pool.set_zone_view(&view(|engine| (engine as u32, 40)), NOW);
     }
     let late = NOW.plus(Duration::from_secs(3));
     assert!(with_work.uses_expected_finish(NOW) && !with_work.uses_expected_finish(late));
     for draw in 0..50 {
-        let wish = RoutingRequest {
+        let request = RoutingRequest {
             draw,
-            ..wish(work(1))
+            ..request(work(1))
         };
-        let choice = with_work.choose(&wish, |_| false, late);
-        assert_eq!(choice, plain.choose(&wish, |_| false, late));
+        let choice = with_work.choose(&request, |_| false, late);
+        assert_eq!(choice, by_load.choose(&request, |_| false, late));
         let candidates = with_work.candidates_by_finish("llm", draw, &work(1), 2, late);
-        let plain = plain.candidates("llm", draw, CandidateScope::Home, 2, late);
-        assert_eq!(candidates, plain);
+        let by_load = by_load.candidates("llm", draw, CandidateScope::Home, 2, late);
+        assert_eq!(candidates, by_load);
     }
 }
 
@@ -389,8 +389,8 @@
         pool.set_zone_view(&view(|engine| loads[engine]), NOW);
         let tried: Vec<BackendId> = tried.into_iter().map(id).collect();
         let held = id(held);
-        let wish = RoutingRequest { tried: &tried, cached_at: Some(&held), draw, ..wish(work(1)) };
-        if let Some(choice) = pool.choose(&wish, |_| false, NOW) {
+        let request = RoutingRequest { tried: &tried, cached_at: Some(&held), draw, ..request(work(1)) };
+        if let Some(choice) = pool.choose(&request, |_| false, NOW) {
             prop_assert!(!choice.backend.draining);
             prop_assert!(!tried.contains(&choice.backend.id));
         }
--- a/crates/scheduling/tests/fleet/mod.rs
+++ b/crates/scheduling/tests/fleet/mod.rs
@@ -104,7 +104,7 @@
 #[derive(Default)]
 struct Gateway {
     programs: ProgramTable,
-    intake: ProgramAdmission,
+    admission: ProgramAdmission,
 }
 
 /// Result of a load. Each test file uses a part of it.
@@ -246,7 +246,7 @@
         };
         let fair_shares = self.policy == Policy::FairShares;
         let decision = gateway
-            .intake
+            .admission
             .admit(&new_program, capacity, &demand, fair_shares, time);
         decision.refused_for.map(|_| decision.retry_delay)
     }
--- a/crates/scheduling/tests/incarnations.rs
+++ b/crates/scheduling/tests/incarnations.rs
@@ -37,12 +37,12 @@
 /// Returns how often each of two replicas is chosen for a hundred requests.
 fn choices(pool: &Pool) -> (usize, usize) {
     let chosen = (0..100).map(|draw| {
-        let wish = RoutingRequest {
+        let request = RoutingRequest {
             service: "llm",
             draw,
             ..RoutingRequest::default()
         };
-        pool.choose(&wish, |_| true, NOW).unwrap().backend.id.0
+        pool.choose(&request, |_| true, NOW).unwrap().backend.id.0
     });
     let chosen: Vec<String> = chosen.collect();
     let of = |name: &str| chosen.iter().filter(|one| *one == name).count();
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -67,8 +67,8 @@
 
     fn follow_wave(&mut self, now: Timestamp) {
         if let Some(length) = self.wave {
-            let stretches = now.since(Timestamp::ZERO).as_secs() / length.as_secs();
-            self.slowdown = if stretches % 2 == 1 { 4.0 } else { 1.0 };
+            let intervals = now.since(Timestamp::ZERO).as_secs() / length.as_secs();
+            self.slowdown = if intervals % 2 == 1 { 4.0 } else { 1.0 };
         }
     }
 
@@ -207,13 +207,22 @@
 #[test]
 fn turns_at_silent_replicas_are_answered_by_others() {
     let silent = REPLICAS / 10;
-    let plain = replay(&mut engines(silent), false);
-    assert_eq!(plain.at_silent_late, plain.at_silent);
-    let moved = replay(&mut engines(silent), true);
+    let without_moves = replay(&mut engines(silent), false);
+    assert_eq!(without_moves.at_silent_late, without_moves.at_silent);
+    let with_moves = replay(&mut engines(silent), true);
     // Nine in ten waits at the second replica do not exceed the 90th percentile.
-    assert!(moved.at_silent_late * 10 <= moved.at_silent, "{moved:?}");
-    assert!(moved.late * 3 < plain.late, "{moved:?} {plain:?}");
-    assert!(moved.healthy_moved * 100 <= moved.healthy * 2, "{moved:?}");
+    assert!(
+        with_moves.at_silent_late * 10 <= with_moves.at_silent,
+        "{with_moves:?}"
+    );
+    assert!(
+        with_moves.late * 3 < without_moves.late,
+        "{with_moves:?} {without_moves:?}"
+    );
+    assert!(
+        with_moves.healthy_moved * 100 <= with_moves.healthy * 2,
+        "{with_moves:?}"
+    );
 }
 
 #[test]
--- a/crates/scheduling/tests/pool.rs
+++ b/crates/scheduling/tests/pool.rs
@@ -36,12 +36,12 @@
     pool.apply(&before.changes_to(&BackendList::new(backends)));
 }
 
-fn chosen(pool: &Pool, wish: &RoutingRequest<'_>, now: Timestamp) -> Option<String> {
-    pool.choose(wish, |_| true, now)
+fn chosen(pool: &Pool, request: &RoutingRequest<'_>, now: Timestamp) -> Option<String> {
+    pool.choose(request, |_| true, now)
         .map(|choice| choice.backend.id.0)
 }
 
-fn wish() -> RoutingRequest<'static> {
+fn request() -> RoutingRequest<'static> {
     RoutingRequest {
         service: SERVICE,
         ..RoutingRequest::default()
@@ -55,7 +55,7 @@
     let mut other = backend("b", "here");
     other.service = "tools".to_owned();
     let pool = pool(vec![leaving, other]);
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO), None);
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO), None);
     assert!(pool.usable(&id("a")).is_none());
     assert!(pool.lists(&id("a")));
 }
@@ -64,41 +64,41 @@
 fn a_tried_replica_is_not_chosen_again() {
     let pool = pool(vec![backend("a", "here"), backend("b", "there")]);
     let tried = [id("a")];
-    let wish = RoutingRequest {
+    let request = RoutingRequest {
         tried: &tried,
-        ..wish()
+        ..request()
     };
-    assert_eq!(chosen(&pool, &wish, Timestamp::ZERO).unwrap(), "b");
+    assert_eq!(chosen(&pool, &request, Timestamp::ZERO).unwrap(), "b");
 }
 
 #[test]
 fn near_replicas_are_preferred_until_they_are_busier() {
     let mut pool = pool(vec![backend("near", "here"), backend("far", "there")]);
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "near");
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO).unwrap(), "near");
     for _ in 0..3 {
         pool.begin(&id("near"));
     }
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "far");
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO).unwrap(), "far");
     for _ in 0..3 {
         pool.end(&id("near"));
     }
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "near");
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO).unwrap(), "near");
 }
 
 #[test]
 fn the_replica_with_the_prompt_is_chosen_unless_much_busier() {
     let mut pool = pool(vec![backend("cold", "here"), backend("warm", "there")]);
     let warm = id("warm");
-    let wish = RoutingRequest {
+    let request = RoutingRequest {
         cached_at: Some(&warm),
-        ..wish()
+        ..request()
     };
     pool.begin(&warm);
-    assert_eq!(chosen(&pool, &wish, Timestamp::ZERO).unwrap(), "warm");
+    assert_eq!(chosen(&pool, &request, Timestamp::ZERO).unwrap(), "warm");
     for _ in 0..8 {
         pool.begin(&warm);
     }
-    assert_eq!(chosen(&pool, &wish, Timestamp::ZERO).unwrap(), "cold");
+    assert_eq!(chosen(&pool, &request, Timestamp::ZERO).unwrap(), "cold");
 }
 
 #[test]
@@ -108,18 +108,18 @@
     let first = pool.failed(&id("a"), now).unwrap().since(now);
     let second = pool.failed(&id("a"), now).unwrap().since(now);
     assert!(second > first);
-    assert_eq!(chosen(&pool, &wish(), now).unwrap(), "b");
+    assert_eq!(chosen(&pool, &request(), now).unwrap(), "b");
     // After its ejection it is chosen again, at first only if the others have been tried.
     let later = now.plus(second);
     let tried = [id("b")];
     let alone = RoutingRequest {
         tried: &tried,
-        ..wish()
+        ..request()
     };
     assert_eq!(chosen(&pool, &alone, later).unwrap(), "a");
-    assert_eq!(chosen(&pool, &wish(), later).unwrap(), "b");
+    assert_eq!(chosen(&pool, &request(), later).unwrap(), "b");
     let much_later = now.plus(Duration::from_secs(60));
-    assert_eq!(chosen(&pool, &wish(), much_later).unwrap(), "a");
+    assert_eq!(chosen(&pool, &request(), much_later).unwrap(), "a");
     pool.succeeded(&id("a"), Duration::from_millis(10));
     let again = pool.failed(&id("a"), later).unwrap().since(later);
     assert_eq!(again, first);
@@ -132,7 +132,7 @@
     pool.failed(&id("a"), now);
     pool.failed(&id("a"), now);
     pool.failed(&id("b"), now);
-    assert_eq!(chosen(&pool, &wish(), now).unwrap(), "b");
+    assert_eq!(chosen(&pool, &request(), now).unwrap(), "b");
 }
 
 #[test]
@@ -144,7 +144,7 @@
     }
     let after = vec![backend("a", "here"), backend("c", "here")];
     apply_list(&mut pool, &BackendList::new(before), after);
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "c");
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO).unwrap(), "c");
     assert!(!pool.lists(&id("b")));
     // Requests at replicas that were removed end without an error.
     pool.end(&id("b"));
@@ -172,7 +172,7 @@
     let mut pool = pool(vec![backend("grey", "here"), backend("sound", "there")]);
     let now = Timestamp::from_millis(100_000);
     assert_eq!(
-        chosen(&pool, &wish(), now).unwrap(),
+        chosen(&pool, &request(), now).unwrap(),
         "grey",
         "the replica is nearer"
     );
@@ -181,9 +181,9 @@
         pool.succeeded(&id("grey"), Duration::from_millis(10));
     }
     // A success ends an ejection, but does not erase the recorded failures.
-    assert_eq!(chosen(&pool, &wish(), now).unwrap(), "sound");
+    assert_eq!(chosen(&pool, &request(), now).unwrap(), "sound");
     let later = now.plus(Duration::from_secs(60));
-    assert_eq!(chosen(&pool, &wish(), later).unwrap(), "grey");
+    assert_eq!(chosen(&pool, &request(), later).unwrap(), "grey");
 }
 
 #[test]
@@ -197,8 +197,8 @@
         pool.note_connected(&id(connected));
     }
     let chosen = |pool: &Pool, connected: &str, draw| {
-        let wish = RoutingRequest { draw, ..wish() };
-        pool.choose(&wish, |id| id.0 == connected, Timestamp::ZERO)
+        let request = RoutingRequest { draw, ..request() };
+        pool.choose(&request, |id| id.0 == connected, Timestamp::ZERO)
             .map(|choice| choice.backend.id.0)
             .unwrap()
     };
@@ -364,12 +364,13 @@
         }
         let connection_checks = Cell::new(0);
         for draw in 0..50 {
-            let wish = RoutingRequest { draw, ..wish() };
+            let request = RoutingRequest { draw, ..request() };
             let is_connected = |_: &BackendId| {
                 connection_checks.set(connection_checks.get() + 1);
                 false
             };
-            pool.choose(&wish, is_connected, Timestamp::ZERO).unwrap();
+            pool.choose(&request, is_connected, Timestamp::ZERO)
+                .unwrap();
         }
         assert!(
             connection_checks.get() <= 50 * 66,
@@ -458,12 +459,12 @@
         .map(|home| home.0)
         .collect();
     for draw in 0..(set.len() as u64 + 5) {
-        let wish = RoutingRequest {
+        let request = RoutingRequest {
             tried: &tried,
             draw,
-            ..wish()
+            ..request()
         };
-        let chosen = chosen(&pool, &wish, Timestamp::ZERO).unwrap();
+        let chosen = chosen(&pool, &request, Timestamp::ZERO).unwrap();
         assert_eq!(set.contains(&chosen), tried.len() < set.len());
         assert!(chosen.starts_with("here"));
         tried.push(id(&chosen));
--- a/crates/scheduling/tests/shares.rs
+++ b/crates/scheduling/tests/shares.rs
@@ -17,28 +17,28 @@
 /// Load, relative to the normal one, at which the engines are almost fully used.
 const NEARLY_FULL_FACTOR: f64 = 2.0;
 
-/// Load of many tenants, one of which sends `factor` its normal load for some time.
+/// Load of many tenants, one of which sends `factor` times its normal load for some time.
 fn workload(factor: f64, seed: u64) -> Vec<ProgramRequest> {
     let (drafts, digests) = (17.5 * NEARLY_FULL_FACTOR, 9.5 * NEARLY_FULL_FACTOR);
-    let mut usual = merge(vec![
+    let mut normal = merge(vec![
         arrivals(&DRAFT, drafts, 0, RUN_MS, seed),
         arrivals(&DIGEST, digests, 0, RUN_MS, seed + 1),
     ]);
-    for (position, requested) in usual.iter_mut().enumerate() {
+    for (position, requested) in normal.iter_mut().enumerate() {
         requested.tenant = Some(position * 31 % TENANTS);
     }
     let more = (factor - 1.0) / TENANTS as f64;
-    let mut hot = Vec::new();
+    let mut hot_tenant = Vec::new();
     if more > 0.0 {
-        hot = merge(vec![
+        hot_tenant = merge(vec![
             arrivals(&DRAFT, drafts * more, HOT_FROM_MS, HOT_TO_MS, seed + 2),
             arrivals(&DIGEST, digests * more, HOT_FROM_MS, HOT_TO_MS, seed + 3),
         ]);
     }
-    for requested in &mut hot {
+    for requested in &mut hot_tenant {
         requested.tenant = Some(HOT);
     }
-    merge(vec![usual, hot])
+    merge(vec![normal, hot_tenant])
 }
 
 fn is_other(requested: &ProgramRequest) -> bool {
@@ -60,16 +60,22 @@
 
 #[test]
 fn a_tenant_at_twelve_times_its_load_does_not_harm_others() {
-    let quiet = served(Policy::FairShares, 1.0);
-    let loud = served(Policy::FairShares, 12.0);
-    assert!(loud >= quiet - 0.02, "{loud} of {quiet}");
+    let normal_load = served(Policy::FairShares, 1.0);
+    let high_load = served(Policy::FairShares, 12.0);
+    assert!(
+        high_load >= normal_load - 0.02,
+        "{high_load} of {normal_load}"
+    );
 }
 
 #[test]
 fn without_fair_shares_other_tenants_lose() {
-    let quiet = served(Policy::WorkingSet, 1.0);
-    let loud = served(Policy::WorkingSet, 12.0);
-    assert!(loud < quiet - 0.02, "{loud} of {quiet}");
+    let normal_load = served(Policy::WorkingSet, 1.0);
+    let high_load = served(Policy::WorkingSet, 12.0);
+    assert!(
+        high_load < normal_load - 0.02,
+        "{high_load} of {normal_load}"
+    );
 }
 
 #[test]
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -190,14 +190,14 @@
             }
         };
         let cached = id(prompt_holder);
-        let wish = RoutingRequest {
+        let request = RoutingRequest {
             service: "llm",
             cached_at: Some(&cached),
             draw,
             work: Some(work),
             tried: &[],
         };
-        let chosen = pool.choose(&wish, |_| true, at(now_ms)).unwrap().backend;
+        let chosen = pool.choose(&request, |_| true, at(now_ms)).unwrap().backend;
         pool.begin(&chosen.id);
         let engine = engine_number(&chosen);
         self.stats.started += 1;
