--- a/crates/gateway-server/src/move_watch.rs
+++ b/crates/gateway-server/src/move_watch.rs
@@ -258,8 +258,8 @@
         }
         AwaitedEvent::NextEvent {
             longest: self.longest_pause,
-            usual: waits.p90_pause(self.gateway.now()),
-            bearable: inbound.route.target_event_gap(),
+            p90_pause: waits.p90_pause(self.gateway.now()),
+            target_gap: inbound.route.target_event_gap(),
         }
     }
 
--- a/crates/scheduling/src/moves.rs
+++ b/crates/scheduling/src/moves.rs
@@ -119,9 +119,9 @@
         /// Longest earlier pause of the stream.
         longest: Duration,
         /// 90th percentile of the route's pauses, once known.
-        usual: Option<Duration>,
+        p90_pause: Option<Duration>,
         /// Longest pause with which an answer is in time, if the route names it.
-        bearable: Option<Duration>,
+        target_gap: Option<Duration>,
     },
 }
 
@@ -230,12 +230,12 @@
         }
         AwaitedEvent::NextEvent {
             longest,
-            usual: pause,
-            bearable,
+            p90_pause,
+            target_gap,
         } => longest
-            .max(pause.unwrap_or_default())
+            .max(p90_pause.unwrap_or_default())
             .mul_f64(PAUSE_OUTLIER_FACTOR)
-            .max(bearable.unwrap_or(p90))
+            .max(target_gap.unwrap_or(p90))
             .max(restart_time)
             .max(MIN_OUTLIER_WAIT),
     }
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -267,11 +267,11 @@
 
 #[test]
 fn an_urgent_program_moves_sooner_but_not_at_once() {
-    let usual = WaitQuantiles {
+    let quantiles = WaitQuantiles {
         median: TARGET_LATENCY / 2,
         p90: TARGET_LATENCY,
     };
-    let mut waiting = waiting(usual);
+    let mut waiting = waiting(quantiles);
     let relaxed = move_time(&waiting).unwrap();
     let mut within = |program_ms| {
         waiting.awaited = AwaitedEvent::FirstEvent {
@@ -287,13 +287,13 @@
 
 #[test]
 fn a_stream_moves_after_a_pause_far_longer_than_before() {
-    let moves_after = |longest_ms, bearable_ms| {
+    let moves_after = |longest_ms, target_gap_ms| {
         let mut waiting = waiting(WaitQuantiles::expected(TARGET_LATENCY));
         waiting.restart.tokens = 0;
         waiting.awaited = AwaitedEvent::NextEvent {
             longest: Duration::from_millis(longest_ms),
-            usual: Some(Duration::from_millis(30)),
-            bearable: Some(Duration::from_millis(bearable_ms)),
+            p90_pause: Some(Duration::from_millis(30)),
+            target_gap: Some(Duration::from_millis(target_gap_ms)),
         };
         move_time(&waiting).unwrap()
     };
@@ -304,18 +304,18 @@
 
 #[test]
 fn a_few_long_waits_do_not_shift_the_quantile() {
-    let mut usual = WaitHistogram::default();
+    let mut histogram = WaitHistogram::default();
     let now = Timestamp::from_micros(1_000_000);
     for number in 0..100 {
         let ms = if number % 6 == 0 { 6_000 } else { 100 };
-        usual.note(Duration::from_millis(ms), now);
+        histogram.note(Duration::from_millis(ms), now);
     }
-    let learned = usual.quantile(0.8, now).unwrap();
+    let learned = histogram.quantile(0.8, now).unwrap();
     let expected = Duration::from_millis(100)..Duration::from_millis(125);
     assert!(expected.contains(&learned), "{learned:?}");
     let much_later = now.plus(Duration::from_secs(60));
     assert_eq!(
-        usual.quantile(0.8, much_later),
+        histogram.quantile(0.8, much_later),
         None,
         "old waits have decayed"
     );
@@ -370,8 +370,8 @@
         is_first: bool,
         program in proptest::option::of(0_u64..20_000),
         longest in 0_u64..5_000,
-        usual in proptest::option::of(0_u64..5_000),
-        bearable in proptest::option::of(0_u64..5_000),
+        p90_pause in proptest::option::of(0_u64..5_000),
+        target_gap in proptest::option::of(0_u64..5_000),
     ) -> AwaitedEvent {
         let ms = Duration::from_millis;
         if is_first {
@@ -379,8 +379,8 @@
         } else {
             AwaitedEvent::NextEvent {
                 longest: ms(longest),
-                usual: usual.map(ms),
-                bearable: bearable.map(ms),
+                p90_pause: p90_pause.map(ms),
+                target_gap: target_gap.map(ms),
             }
         }
     }
