--- a/crates/scheduling/tests/held_bytes.rs
+++ b/crates/scheduling/tests/held_bytes.rs
@@ -189,8 +189,8 @@
                 },
             }
             let sum = |of: Option<u64>| -> u64 {
-                let meant = known.iter().filter(|(_, number)| of.is_none_or(|of| of == *number));
-                meant.filter_map(|(holder, _)| held.of_holder(*holder)).sum()
+                let matching = known.iter().filter(|(_, number)| of.is_none_or(|of| of == *number));
+                matching.filter_map(|(holder, _)| held.of_holder(*holder)).sum()
             };
             prop_assert_eq!(held.total(), sum(None));
             prop_assert!(held.total() <= SMALL_LIMIT);
