--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -105,8 +105,8 @@
 impl FleetDemand {
     /// Estimates the demand of all `gateways` from the local demand and the requests of the zone.
     /// Without a fresh sum of the zone, the local demand is scaled by the number of gateways after
-    /// its statistical error is subtracted, because no program may be refused by mistake. `average`
-    /// is the average of `local`.
+    /// its statistical error is subtracted, because avoiding wrong refusals takes precedence.
+    /// `average` is the average of `local`.
     #[must_use]
     pub fn estimate(
         local: LocalDemand,
--- a/crates/scheduling/src/held_bytes.rs
+++ b/crates/scheduling/src/held_bytes.rs
@@ -67,7 +67,7 @@
 struct Holder {
     tenant: Option<TenantName>,
     bytes: u64,
-    /// True if the holder can be cut, because no replica may run its request unobserved.
+    /// False while a replica may run the request unobserved.
     can_be_cut: bool,
 }
 
--- a/crates/scheduling/src/load_view.rs
+++ b/crates/scheduling/src/load_view.rs
@@ -12,7 +12,7 @@
 pub const VIEW_STALE_AFTER: Duration = Duration::from_secs(2);
 
 /// Time constant of the average requests at a replica: the half-life of the pauses between events
-/// and the delay of the view.
+/// plus the delay of the view.
 const AVERAGING_TIME_CONSTANT: Duration = Duration::from_millis(700);
 
 /// Statistics of a replica and their age.
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -45,8 +45,8 @@
 }
 
 /// Chooses the candidate with the earliest expected finish among those that are less full than
-/// `open_below` or not much fuller than the least full one. `seconds` has an entry for each
-/// candidate, in the order of `fullness`. Everything else is as with [`place`]. Fullness also
+/// `open_below` or not much fuller than the least full one. `seconds` has the expected finish of
+/// each candidate, in the order of `fullness`. Everything else is as with [`place`]. Fullness also
 /// covers the memory, which the expected time does not.
 #[must_use]
 pub fn place_soonest(
--- a/crates/scheduling/src/pool/by_finish.rs
+++ b/crates/scheduling/src/pool/by_finish.rs
@@ -57,8 +57,7 @@
 /// Half-life of the failures in a view after it was taken.
 const VIEW_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// Divisor of the number of a zone's replicas that gives the number for programs with the same
-/// shared part.
+/// One in this many home candidates is used for the programs with the same shared part.
 const SHARED_PART_DIVISOR: usize = 2;
 
 /// Minimum number of replicas for a shared part: one may be slow and one gone.
@@ -309,9 +308,11 @@
         }
     }
 
-    /// Returns the replicas at which a program whose prompt starts with a shared part may start:
-    /// those that read such prompts, unless others are expected to finish sooner although they must
-    /// read the part. The replicas for a part are the same at all gateways of a zone.
+    /// Returns the best `count` replicas at which a program may start. If its prompt starts with a
+    /// shared part, `count` of the replicas that read such prompts are compared with `count`
+    /// others, which must read the part first. Replicas with capacity precede others; within both
+    /// groups, the earlier expected finish precedes. The replicas for a part are the same at all
+    /// gateways of a zone.
     #[must_use]
     pub fn candidates_by_finish(
         &self,
--- a/crates/scheduling/src/pool/mod.rs
+++ b/crates/scheduling/src/pool/mod.rs
@@ -47,7 +47,7 @@
     pub cached_at: Option<&'request BackendId>,
     /// Replicas that have been tried.
     pub tried: &'request [BackendId],
-    /// Random number that breaks ties; differs between requests.
+    /// Random number of the request, which breaks ties and selects among replicas of similar cost.
     pub draw: u64,
     /// Work for a model engine, if known.
     pub work: Option<Work>,
@@ -333,8 +333,9 @@
     }
 
     /// Returns the replicas at which a program may start, the same at all gateways of a zone with
-    /// the same list: its home and the next ones in rank, or those of the other sets. Replicas that
-    /// failed lately are skipped while others are left.
+    /// the same list. For [`CandidateScope::Home`] these are its home and the next ones in rank,
+    /// otherwise the first ones in rank of the scope. Replicas that failed recently are skipped
+    /// while others are left.
     #[must_use]
     pub fn candidates(
         &self,
@@ -473,7 +474,8 @@
     xxhash_rust::xxh3::xxh3_64_with_seed(id.0.as_bytes(), program)
 }
 
-/// Returns a cost that is less than any other difference in cost and different for each request.
+/// Returns a cost below 0.04 that differs between requests: less than the cost of another zone or
+/// of a new connection, and than one request at a replica with up to 25 slots.
 fn tie_breaker(id: &BackendId, draw: u64) -> f64 {
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(id.0.as_bytes(), draw);
     // The upper half of the hash times 2^-32, scaled below one request's share of a replica.
--- a/crates/scheduling/src/program_table.rs
+++ b/crates/scheduling/src/program_table.rs
@@ -1,8 +1,8 @@
 //! Programs running at this gateway, and the memory that they need until they end.
 //!
 //! Programs that pause for their tools are in no engine's report, but need their cached prompts
-//! again within moments. Reading a prompt again costs about ten times as much if it was evicted for
-//! programs that started meanwhile.
+//! again within moments. A prompt that was evicted for programs that started meanwhile must be read
+//! again, which costs about ten times as much as using the cached one.
 
 use crate::route_profile::RouteProfile;
 use luglink_edge::{Configuration, Route};
--- a/crates/scheduling/src/shares.rs
+++ b/crates/scheduling/src/shares.rs
@@ -14,7 +14,8 @@
 /// tenants.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(30);
 
-/// Maximum number of tracked tenants. Beyond it, those with the smallest demands are removed.
+/// Maximum number of tracked tenants. At the maximum, the half with the smallest demands is
+/// removed.
 const MAX_TENANTS: usize = 1_024;
 
 /// Demand of one party.
--- a/crates/scheduling/src/zone_trend.rs
+++ b/crates/scheduling/src/zone_trend.rs
@@ -14,7 +14,7 @@
 /// count as a burst.
 const SLOPE_WEIGHT: f64 = 0.4;
 
-/// Time between two sums from which nothing is known of the time between them.
+/// Time between two sums from which they give no trend, and maximum lag that is extrapolated.
 const MAX_GAP: Duration = Duration::from_secs(2);
 
 /// Minimum time between two sums for a slope.
