--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -236,12 +236,12 @@
         let priority = new_program.route.priority;
         self.last_seen.insert(priority, now);
         let limit = self.utilization_limit(priority, now);
-        let memory = fullness(
+        let memory = utilization(
             demand.peak_tokens,
             new_program.prompt_tokens as f64,
             capacity.tokens,
         );
-        let slots = fullness(demand.requests_in_flight, 1.0, capacity.slots);
+        let slots = utilization(demand.requests_in_flight, 1.0, capacity.slots);
         let fullness = memory.max(slots) / limit;
         let share = admitted_share(fullness);
         let tenant_share = self.tenant_share(new_program, fullness, fair_shares, now);
@@ -359,7 +359,7 @@
 
 /// Returns the utilization with the new program included, or 0 if the capacity is unknown, which
 /// leaves the decision to other checks.
-fn fullness(in_flight: f64, added: f64, capacity: f64) -> f64 {
+fn utilization(in_flight: f64, added: f64, capacity: f64) -> f64 {
     if capacity <= 0.0 {
         return 0.0;
     }
--- a/crates/scheduling/src/finish.rs
+++ b/crates/scheduling/src/finish.rs
@@ -1,17 +1,17 @@
 //! Expected finish of a request at a replica.
 //!
-//! Replicas differ in speed and turn slow or silent for a while. Counted in requests, a slow
+//! Replicas differ in speed and may turn slow or stall for a while. Counted in requests, a slow
 //! replica looks like any other, and a program that stays there for its cached prompt ends late.
-//! Counted in time, the cached prompt is worth the time to read it again, and a slow replica costs
+//! Counted in time, the cached prompt saves the time to read it again, and a slow replica costs
 //! the additional time of its events.
 
 use std::time::Duration;
 
-/// Prompt tokens that an engine reads in the time of one step.
+/// Prompt tokens that an engine reads in the time of one step, which generates one token.
 pub(crate) const TOKENS_READ_PER_STEP: f64 = 250.0;
 
-/// Relative increase of the step time from a lone request to a full batch. It only scales load that
-/// changed since the pause between events was measured.
+/// Relative increase of the step time from a lone request to a full batch. It only matters for load
+/// that changed since the pause between events was measured.
 const BATCH_SLOWDOWN: f64 = 1.0;
 
 /// Time that a failed or unanswered send costs its program: until the failure is detected and the
@@ -63,7 +63,7 @@
     pub measured_at_requests: f64,
     /// Pause between two events of a stream, in seconds.
     pub pause_seconds: f64,
-    /// Ratio of sends that fail or stay silent, from 0 to 1.
+    /// Ratio of sends that fail or are not answered, from 0 to 1.
     pub failure_ratio: f64,
     /// True if the replica is in the gateway's zone.
     pub is_near: bool,
--- a/crates/scheduling/src/held_bytes.rs
+++ b/crates/scheduling/src/held_bytes.rs
@@ -2,10 +2,10 @@
 //!
 //! Callers that stop reading their answers and replicas that stop reading requests leave data in
 //! the memory of this process; a few hundred of them exceed the memory of a small machine. Below
-//! the limits nothing is refused or cut, since callers that read need no protection. At a limit,
-//! one holder is given up so that all others are served. A request that has not started is refused
-//! while it is certain that it did not run. Of the running ones, the newest of the large holders is
-//! cut first, which frees the most memory for the least lost work.
+//! the limits nothing is refused or cut, since callers that read cause no such growth. At a limit,
+//! one holder is refused or cut so that all others are served. A request that has not started is
+//! refused while it is certain that it did not run. Of the running ones, the newest of the large
+//! holders is cut first, which frees the most memory for the least lost work.
 //!
 //! A tenant may hold at most half of the limit of the process, so that a tenant whose callers all
 //! stop reading leaves room for others.
--- a/crates/scheduling/src/load_shedding.rs
+++ b/crates/scheduling/src/load_shedding.rs
@@ -2,10 +2,11 @@
 //!
 //! Only complete programs are useful. If engines get more work than they can do, all programs delay
 //! each other, and most end late or not at all after much work was spent on them. Some of the new
-//! programs are therefore refused before any work, and the admitted ones are left alone. Each route
-//! is judged separately: engines serve the more urgent ones first, so the less urgent ones are late
-//! first. A program's draw depends on its name. A refused program stays refused on each attempt and
-//! at each gateway until the load has fallen, so that frequent retries give no advantage.
+//! programs are therefore refused before any work, and the admitted ones are not affected. Each
+//! route is judged separately: engines serve the more urgent ones first, so the less urgent ones
+//! are late first. A program's draw depends on its name. A refused program stays refused on each
+//! attempt and at each gateway until the load has fallen, so that frequent retries give no
+//! advantage.
 //!
 //! Each gateway decides by the delays that it observes itself; nothing is exchanged.
 
@@ -123,8 +124,8 @@
 }
 
 impl RouteLoad {
-    /// Adjusts the admitted share by the latest delays, at most once per call, so that a long
-    /// silence does not count as many late intervals.
+    /// Adjusts the admitted share by the latest delays, at most once per call, so that a long time
+    /// without requests does not count as many late intervals.
     fn adjust(&mut self, now: Timestamp) {
         if now.since(self.adjusted_at) < ADJUST_INTERVAL {
             return;
--- a/crates/scheduling/src/load_view.rs
+++ b/crates/scheduling/src/load_view.rs
@@ -1,7 +1,7 @@
 //! Load of the replicas as observed by all gateways of the zone.
 //!
-//! Replicas may turn slow or silent for seconds, while each single gateway has too few answers of
-//! each to notice.
+//! Replicas may turn slow or stall for seconds, while a single gateway gets too few answers from
+//! each of them to detect it.
 
 use luglink_fleet::{BackendId, ReplicaKey, ReplicaStats, StatsReport};
 use luglink_types::Timestamp;
@@ -73,7 +73,7 @@
         now.since(self.taken_at)
     }
 
-    /// Returns the statistics of a replica, or `None` if no gateway used it lately or the view is
+    /// Returns the statistics of a replica, or `None` if no gateway used it recently or the view is
     /// stale.
     #[must_use]
     pub fn stats(&self, id: &BackendId, now: Timestamp) -> Option<AgedStats> {
--- a/crates/scheduling/src/moves.rs
+++ b/crates/scheduling/src/moves.rs
@@ -1,7 +1,7 @@
 //! Decision on whether a waiting request stays at its replica or restarts at another one.
 //!
-//! Some replicas keep requests silent for seconds, or serve them several times more slowly than
-//! most others. A program has many turns in sequence, and one that waits until its caller gives up
+//! Some replicas stall requests for seconds, or serve them several times more slowly than most
+//! others. A program has many turns in sequence, and one that waits until its caller gives up
 //! makes the whole program late. A turn therefore leaves its replica while another one still has
 //! time to answer it.
 //!
@@ -187,7 +187,7 @@
 /// Interval between two searches for another replica.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Decides on a waiting request.
+/// Decides whether a waiting request moves, waits on, or stays at its replica until the end.
 #[must_use]
 pub fn decide_move(waiting: &Waiting) -> MoveDecision {
     let reruns = &waiting.reruns;
--- a/crates/scheduling/src/pool/by_finish.rs
+++ b/crates/scheduling/src/pool/by_finish.rs
@@ -20,12 +20,12 @@
 
 /// Multiple of another replica's cost up to which a turn stays at the replica that holds its
 /// prompt. Reading the prompt elsewhere also delays the requests that run there, and makes others
-/// leave in turn. A replica that has turned slow or silent exceeds this within a second.
+/// leave in turn. A replica that has turned slow or stalls exceeds this within a second.
 const STAY_COST_FACTOR: f64 = 2.0;
 
 /// Multiple of the median cost from which the replica that holds a turn's prompt is an outlier.
-/// Under overload all are slow, and turns that moved would have their prompts read again by engines
-/// that have no time for it.
+/// Under overload all replicas are slow, and prompts of turns that moved would be read again by
+/// engines that have no time for it.
 const OUTLIER_FACTOR: f64 = 3.0;
 
 /// Maximum load of a replica, relative to its share of the requests by speed, for it to get new
@@ -60,7 +60,7 @@
 /// One in this many home candidates is used for the programs with the same shared part.
 const SHARED_PART_DIVISOR: usize = 2;
 
-/// Minimum number of replicas for a shared part: one may be slow and one gone.
+/// Minimum number of replicas for a shared part: one may be slow and another one unavailable.
 const MIN_PART_HOMES: usize = 3;
 
 /// Turn that moves although the replica holding its prompt may serve it.
@@ -89,7 +89,7 @@
     /// Requests there now; `None` if only this gateway's are known.
     requests: Option<f64>,
     /// Requests there while the pause was measured.
-    measured_at: f64,
+    measured_at_requests: f64,
     /// Pause between events, in seconds.
     pause: Option<f64>,
     failure_ratio: f64,
@@ -118,7 +118,7 @@
     }
 
     /// Returns true if replicas are chosen by expected finish now. Without a fresh view, a gateway
-    /// of a fleet takes nearly all replicas for typical ones, and the choice by load knows more.
+    /// of a fleet assumes typical values for nearly all replicas, and the choice by load is better.
     #[must_use]
     pub fn uses_expected_finish(&self, now: Timestamp) -> bool {
         self.expected_finish_enabled && self.view.is_fresh(now)
@@ -223,11 +223,11 @@
         let rated = candidates.into_iter().zip(states);
         rated
             .map(|(candidate, state)| {
-                let fair_share = (requests + 1.0) * self::speed(&state) / speed;
+                let speed_share = (requests + 1.0) * self::speed(&state) / speed;
                 let free = (FREE_SLOT_RATIO * f64::from(state.slots)).max(1.0);
                 // A moment without requests, while programs call their tools, is not free capacity.
                 let load = state.requests.max(state.measured_at_requests);
-                let max_load = (MAX_LOAD_FACTOR * fair_share).max(free);
+                let max_load = (MAX_LOAD_FACTOR * speed_share).max(free);
                 RatedCandidate {
                     candidate,
                     expected: expect(work, &state),
@@ -250,7 +250,7 @@
             let is_idle = is_near && self.view.is_fresh(now);
             return ReplicaEstimate {
                 requests: is_idle.then_some(own_in_flight),
-                measured_at: own_in_flight,
+                measured_at_requests: own_in_flight,
                 pause: own_pause,
                 failure_ratio: own_failure_ratio,
             };
@@ -273,7 +273,7 @@
         };
         ReplicaEstimate {
             requests: is_near.then_some(requests),
-            measured_at: self.view.average_requests(&backend.id).unwrap_or(requests),
+            measured_at_requests: self.view.average_requests(&backend.id).unwrap_or(requests),
             pause: pause.or(own_pause),
             failure_ratio: own_failure_ratio.max(weight * share),
         }
@@ -293,14 +293,14 @@
         let requests = estimate
             .requests
             .unwrap_or_else(|| own.max(typical.requests));
-        let (pause, measured_at) = match estimate.pause {
-            Some(pause) => (pause, estimate.measured_at),
+        let (pause, measured_at_requests) = match estimate.pause {
+            Some(pause) => (pause, estimate.measured_at_requests),
             None => (typical.solo_pause, 0.0),
         };
         ReplicaState {
             slots: backend.slots,
             requests,
-            measured_at_requests: measured_at,
+            measured_at_requests,
             pause_seconds: pause,
             failure_ratio: estimate.failure_ratio,
             is_near: backend.zone == self.zone,
@@ -423,7 +423,7 @@
 fn typical(candidates: &[Candidate<'_>], estimates: &[ReplicaEstimate]) -> TypicalReplica {
     let both = || candidates.iter().zip(estimates);
     let solo_pause = |(candidate, estimate): (&Candidate<'_>, &ReplicaEstimate)| {
-        let factor = batch_factor(estimate.measured_at, candidate.backend.slots);
+        let factor = batch_factor(estimate.measured_at_requests, candidate.backend.slots);
         estimate.pause.map(|pause| pause / factor)
     };
     TypicalReplica {
--- a/crates/scheduling/src/pool/held_parts.rs
+++ b/crates/scheduling/src/pool/held_parts.rs
@@ -1,4 +1,4 @@
-//! Shared parts of prompts that a replica has read lately.
+//! Shared parts of prompts that a replica has read recently.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 /// Maximum number of parts that are remembered for one replica.
 const MAX_PARTS: usize = 16;
 
-/// Shared parts of prompts that a replica has read lately.
+/// Shared parts of prompts that a replica has read recently.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldParts(Vec<(u64, Timestamp)>);
 
--- a/crates/scheduling/src/pool/index.rs
+++ b/crates/scheduling/src/pool/index.rs
@@ -12,9 +12,9 @@
 /// get those of the others.
 const MIN_REPLICAS_PER_ZONE: usize = 8;
 
-/// Maximum number of a service's replicas that a gateway remembers, apart from those that have its
-/// requests. Each choice compares all of these, and a gateway of a large fleet would
-/// eventually have used every replica.
+/// Maximum number of a service's replicas that a gateway remembers as used, apart from those that
+/// have its requests. Each choice compares all of these, and without a limit a gateway of a large
+/// fleet would eventually compare every replica.
 const MAX_USED_REPLICAS: usize = 64;
 
 /// Replicas of one service in one zone.
@@ -150,7 +150,7 @@
     }
 
     /// Returns replicas that this gateway has not used: one of its zone, or one of each other zone
-    /// if its own has none. The gateway knows no difference between them, so that any one will do.
+    /// if its own has none. The gateway has no data to prefer one of them, so one is enough.
     pub(super) fn draw_unused<'index>(
         &'index self,
         zone: &str,
--- a/crates/scheduling/src/pool/mod.rs
+++ b/crates/scheduling/src/pool/mod.rs
@@ -1,7 +1,7 @@
 //! Choice of the replica that serves a request.
 //!
-//! A request costs the same with ten replicas as with ten thousand: it compares the few replicas
-//! that this gateway has used lately and one drawn from the unused ones, which are all alike to it.
+//! A choice costs the same with ten replicas as with ten thousand: it compares the few replicas
+//! that this gateway has used recently and one drawn from the unused ones, of which it has no data.
 //! A program's home is part of its zone's working set, which has as many of the zone's replicas as
 //! the load needs and is the same at all gateways.
 
@@ -38,10 +38,10 @@
 /// Load, in shares of the slots, that is added for a replica that always fails.
 const FAILURE_COST: f64 = 3.0;
 
-/// Request for a replica.
+/// Properties of a request that the choice of a replica depends on.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingRequest<'request> {
-    /// Service.
+    /// Name of the service.
     pub service: &'request str,
     /// Replica that served the previous turn and still holds its prompt.
     pub cached_at: Option<&'request BackendId>,
@@ -73,10 +73,10 @@
     pub zones: usize,
 }
 
-/// Chosen replica.
+/// Result of the choice of a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The replica.
+    /// Chosen replica.
     pub backend: Backend,
     /// Requests of this gateway at the replica.
     pub in_flight: u32,
@@ -188,7 +188,7 @@
         restarted.map(|backend| backend.id.clone()).collect()
     }
 
-    /// Returns the listed replica with an identifier, if it may get work.
+    /// Returns the listed replica with this identifier, if it may get work.
     #[must_use]
     pub fn usable(&self, id: &BackendId) -> Option<&Backend> {
         self.backends.get(id).filter(|backend| !backend.draining)
@@ -202,8 +202,8 @@
     }
 
     /// Chooses a replica, or returns `None` if no replica of the service may get the request.
-    /// Replicas that failed lately are chosen only if no other is left. `is_connected` returns true
-    /// for a replica with an idle connection.
+    /// Ejected replicas are chosen only if no other is left. `is_connected` returns true for a
+    /// replica with an idle connection.
     #[must_use]
     pub fn choose(
         &self,
@@ -334,8 +334,8 @@
 
     /// Returns the replicas at which a program may start, the same at all gateways of a zone with
     /// the same list. For [`CandidateScope::Home`] these are its home and the next ones in rank,
-    /// otherwise the first ones in rank of the scope. Replicas that failed recently are skipped
-    /// while others are left.
+    /// otherwise the first ones in rank of the scope. Ejected replicas are skipped while others
+    /// are left.
     #[must_use]
     pub fn candidates(
         &self,
@@ -457,7 +457,7 @@
     /// Records that a replica answered a request with a failure, or keeps one for much too long.
     pub fn troubled(&mut self, id: &BackendId, now: Timestamp) {
         if let Some(record) = self.record(id) {
-            record.troubled(now);
+            record.note_failure(now);
         }
     }
 
--- a/crates/scheduling/src/pool/record.rs
+++ b/crates/scheduling/src/pool/record.rs
@@ -43,8 +43,8 @@
     pub(super) in_flight: u32,
     consecutive_failures: u32,
     pub(super) ejected_until: Timestamp,
-    /// Recent ratio of failures, as of `failed_at`. Unlike an ejection, it also tells a replica
-    /// that fails occasionally from one that does not.
+    /// Recent ratio of failures, as of `failed_at`. Unlike an ejection, it also distinguishes a
+    /// replica that fails occasionally from one that does not.
     failure_ratio: f64,
     failed_at: Timestamp,
     /// Average time to the first sign of an answer, in milliseconds; 0 before the first sample.
@@ -98,7 +98,7 @@
     }
 
     /// Returns the statistics for the other gateways of the zone, or `None` if the replica was not
-    /// used in the last moments.
+    /// used recently.
     pub(super) fn stats(&self, replica: ReplicaKey, now: Timestamp) -> Option<ReplicaStats> {
         let samples = self.steps.weight_at(now);
         let recent_failures = self.recent_failures_at(now);
@@ -138,7 +138,7 @@
     }
 
     /// Records a failure without an ejection.
-    pub(super) fn troubled(&mut self, now: Timestamp) {
+    pub(super) fn note_failure(&mut self, now: Timestamp) {
         let before = self.failure_ratio_at(now);
         self.recent_failures = self.recent_failures_at(now) + 1.0;
         self.failure_ratio = before + FAILURE_WEIGHT * (1.0 - before);
@@ -147,11 +147,11 @@
 
     /// Records a failure and ejects the replica. Returns the end of the ejection.
     pub(super) fn failed(&mut self, now: Timestamp) -> Timestamp {
-        self.troubled(now);
+        self.note_failure(now);
         let doublings = self.consecutive_failures.min(8);
         self.consecutive_failures += 1;
-        let pause = (MIN_EJECTION_TIME * 2_u32.pow(doublings)).min(MAX_EJECTION_TIME);
-        self.ejected_until = now.plus(pause);
+        let ejection_time = (MIN_EJECTION_TIME * 2_u32.pow(doublings)).min(MAX_EJECTION_TIME);
+        self.ejected_until = now.plus(ejection_time);
         self.ejected_until
     }
 }
--- a/crates/scheduling/src/pool/step_mean.rs
+++ b/crates/scheduling/src/pool/step_mean.rs
@@ -7,7 +7,7 @@
 /// samples, and must stand out within a second.
 const HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Maximum pause that is counted: one long silence must not outweigh everything after it.
+/// Maximum pause that is counted: one long pause must not outweigh everything after it.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// Mean pause between recent events.
--- a/crates/scheduling/src/pool/working_set.rs
+++ b/crates/scheduling/src/pool/working_set.rs
@@ -1,18 +1,18 @@
 //! Number of a zone's replicas of a service that get work.
 //!
-//! A fleet may be used to one or two percent. With the load spread over all of it, every program
-//! would start at a replica that has never read the parts that all prompts share, and every request
-//! would need a connection of its own. Programs therefore start at, and requests go to, only as
-//! many replicas as the load needs, with spare capacity, and the same ones at all gateways of the
-//! zone.
+//! The utilization of a fleet may be one or two percent. With the load spread over all of it, every
+//! program would start at a replica that has never read the parts that all prompts share, and every
+//! request would need a connection of its own. Programs therefore start at, and requests go to,
+//! only as many replicas as the load needs, with spare capacity. The replicas are the same at all
+//! gateways of the zone.
 
 use luglink_fleet::DecayingPeak;
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Slots that are provided for each request in flight. Sub-agents start together, and a batch grows
-/// slower with each request in it. A replica that is a quarter full takes five of them and still
-/// reads prompts.
+/// Slots that are provided for each request in flight. Sub-agents start together, and each request
+/// slows its batch down. A replica that is a quarter full can take five of them and still read
+/// prompts.
 const SLOTS_PER_REQUEST: f64 = 4.0;
 
 /// Minimum number of replicas that get work: the loss of some, or a burst before the gateways have
@@ -38,7 +38,7 @@
         self.0.follow(need, HALF_LIFE, now);
     }
 
-    /// Grows at once.
+    /// Grows the set by the growth factor.
     pub(super) fn grow(&mut self) {
         self.0.grow_to(self.size() as f64 * GROWTH_FACTOR);
     }
--- a/crates/scheduling/src/program_table.rs
+++ b/crates/scheduling/src/program_table.rs
@@ -194,8 +194,8 @@
         demand
     }
 
-    /// Returns the average of recent results of [`Self::demand`]: the demand behind each request in
-    /// flight at a gateway that has few at a time.
+    /// Returns the average of recent results of [`Self::demand`]. Its ratios give the demand per
+    /// request in flight, also at a gateway that has few requests at a time.
     #[must_use]
     pub fn average_demand(&self, service: &str) -> LocalDemand {
         let average = self.averages.get(service);
--- a/crates/scheduling/src/route_profile.rs
+++ b/crates/scheduling/src/route_profile.rs
@@ -1,4 +1,4 @@
-//! Typical program of a route, learned from turns.
+//! Typical program of a route, learned from its turns.
 //!
 //! Kinds of programs differ by a factor of ten in what they need. Everything is learned from single
 //! turns, so it also holds if the turns of a program reach different gateways: the turns per
@@ -10,8 +10,8 @@
 /// Maximum number of samples that an average covers.
 const MAX_AVERAGED_SAMPLES: f64 = 128.0;
 
-/// Time that the average prompt covers. The young programs of a burst must not count as typical
-/// ones.
+/// Time that the average prompt covers, so that the young programs of a burst do not count as
+/// typical ones.
 const PROMPT_AVERAGING_PERIOD: Duration = Duration::from_secs(60);
 
 /// Factor on the counts of turns and first turns after each turn. Their ratio must outlast a burst,
--- a/crates/scheduling/src/shares.rs
+++ b/crates/scheduling/src/shares.rs
@@ -1,9 +1,9 @@
 //! Max-min fair shares of a capacity that is less than the demand.
 //!
 //! If one tenant sends many times its normal load, the others, who ask for no more than before,
-//! must get what they got before. With max-min fair shares, no one gets more than it asks for,
-//! unused shares are lent to others, and no one can get more except from someone who has less
-//! relative to its weight.
+//! must get what they got before. With max-min fair shares, no tenant gets more than it asks for,
+//! unused shares are lent to others, and a tenant can get more only from one that has less relative
+//! to its weight.
 
 use luglink_types::{TenantName, Timestamp};
 use std::collections::HashMap;
--- a/crates/scheduling/src/waits.rs
+++ b/crates/scheduling/src/waits.rs
@@ -119,9 +119,9 @@
     }
 
     /// Returns a quantile of the first events of healthy replicas. While few waits are abandoned,
-    /// they are attributed to other replicas, except for as many as healthy replicas cause: if
-    /// those were left out too, waits would look shorter and shorter. If many are abandoned, all
-    /// replicas are slow, and these waits count like the rest.
+    /// they are attributed to unhealthy replicas, except for as many as healthy replicas cause: if
+    /// those were left out too, the quantile would fall further and further. If many are abandoned,
+    /// all replicas are slow, and these waits count like the rest.
     fn healthy_quantile(&self, share: f64, now: Timestamp) -> Option<Duration> {
         let (answered, abandoned) = (self.first_events.weight(now), self.abandoned.weight(now));
         if abandoned > MAX_OUTLIER_RATIO * (abandoned + answered) {
@@ -130,8 +130,8 @@
                 .merged(&self.abandoned, now)
                 .quantile(share, now);
         }
-        let healthy = answered + abandoned.min(HEALTHY_ABANDON_RATIO * answered);
-        let share = share * healthy / answered.max(f64::MIN_POSITIVE);
+        let healthy_weight = answered + abandoned.min(HEALTHY_ABANDON_RATIO * answered);
+        let share = share * healthy_weight / answered.max(f64::MIN_POSITIVE);
         self.first_events.quantile(share, now)
     }
 
--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -34,8 +34,8 @@
     (BURST_FROM_MS..BURST_TO_MS).contains(&requested.at)
 }
 
-/// Returns the share of the burst's digests that the memory holds, besides the drafts, when the
-/// youngest of them have started.
+/// Returns the share of the burst's digests that the memory holds in addition to the drafts when
+/// the youngest of them have started.
 fn expected_share(offered: f64) -> f64 {
     let cycle_ms = 300.0 + DIGEST.pause_ms as f64;
     let seconds = (BURST_TO_MS - BURST_FROM_MS) as f64 / 1_000.0;
--- a/crates/scheduling/tests/expected_finish.rs
+++ b/crates/scheduling/tests/expected_finish.rs
@@ -51,8 +51,8 @@
     let requests = stats.request_ticks.iter().sum::<usize>() as f64;
     let speeds: f64 = (0..ENGINES).map(speed).sum();
     let shares = (0..ENGINES).map(|engine| {
-        let fair_share = requests * speed(engine) / speeds;
-        stats.request_ticks[engine] as f64 / fair_share
+        let speed_share = requests * speed(engine) / speeds;
+        stats.request_ticks[engine] as f64 / speed_share
     });
     shares.fold(0.0, f64::max)
 }
@@ -62,11 +62,11 @@
 fn max_turns_at_slow(stats: &ReplayStats) -> f64 {
     let speeds: f64 = (0..ENGINES).map(speed).sum();
     let per_ms = stats.started as f64 / UNTIL_MS as f64;
-    let fair_share = (0..UNTIL_MS).filter_map(|at_ms| {
+    let turns = (0..UNTIL_MS).filter_map(|at_ms| {
         let (engine, since_ms) = slow(at_ms)?;
         (since_ms >= 1_000).then(|| per_ms * speed(engine) / SLOWNESS / speeds)
     });
-    MAX_LOAD_RATIO * fair_share.sum::<f64>()
+    MAX_LOAD_RATIO * turns.sum::<f64>()
 }
 
 const SEEDS: [u64; 3] = [1, 88_172_645_463_325_252, 7_777_777];
@@ -316,22 +316,22 @@
 
 #[test]
 fn a_stale_view_falls_back_to_the_choice_by_load() {
-    let mut with_work = pool(true);
+    let mut by_finish = pool(true);
     let mut by_load = pool(false);
-    for pool in [&mut with_work, &mut by_load] {
+    for pool in [&mut by_finish, &mut by_load] {
         use_all(pool);
         pool.set_zone_view(&view(|engine| (engine as u32, 40)), NOW);
     }
     let late = NOW.plus(Duration::from_secs(3));
-    assert!(with_work.uses_expected_finish(NOW) && !with_work.uses_expected_finish(late));
+    assert!(by_finish.uses_expected_finish(NOW) && !by_finish.uses_expected_finish(late));
     for draw in 0..50 {
         let request = RoutingRequest {
             draw,
             ..request(work(1))
         };
-        let choice = with_work.choose(&request, |_| false, late);
+        let choice = by_finish.choose(&request, |_| false, late);
         assert_eq!(choice, by_load.choose(&request, |_| false, late));
-        let candidates = with_work.candidates_by_finish("llm", draw, &work(1), 2, late);
+        let candidates = by_finish.candidates_by_finish("llm", draw, &work(1), 2, late);
         let by_load = by_load.candidates("llm", draw, CandidateScope::Home, 2, late);
         assert_eq!(candidates, by_load);
     }
--- a/crates/scheduling/tests/load_shedding.rs
+++ b/crates/scheduling/tests/load_shedding.rs
@@ -137,7 +137,8 @@
 }
 
 proptest! {
-    /// Repeated attempts do not get a program admitted, and an admitted one stays so when more are.
+    /// Repeated attempts do not get a program admitted, and an admitted one stays admitted when
+    /// more programs are.
     #[test]
     fn decisions_are_the_same_on_each_attempt(draw: u64, seconds in 0_u64..10) {
         let (mut shedder, route) = (LoadShedder::default(), route("r"));
@@ -153,14 +154,14 @@
 
 #[test]
 fn removed_routes_are_forgotten() {
-    let (mut shedder, gone, stays) = (LoadShedder::default(), route("gone"), route("stays"));
-    let now = record_delays(&mut shedder, &gone, 3 * TARGET_MS, Timestamp::ZERO, 10);
+    let (mut shedder, removed, stays) = (LoadShedder::default(), route("gone"), route("stays"));
+    let now = record_delays(&mut shedder, &removed, 3 * TARGET_MS, Timestamp::ZERO, 10);
     let now = record_delays(&mut shedder, &stays, 3 * TARGET_MS, now, 10);
     let configuration = Configuration {
         routes: vec![stays.clone()],
         ..Configuration::default()
     };
     shedder.keep_only(&configuration);
-    assert_eq!(admitted_programs(&mut shedder, &gone, now), 1_000);
+    assert_eq!(admitted_programs(&mut shedder, &removed, now), 1_000);
     assert!(admitted_programs(&mut shedder, &stays, now) < 1_000);
 }
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Turns at replicas of which some stay silent, with and without moves.
+//! Turns at replicas of which some stall, with and without moves.
 
 use luglink_edge::{Configuration, Route, RouteKind};
 use luglink_scheduling::{
@@ -12,8 +12,8 @@
 
 const TARGET_LATENCY: Duration = Duration::from_millis(200);
 const CALLER_WAITS: Duration = Duration::from_secs(4);
-/// Time for which a silent replica sends nothing.
-const SILENT_TIME: Duration = Duration::from_secs(6);
+/// Time for which a stalled replica sends nothing.
+const STALL_TIME: Duration = Duration::from_secs(6);
 /// Median of the first events of healthy replicas, and the standard deviation of their logarithm.
 const MEDIAN: Duration = Duration::from_millis(146);
 const SPREAD: f64 = 0.59;
@@ -46,11 +46,11 @@
     }
 }
 
-/// Replicas that answer each turn after a random time, unless they are silent.
+/// Replicas that answer each turn after a random time, unless they are stalled.
 struct Engines {
     seed: u64,
-    /// Number of silent replicas.
-    silent: u64,
+    /// Number of stalled replicas.
+    stalled: u64,
     slowdown: f64,
     /// All replicas are four times slower in every second interval of that length.
     wave: Option<Duration>,
@@ -76,7 +76,7 @@
         (self.draw() * REPLICAS as f64) as u64
     }
 
-    /// Chooses another replica, if possible one that no turn has left lately.
+    /// Chooses another replica, if possible one that no turn has left recently.
     fn choose_other(&mut self, first: u64, now: Timestamp) -> u64 {
         self.left_replicas.insert(first, now);
         self.left_replicas
@@ -92,11 +92,11 @@
     fn first_event(&mut self, replica: u64) -> Duration {
         // The sum of twelve uniform random numbers is close to a normal one.
         let normal: f64 = (0..12).map(|_| self.draw()).sum::<f64>() - 6.0;
-        let healthy = MEDIAN.mul_f64((normal * SPREAD).exp() * self.slowdown);
-        if replica < self.silent {
-            SILENT_TIME + healthy
+        let healthy_wait = MEDIAN.mul_f64((normal * SPREAD).exp() * self.slowdown);
+        if replica < self.stalled {
+            STALL_TIME + healthy_wait
         } else {
-            healthy
+            healthy_wait
         }
     }
 }
@@ -107,8 +107,8 @@
     /// Turns without a first event within three times the 90th percentile and the time to read a
     /// prompt elsewhere.
     late: u32,
-    at_silent: u32,
-    at_silent_late: u32,
+    at_stalled: u32,
+    at_stalled_late: u32,
     healthy: u32,
     healthy_moved: u32,
     moved: u32,
@@ -146,9 +146,9 @@
         stats.turns += 1;
         stats.late += u32::from(is_late);
         stats.moved += u32::from(at.is_some());
-        if first < engines.silent {
-            stats.at_silent += 1;
-            stats.at_silent_late += u32::from(is_late);
+        if first < engines.stalled {
+            stats.at_stalled += 1;
+            stats.at_stalled_late += u32::from(is_late);
         } else {
             stats.healthy += 1;
             stats.healthy_moved += u32::from(at.is_some());
@@ -180,7 +180,7 @@
 /// Applies the decisions as a gateway does. Returns the time of the move.
 fn move_time(from: &Waiting) -> Option<Duration> {
     let mut waiting = *from;
-    while waiting.waited < SILENT_TIME {
+    while waiting.waited < STALL_TIME {
         match decide_move(&waiting) {
             MoveDecision::Move { .. } => return Some(waiting.waited),
             MoveDecision::Stay(_) => return None,
@@ -194,10 +194,10 @@
     None
 }
 
-fn engines(silent: u64) -> Engines {
+fn engines(stalled: u64) -> Engines {
     Engines {
         seed: 7,
-        silent,
+        stalled,
         slowdown: 1.0,
         wave: None,
         left_replicas: HashMap::new(),
@@ -205,14 +205,14 @@
 }
 
 #[test]
-fn turns_at_silent_replicas_are_answered_by_others() {
-    let silent = REPLICAS / 10;
-    let without_moves = replay(&mut engines(silent), false);
-    assert_eq!(without_moves.at_silent_late, without_moves.at_silent);
-    let with_moves = replay(&mut engines(silent), true);
+fn turns_at_stalled_replicas_are_answered_by_others() {
+    let stalled = REPLICAS / 10;
+    let without_moves = replay(&mut engines(stalled), false);
+    assert_eq!(without_moves.at_stalled_late, without_moves.at_stalled);
+    let with_moves = replay(&mut engines(stalled), true);
     // Nine in ten waits at the second replica do not exceed the 90th percentile.
     assert!(
-        with_moves.at_silent_late * 10 <= with_moves.at_silent,
+        with_moves.at_stalled_late * 10 <= with_moves.at_stalled,
         "{with_moves:?}"
     );
     assert!(
@@ -237,7 +237,7 @@
     slow.slowdown = 5.0;
     let stats = replay(&mut slow, true);
     assert!(stats.moved * 100 <= stats.turns * 3, "{stats:?}");
-    // Moves cannot make up for half of the replicas being silent.
+    // Moves cannot make up for half of the replicas being stalled.
     let stats = replay(&mut engines(REPLICAS / 2), true);
     assert!(stats.moved * 5 <= stats.turns + 20, "{stats:?}");
 }
--- a/crates/scheduling/tests/pool.rs
+++ b/crates/scheduling/tests/pool.rs
@@ -50,11 +50,11 @@
 
 #[test]
 fn draining_replicas_and_other_services_get_no_requests() {
-    let mut leaving = backend("a", "here");
-    leaving.draining = true;
+    let mut draining = backend("a", "here");
+    draining.draining = true;
     let mut other = backend("b", "here");
     other.service = "tools".to_owned();
-    let pool = pool(vec![leaving, other]);
+    let pool = pool(vec![draining, other]);
     assert_eq!(chosen(&pool, &request(), Timestamp::ZERO), None);
     assert!(pool.usable(&id("a")).is_none());
     assert!(pool.lists(&id("a")));
@@ -322,10 +322,10 @@
     let zone =
         |zone: &'static str| (0..8).map(move |number| backend(&format!("{zone}-{number}"), zone));
     let pool = pool(zone("here").chain(zone("there")).collect());
-    let reach = |reach| pool.candidates(SERVICE, 1, reach, 20, Timestamp::ZERO);
+    let in_scope = |scope| pool.candidates(SERVICE, 1, scope, 20, Timestamp::ZERO);
     let (home, elsewhere) = (
-        reach(CandidateScope::Home),
-        reach(CandidateScope::OtherZones),
+        in_scope(CandidateScope::Home),
+        in_scope(CandidateScope::OtherZones),
     );
     assert!(home.iter().all(|found| found.zone == "here"));
     assert!(elsewhere.iter().all(|found| found.zone == "there"));
@@ -350,8 +350,8 @@
     }
 }
 
-/// A choice compares the replicas that this gateway has used lately and a drawn one, not the whole
-/// fleet.
+/// A choice compares the replicas that this gateway has used recently and a drawn one, not the
+/// whole fleet.
 #[test]
 fn a_choice_compares_few_replicas_in_any_fleet() {
     for in_each in [50, 500, 5_000, 10_000] {
@@ -409,16 +409,16 @@
 #[test]
 fn the_working_set_grows_at_once() {
     let mut pool = pool(two_zones(1_000));
-    let reach = |pool: &Pool, reach| {
-        let found = pool.candidates(SERVICE, 1, reach, 1_000, Timestamp::ZERO);
+    let in_scope = |pool: &Pool, scope| {
+        let found = pool.candidates(SERVICE, 1, scope, 1_000, Timestamp::ZERO);
         let found: BTreeSet<BackendId> = found.into_iter().map(|found| found.id).collect();
         found
     };
-    let before = reach(&pool, CandidateScope::Home);
-    let spare = reach(&pool, CandidateScope::Spare);
+    let before = in_scope(&pool, CandidateScope::Home);
+    let spare = in_scope(&pool, CandidateScope::Spare);
     assert!(spare.is_disjoint(&before) && !spare.is_empty());
     pool.grow_working_set(SERVICE);
-    let after = reach(&pool, CandidateScope::Home);
+    let after = in_scope(&pool, CandidateScope::Home);
     assert!(after.len() > before.len() && after.is_superset(&before));
 }
 
@@ -432,9 +432,9 @@
         homes.collect()
     };
     let before = homes(&pool);
-    let leaving: BTreeSet<&BackendId> = before.iter().take(8).collect();
+    let draining: BTreeSet<&BackendId> = before.iter().take(8).collect();
     let left = backends.iter().cloned().map(|backend| Backend {
-        draining: leaving.contains(&backend.id),
+        draining: draining.contains(&backend.id),
         ..backend
     });
     apply_list(
@@ -444,7 +444,7 @@
     );
     let after = homes(&pool);
     assert_eq!(after.len(), before.len());
-    assert!(after.iter().all(|home| !leaving.contains(home)));
+    assert!(after.iter().all(|home| !draining.contains(home)));
     assert_eq!(after.intersection(&before).count(), before.len() - 8);
 }
 
--- a/crates/scheduling/tests/shares.rs
+++ b/crates/scheduling/tests/shares.rs
@@ -90,7 +90,7 @@
     assert_eq!(tenants.served_share(None, 0.5, now), 1.0);
     let share = tenants.served_share(Some(&large), 0.5, now);
     assert!((share - 30.0 / 90.0).abs() < 1e-9, "{share}");
-    // Everyone gets its demand while there is capacity.
+    // Each tenant gets its demand while there is capacity.
     assert_eq!(tenants.served_share(Some(&large), 1.0, now), 1.0);
 }
 
@@ -128,7 +128,7 @@
         let sum: f64 = shares.iter().sum();
         let asked: f64 = demands.iter().map(|demand| demand.amount).sum();
         prop_assert!(sum <= capacity + TOLERANCE);
-        // Unused shares are lent: no capacity is left while someone asks for it.
+        // Unused shares are lent: no capacity is left while a party asks for it.
         prop_assert!(sum >= capacity.min(asked) - TOLERANCE);
         for (share, demand) in shares.iter().zip(&demands) {
             prop_assert!(*share >= 0.0 && *share <= demand.amount + TOLERANCE);
--- a/crates/scheduling/tests/support/engine.rs
+++ b/crates/scheduling/tests/support/engine.rs
@@ -28,7 +28,7 @@
 pub enum TurnEvent {
     First { gateway: usize, wait: Duration },
     Event { gateway: usize, pause: Duration },
-    Silent { gateway: usize },
+    Suspected { gateway: usize },
     Ended(Turn),
 }
 
@@ -63,8 +63,8 @@
         let mut turn_events: Vec<TurnEvent> = batch
             .filter_map(|turn| turn.run(generated, now_ms))
             .collect();
-        let silent = self.turns.iter().filter(|turn| turn.is_suspected(now_ms));
-        turn_events.extend(silent.map(|turn| TurnEvent::Silent {
+        let suspected = self.turns.iter().filter(|turn| turn.is_suspected(now_ms));
+        turn_events.extend(suspected.map(|turn| TurnEvent::Suspected {
             gateway: turn.gateway,
         }));
         let ended = self.turns.extract_if(.., |turn| turn.events == EVENTS);
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -96,7 +96,7 @@
 }
 
 impl Run {
-    /// Runs programs of several turns, each of which reaches any gateway.
+    /// Runs programs of several turns; each turn reaches a random gateway.
     pub fn run(&self) -> ReplayStats {
         let mut replay = Replay::new(self);
         for now_ms in (0..self.until_ms).step_by(TICK_MS as usize) {
@@ -222,7 +222,7 @@
                     self.pools[gateway].note_step(&id, pause, now)
                 }
                 TurnEvent::First { gateway, wait } => self.pools[gateway].succeeded(&id, wait),
-                TurnEvent::Silent { gateway } => self.pools[gateway].troubled(&id, now),
+                TurnEvent::Suspected { gateway } => self.pools[gateway].troubled(&id, now),
                 TurnEvent::Ended(turn) => {
                     self.pools[turn.gateway].end(&id);
                     self.stats.turn_ms.push(now_ms - turn.started_ms);
--- a/crates/scheduling/tests/wait_limits.rs
+++ b/crates/scheduling/tests/wait_limits.rs
@@ -28,9 +28,9 @@
     }
 
     #[test]
-    fn retry_delays_grow_to_a_maximum(pauses in 0_u32..1_000) {
-        prop_assert!(capacity_retry_delay(pauses) <= capacity_retry_delay(pauses + 1));
-        prop_assert!(capacity_retry_delay(pauses) <= Duration::from_millis(80));
+    fn retry_delays_grow_to_a_maximum(retries in 0_u32..1_000) {
+        prop_assert!(capacity_retry_delay(retries) <= capacity_retry_delay(retries + 1));
+        prop_assert!(capacity_retry_delay(retries) <= Duration::from_millis(80));
     }
 
     #[test]
