--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -1,9 +1,10 @@
-//! Asks whether a new program may begin, by the memory that those under way need until they end,
-//! and notes which ones are.
+//! Admission of new programs by working set: a program is admitted only if the engines have memory
+//! for it besides what the running programs need until they end. Also records which programs are
+//! running.
 //!
-//! The turn stores have said by then that the program is new: only they know what it did at other
-//! gateways. Replicas are not asked before; those that are full by their own reports refuse
-//! afterwards, in [`crate::placement`].
+//! By then the turn stores have confirmed that the program is new; only they know about its turns
+//! at other gateways. Replicas are queried after this check: [`crate::placement`] refuses the
+//! program if they report that they are full.
 
 use crate::gateway::Gateway;
 use crate::inbound::{Inbound, ProgramFields};
@@ -21,19 +22,19 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// What this gateway knows of the programs under way.
+/// Running programs of this gateway, and the state of admission decisions.
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionState {
     programs: ProgramTable,
-    /// By service.
+    /// Admission state by service.
     intakes: HashMap<String, ProgramIntake>,
-    /// Requests that the gateways of the zone have under way, by service.
+    /// Requests in flight at all gateways of the zone, by service.
     zone_trends: HashMap<String, ZoneTrend>,
 }
 
 impl AdmissionState {
-    /// Takes a newer sum of what the gateways of the zone have to do.
-    pub(crate) fn take_zone_load(&mut self, load: &GatewayLoad, now: Timestamp) {
+    /// Updates the load of the zone with a newer sum over its gateways.
+    pub(crate) fn update_zone_load(&mut self, load: &GatewayLoad, now: Timestamp) {
         for service in &load.services {
             let requests = f64::from(service.in_flight_hundredths) / 100.0;
             let trend = self.zone_trends.entry(service.service.clone());
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Forgets what is not in force any more.
+    /// Drops the state of services and routes that are no longer configured.
     pub(crate) fn keep_only(&mut self, configuration: &Configuration) {
         self.programs.keep_only(configuration);
         self.intakes
@@ -53,8 +54,8 @@
         }
     }
 
-    /// What the programs under way of all gateways of the zone need.
-    fn demand(&mut self, service: &str, gateways: f64, now: Timestamp) -> FleetDemand {
+    /// Estimates what the running programs of all gateways of the zone need.
+    fn estimate_demand(&mut self, service: &str, gateways: f64, now: Timestamp) -> FleetDemand {
         let own = self.programs.demand(service, now);
         let usual = self.programs.usual_demand(service);
         let zone = self.zone_requests(service, now);
@@ -66,45 +67,47 @@
     }
 }
 
-/// Counts a turn's program as under way, until some time after the turn has ended.
-pub(crate) struct UnderWay {
+/// Guard that counts a turn's program as running. The program remains counted for a while after
+/// the guard is dropped, because its next turn is likely to follow.
+pub(crate) struct TurnGuard {
     gateway: Rc<Gateway>,
     program: u64,
     began: Instant,
 }
 
-impl std::fmt::Debug for UnderWay {
+impl std::fmt::Debug for TurnGuard {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter
-            .debug_struct("UnderWay")
+            .debug_struct("TurnGuard")
             .field("program", &self.program)
             .finish_non_exhaustive()
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for TurnGuard {
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut state = self.gateway.admission.borrow_mut();
-        let taken = self.began.elapsed();
-        state.programs.end_turn(self.program, taken, now);
+        let duration = self.began.elapsed();
+        state.programs.end_turn(self.program, duration, now);
     }
 }
 
-/// Whether new programs are let in by their working set.
-pub(crate) fn decides(gateway: &Gateway, inbound: &Inbound) -> bool {
+/// Returns true if new programs of the request's service are admitted by working set.
+pub(crate) fn uses_working_set(gateway: &Gateway, inbound: &Inbound) -> bool {
     let has_engine = |service: &Service| service.engine.is_some();
     gateway.config.features.working_set()
         && gateway.of_service(&inbound.service, has_engine) == Some(true)
 }
 
-/// Notes a turn that is about to be sent.
-pub(crate) fn note_turn(
+/// Records that a turn is about to be sent. Returns `None` if programs of the service are not
+/// admitted by working set.
+pub(crate) fn track_turn(
     gateway: &Rc<Gateway>,
     inbound: &Inbound,
     purpose: Purpose,
-) -> Option<UnderWay> {
-    if !decides(gateway, inbound) {
+) -> Option<TurnGuard> {
+    if !uses_working_set(gateway, inbound) {
         return None;
     }
     let turn = TurnBegins {
@@ -116,20 +119,20 @@
     };
     let mut state = gateway.admission.borrow_mut();
     state.programs.begin_turn(&turn, gateway.now());
-    Some(UnderWay {
+    Some(TurnGuard {
         gateway: Rc::clone(gateway),
         program: turn.program,
         began: Instant::now(),
     })
 }
 
-/// Refuses a new program for which there is no room. `place` stands for it, the same on each try
-/// and at each gateway.
-pub(crate) fn let_in(
+/// Refuses a new program if the engines lack capacity for it. `program_hash` identifies the program
+/// and is the same for every retry and at every gateway.
+pub(crate) fn admit(
     gateway: &Gateway,
     inbound: &Inbound,
     program: &ProgramFields,
-    place: u64,
+    program_hash: u64,
 ) -> Result<(), Refusal> {
     let mut state = gateway.admission.borrow_mut();
     if state.programs.knows(inbound.draw) {
@@ -137,10 +140,10 @@
     }
     let now = gateway.now();
     let service = inbound.service.as_str();
-    let scale = Scale::of(gateway, service);
-    let demand = state.demand(service, scale.gateways, now);
-    let newcomer = Newcomer {
-        place,
+    let zone_share = ZoneShare::of(gateway, service);
+    let demand = state.estimate_demand(service, zone_share.gateways, now);
+    let new_program = Newcomer {
+        place: program_hash,
         route: &inbound.route,
         tenant: inbound.caller.tenant().map(|tenant| &tenant.name),
         prompt_tokens: prompt_tokens(inbound),
@@ -150,37 +153,37 @@
     };
     let fair_shares = gateway.config.features.fair_shares();
     let intake = state.intakes.entry(service.to_owned()).or_default();
-    let entry = intake.admit(&newcomer, scale.room, &demand, fair_shares, now);
+    let entry = intake.admit(&new_program, zone_share.room, &demand, fair_shares, now);
     let decision = Decision {
-        newcomer,
-        room: scale.room,
+        new_program,
+        room: zone_share.room,
         demand,
         entry,
     };
-    decision.count(gateway);
+    decision.record_metrics(gateway);
     if entry.refused_for.is_none() {
         return Ok(());
     }
-    decision.log(inbound, program);
+    decision.log_refusal(inbound, program);
     Err(Refusal::not_run_until(
-        "the engines have too much to do",
+        "the engines are overloaded",
         entry.come_back,
     ))
 }
 
-/// A decision with what it goes back to.
+/// An admission decision together with its inputs.
 struct Decision<'request> {
-    newcomer: Newcomer<'request>,
+    new_program: Newcomer<'request>,
     room: Room,
     demand: FleetDemand,
     entry: Entry,
 }
 
 impl Decision<'_> {
-    fn count(&self, gateway: &Gateway) {
+    fn record_metrics(&self, gateway: &Gateway) {
         let metrics = &gateway.metrics;
-        let end = self.entry.refused_for.map_or("let_in", ShortOf::as_str);
-        metrics.programs.with_label_values(&[end]).inc();
+        let outcome = self.entry.refused_for.map_or("let_in", ShortOf::as_str);
+        metrics.programs.with_label_values(&[outcome]).inc();
         let class = if self.entry.is_above_fair_share() {
             "above_share"
         } else {
@@ -189,11 +192,11 @@
         metrics.tenant_classes.with_label_values(&[class]).inc();
         metrics.working_set.set(self.demand.tokens_under_way);
         metrics.room.set(self.room.tokens);
-        let lifetime = self.newcomer.lifetime.as_secs_f64();
+        let lifetime = self.new_program.lifetime.as_secs_f64();
         metrics.program_seconds.set(lifetime);
     }
 
-    fn log(&self, inbound: &Inbound, program: &ProgramFields) {
+    fn log_refusal(&self, inbound: &Inbound, program: &ProgramFields) {
         tracing::info!(
             id = inbound.id,
             program = %program.name,
@@ -208,23 +211,23 @@
             room_tokens = self.room.tokens,
             room_slots = self.room.slots,
             age_ms = milliseconds(self.demand.age),
-            lifetime_ms = milliseconds(self.newcomer.lifetime),
+            lifetime_ms = milliseconds(self.new_program.lifetime),
             come_back_ms = milliseconds(self.entry.come_back),
-            left_ms = milliseconds(self.newcomer.remaining),
-            "a program is not let in: those under way need the room"
+            left_ms = milliseconds(self.new_program.remaining),
+            "program refused: running programs need the capacity of the engines"
         );
     }
 }
 
-/// What a zone has of the fleet. Zones are taken to be alike.
-struct Scale {
-    /// Gateways of the zone.
+/// Part of the fleet that belongs to one zone, assuming that all zones are alike.
+struct ZoneShare {
+    /// Number of gateways in the zone.
     gateways: f64,
-    /// The zone's part of the engines' room.
+    /// The zone's part of the capacity of the engines.
     room: Room,
 }
 
-impl Scale {
+impl ZoneShare {
     fn of(gateway: &Gateway, service: &str) -> Self {
         let extent = gateway.pool.borrow().extent(service);
         let all_gateways = f64::from(gateway.gateways.get().max(1));
@@ -244,7 +247,7 @@
     }
 }
 
-/// Tokens of a request's whole prompt, as its caller says; 0 when it does not.
+/// Returns the number of tokens in the whole prompt as declared by the caller; 0 if undeclared.
 fn prompt_tokens(inbound: &Inbound) -> u64 {
     inbound.prompt.map_or(0, |prompt| u64::from(prompt.tokens))
 }
--- a/crates/gateway-server/src/chain_search.rs
+++ b/crates/gateway-server/src/chain_search.rs
@@ -1,34 +1,34 @@
-//! Finds a turn and the turns that it goes on from on several stores.
+//! Search for a turn and its ancestors across several turn stores.
 
 use luglink_fleet::{StoreName, StoreView};
 use luglink_turns::{Absence, Chain, Replication, TurnId, TurnRecord};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Where a chain is.
+/// Result of looking up a turn and its ancestors.
 #[derive(Clone, Debug)]
-pub(crate) enum ChainAnswer {
-    /// The turn, last, and its ancestors, oldest first.
+pub(crate) enum ChainLookup {
+    /// The ancestors, oldest first, followed by the turn itself.
     Found(Vec<Rc<TurnRecord>>),
-    /// There is no such turn.
+    /// The turn does not exist.
     Absent,
-    /// Nobody can tell now.
+    /// The stores that answered do not suffice to tell whether the turn exists.
     Unknown,
 }
 
-/// Puts a chain together from what several stores have of it.
+/// Assembles a chain from the responses of several stores.
 #[derive(Default)]
 pub(crate) struct ChainSearch {
     head: Option<Rc<TurnRecord>>,
     ancestors: BTreeMap<TurnId, Rc<TurnRecord>>,
     absence: Absence,
-    /// Whether any store has answered.
+    /// True once any store has answered.
     pub(crate) has_answer: bool,
 }
 
 impl ChainSearch {
-    /// Takes what a store has.
-    pub(crate) fn note(&mut self, view: &StoreView, store: &StoreName, chain: Chain) {
+    /// Adds the response of a store.
+    pub(crate) fn add_response(&mut self, view: &StoreView, store: &StoreName, chain: Chain) {
         self.has_answer = true;
         self.absence.note(view, store, &chain);
         if let Chain::Found { turn, ancestors } = chain {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether the turn and all that it goes on from were found.
+    /// Returns true if the turn and all its ancestors were found.
     pub(crate) fn is_complete(&self) -> bool {
         self.head.as_ref().is_some_and(|head| {
             let mut ancestors = head.ancestors.iter();
@@ -48,13 +48,13 @@
         })
     }
 
-    /// Whether enough stores lack the turn for certain.
+    /// Returns true if so many stores lack the turn that no other store can hold it.
     pub(crate) fn is_absent(&self, view: &StoreView, replication: Replication) -> bool {
         self.head.is_none() && self.absence.is_certain(view, replication)
     }
 
-    /// The turn, last, and its ancestors, oldest first, once all were found.
-    pub(crate) fn complete(&self) -> Option<Vec<Rc<TurnRecord>>> {
+    /// Returns the ancestors, oldest first, followed by the turn, once all of them were found.
+    pub(crate) fn complete_chain(&self) -> Option<Vec<Rc<TurnRecord>>> {
         if !self.is_complete() {
             return None;
         }
--- a/crates/gateway-server/src/config.rs
+++ b/crates/gateway-server/src/config.rs
@@ -1,4 +1,4 @@
-//! How a gateway runs.
+//! Configuration of a gateway process.
 
 use luglink_fleet_client::ObserverConfig;
 use luglink_scheduling::Features;
@@ -6,40 +6,41 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a gateway runs.
+/// Configuration of a gateway process.
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
     /// Name of the machine.
     pub name: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Address for callers.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Address for the platform's checks.
+    /// Listen address for the platform's readiness checks.
     pub ready_listen: SocketAddr,
-    /// Address of the metrics, when they are wanted.
+    /// Listen address for metrics; `None` to serve none.
     pub metrics_listen: Option<SocketAddr>,
-    /// Control members.
+    /// Addresses of the control members.
     pub observer: ObserverConfig,
-    /// The platform's list of replicas.
+    /// Address of the platform's list of replicas.
     pub list_address: SocketAddr,
-    /// Calls that the list takes from all processes together, per second.
+    /// Rate limit of the list in calls per second, shared by all processes of the fleet.
     pub list_calls_per_s: f64,
-    /// Age of the list beyond which this gateway reads it itself.
+    /// Age from which the list is stale, so that this gateway may read it directly.
     pub list_stale_after: Duration,
-    /// Copies of turns and accounts.
+    /// Replication of turns and accounts on the turn stores.
     pub replication: Replication,
-    /// Longest time for a planned stop.
+    /// Maximum duration of a planned stop.
     pub stop_limit: Duration,
-    /// Decisions under load that are taken.
+    /// Overload decisions that are enabled.
     pub features: Features,
-    /// Fullness of a replica from which it takes no new programs; 0 to look at none.
+    /// Fullness from which a replica gets no new programs; 0 starts programs without querying
+    /// replicas.
     pub full_at: f64,
-    /// Time without word from a control member that hears its leader, after which callers with
-    /// keys are refused; `None` to go on with the keys that are known.
+    /// Time since a control member that hears its leader last answered, after which callers with
+    /// keys are refused; `None` to keep accepting the known keys.
     pub keys_expire_after: Option<Duration>,
-    /// Bytes that may be held for callers and replicas that read slowly.
+    /// Maximum number of bytes buffered for callers and replicas that read slowly.
     pub held_bytes_limit: u64,
-    /// Bytes of turns that are kept in memory to spare the stores.
+    /// Maximum size of the cache of turns, which saves reads from the turn stores.
     pub turn_cache_bytes: usize,
 }
--- a/crates/gateway-server/src/errors.rs
+++ b/crates/gateway-server/src/errors.rs
@@ -3,22 +3,22 @@
 use snafu::Snafu;
 use std::net::SocketAddr;
 
-/// A gateway cannot start.
+/// Error that prevents a gateway from starting.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum GatewayError {
-    /// The address is taken or not ours.
+    /// A listen address is in use or not assigned to this machine.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// Underlying error.
         source: std::io::Error,
     },
-    /// The metrics cannot be set up.
-    #[snafu(display("metrics: {source}"), context(false))]
+    /// Registering the metrics failed.
+    #[snafu(display("cannot register metrics: {source}"), context(false))]
     Metrics {
-        /// Why not.
+        /// Underlying error.
         source: luglink_telemetry::TelemetryError,
     },
 }
--- a/crates/gateway-server/src/gateway.rs
+++ b/crates/gateway-server/src/gateway.rs
@@ -1,10 +1,10 @@
-//! What all parts of a gateway share. Everything runs on one thread.
+//! State shared by all parts of a gateway. Everything runs on one thread.
 
 use crate::admission::AdmissionState;
 use crate::config::GatewayConfig;
 use crate::held::Ledger;
 use crate::load_meter::LoadMeter;
-use crate::load_view::ViewTaken;
+use crate::load_view::LastView;
 use crate::metrics::GatewayMetrics;
 use crate::turn_cache::TurnCache;
 use crate::turn_client::TurnClient;
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The configuration in force.
+/// The configuration in force with the lookup tables built from it.
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub(crate) version: u64,
@@ -26,49 +26,49 @@
     pub(crate) keys: KeyRing,
 }
 
-/// A gateway.
+/// State of a gateway.
 pub(crate) struct Gateway {
     pub(crate) config: GatewayConfig,
     pub(crate) dialect: Rc<dyn Dialect>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) in_force: RefCell<Option<Rc<InForce>>>,
-    /// Whether a control member that hears its leader has said which configuration holds. Until
-    /// then one that was overtaken before this process started might be taken for it.
+    /// True once a control member that hears its leader has confirmed the configuration in force.
+    /// Before that, the known configuration may have been replaced before this process started.
     pub(crate) is_current: Cell<bool>,
-    /// When such a member was last heard, with or without a configuration.
-    pub(crate) fresh_at: Cell<Option<Instant>>,
-    /// Splits the routes that have several services.
+    /// Time at which such a member last answered, with or without a configuration.
+    pub(crate) last_fresh_news: Cell<Option<Instant>>,
+    /// Traffic split of routes that have several services.
     pub(crate) splits: RefCell<SplitDraws>,
-    /// Lets new programs in.
+    /// Admission of new programs where it is based on the lateness of their route.
     pub(crate) shedder: RefCell<LoadShedder>,
-    /// What waits of each route usually are.
+    /// Statistics of the usual waits on each route.
     pub(crate) waits: RefCell<Waits>,
-    /// Lets new programs in where they are let in by their working set.
+    /// Admission of new programs where it is based on the working set.
     pub(crate) admission: RefCell<AdmissionState>,
     pub(crate) pool: RefCell<Pool>,
-    /// Events of the answers of each route.
+    /// Statistics of the number of events per answer on each route.
     pub(crate) answer_lengths: RefCell<AnswerLengths>,
-    /// The list that the pool shows.
+    /// The list of replicas that the pool is built from.
     pub(crate) list: RefCell<ListCopy>,
-    /// Gateways that share the replicas' connections and the platform's calls; 0 before a member
-    /// has said how many.
+    /// Number of gateways that share the connections to replicas and the platform's rate limit;
+    /// 0 until a control member has reported it.
     pub(crate) gateways: Cell<u32>,
     pub(crate) turns: TurnClient,
     pub(crate) turn_cache: RefCell<TurnCache>,
     pub(crate) upstream: Upstream,
-    /// Bytes that are held for callers and replicas.
+    /// Accounting of the bytes buffered for callers and replicas.
     pub(crate) held: Rc<Ledger>,
     pub(crate) is_stopping: Cell<bool>,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub(crate) in_flight: Cell<u32>,
     pub(crate) load_meter: RefCell<LoadMeter>,
-    /// What the gateways of the zone told last.
-    pub(crate) view_taken: ViewTaken,
-    pub(crate) draws: Cell<u64>,
+    /// Age and size of the zone's latest load view.
+    pub(crate) last_view: LastView,
+    pub(crate) random_state: Cell<u64>,
     start: Instant,
 }
 
-/// Counts a request while it is under way.
+/// Guard that counts a request as in flight.
 pub(crate) struct InFlight(Rc<Gateway>);
 
 impl Drop for InFlight {
@@ -103,24 +103,24 @@
             metrics,
             in_force: RefCell::default(),
             is_current: Cell::new(false),
-            fresh_at: Cell::new(None),
+            last_fresh_news: Cell::new(None),
             gateways: Cell::new(0),
             is_stopping: Cell::new(false),
             in_flight: Cell::new(0),
             load_meter: RefCell::default(),
-            view_taken: ViewTaken::default(),
-            draws: Cell::new(seed),
+            last_view: LastView::default(),
+            random_state: Cell::new(seed),
             start: Instant::now(),
         }
     }
 
-    /// Time since the process started, for the pool.
+    /// Returns the time since the gateway was created.
     pub(crate) fn now(&self) -> Timestamp {
         let micros = self.start.elapsed().as_micros();
         Timestamp::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
     }
 
-    /// The configuration in force; `None` until the current one is known for certain.
+    /// Returns the configuration in force; `None` until it is confirmed to be current.
     pub(crate) fn in_force(&self) -> Option<Rc<InForce>> {
         if !self.is_current.get() {
             return None;
@@ -128,8 +128,9 @@
         self.in_force.borrow().clone()
     }
 
-    /// What the configuration in force says of a service, if it names it. A configuration that is
-    /// not known to be current yet will do: services keep their kind.
+    /// Applies `read` to a service of the configuration in force; `None` if the service is not
+    /// configured. The configuration need not be confirmed, because services do not change their
+    /// kind.
     pub(crate) fn of_service<Value>(
         &self,
         name: &str,
@@ -140,15 +141,16 @@
         Some(read(service))
     }
 
-    /// Whether keys may have been taken away since a control member was last heard.
+    /// Returns true if the last contact with an up-to-date control member is so long ago that keys
+    /// may have been revoked since.
     pub(crate) fn keys_are_expired(&self) -> bool {
-        let age = self.fresh_at.get().map(|fresh_at| fresh_at.elapsed());
+        let age = self.last_fresh_news.get().map(|time| time.elapsed());
         self.config
             .keys_expire_after
             .is_some_and(|limit| age.is_none_or(|age| age > limit))
     }
 
-    /// Whether callers should be sent here.
+    /// Returns true if callers should be routed to this gateway.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping.get()
             && self.in_force().is_some()
@@ -156,21 +158,22 @@
             && self.turns.has_quorum()
     }
 
-    /// Age of the list of replicas.
+    /// Returns the age of the list of replicas.
     pub(crate) fn list_age(&self) -> Option<Duration> {
         self.list.borrow().age(self.now())
     }
 
-    /// A number that differs from request to request.
+    /// Returns a pseudo-random number.
     pub(crate) fn draw(&self) -> u64 {
-        let draw = self.draws.get().wrapping_add(0x9E37_79B9_7F4A_7C15);
-        self.draws.set(draw);
+        let draw = self.random_state.get().wrapping_add(0x9E37_79B9_7F4A_7C15);
+        self.random_state.set(draw);
         xxhash_rust::xxh3::xxh3_64(&draw.to_le_bytes())
     }
 
+    /// Counts a request as in flight until the returned guard is dropped.
     pub(crate) fn track(self: &Rc<Self>) -> InFlight {
         self.in_flight.set(self.in_flight.get() + 1);
-        self.load_meter.borrow_mut().count();
+        self.load_meter.borrow_mut().count_request();
         InFlight(Rc::clone(self))
     }
 }
--- a/crates/gateway-server/src/lib.rs
+++ b/crates/gateway-server/src/lib.rs
@@ -1,5 +1,6 @@
-//! The shell of a gateway: callers and replicas over HTTP, turn stores and control members over
-//! frames, around the decisions of [`luglink_edge`] and the rules of [`luglink_turns`].
+//! I/O of a gateway: talks HTTP to callers and replicas and a framed protocol to turn stores and
+//! control members. Routing is decided in [`luglink_edge`], scheduling in [`luglink_scheduling`];
+//! [`luglink_turns`] defines the rules for turns and budgets.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/gateway-server/src/list.rs
+++ b/crates/gateway-server/src/list.rs
@@ -1,4 +1,5 @@
-//! Reads the platform's list when the control members do not pass it on.
+//! Fallback reader of the platform's list of replicas, used when the control members do not relay
+//! it.
 
 use crate::gateway::Gateway;
 use luglink_fleet::{ListReader, ListReading, ReadingRates};
@@ -6,13 +7,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between looks at the list's age.
+/// Interval at which the age of the list is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Longest time for one reading.
-const READ_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of reading the whole list once.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Watches the age of the list, for ever. [`ListReading`] says when it is this gateway's turn.
+/// Watches the age of the list and reads it when it is stale; never returns. [`ListReading`] limits
+/// how often this gateway reads.
 pub(crate) async fn keep_current(gateway: Rc<Gateway>) {
     let mut client = ListClient::new(gateway.config.list_address);
     let mut reading = ListReading::new(ReadingRates {
@@ -27,7 +29,7 @@
         let is_stale = age.is_none_or(|age| age >= gateway.config.list_stale_after);
         if was_stale != is_stale {
             was_stale = is_stale;
-            tracing::info!(is_stale, ?age, "list of replicas from the control members");
+            tracing::info!(is_stale, ?age, "staleness of the list of replicas changed");
         }
         let reader = ListReader::Gateway(gateway.gateways.get());
         reading.expect_replicas(gateway.list.borrow().list().len());
@@ -40,17 +42,17 @@
 async fn read(gateway: &Gateway, client: &mut ListClient, reading: &mut ListReading) {
     let began = gateway.now();
     gateway.metrics.list_reads.inc();
-    let fetched = client.fetch(&*gateway.dialect, READ_LIMIT, AtRefusal::GiveUp);
+    let fetched = client.fetch(&*gateway.dialect, READ_TIMEOUT, AtRefusal::GiveUp);
     match fetched.await {
         Ok(fetched) => {
             reading.succeeded(fetched.pages, began, gateway.draw());
             let passed_over = u64::from(fetched.passed_over);
             gateway.metrics.list_entries_passed_over.inc_by(passed_over);
-            gateway.take_list(fetched.list, began);
+            gateway.apply_list(fetched.list, began);
         }
         Err(error) => {
             reading.failed(error.is_refusal(), began, gateway.draw());
-            tracing::warn!(%error, age = ?gateway.list_age(), "the list of replicas cannot be read");
+            tracing::warn!(%error, age = ?gateway.list_age(), "cannot read the list of replicas");
         }
     }
 }
--- a/crates/gateway-server/src/load_meter.rs
+++ b/crates/gateway-server/src/load_meter.rs
@@ -1,4 +1,4 @@
-//! What this gateway has to do, as it tells the control members.
+//! Measurement of this gateway's load, which it reports to the control members.
 
 use luglink_fleet::{GatewayLoad, ServiceLoad};
 use luglink_scheduling::Pool;
@@ -6,34 +6,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time over which requests and what is under way are averaged: a few turns of a program.
-const AVERAGED_OVER: Duration = Duration::from_secs(1);
+/// Time constant of the exponential averages: the duration of a few turns of a program.
+const AVERAGING_TIME_CONSTANT: Duration = Duration::from_secs(1);
 
-/// Averages of the last moments, brought up to date whenever they are asked for.
+/// Exponential moving averages of the load, updated whenever they are read.
 #[derive(Debug, Default)]
 pub(crate) struct LoadMeter {
-    at: Timestamp,
-    /// Requests that have come since `at`.
+    updated_at: Timestamp,
+    /// Requests that have arrived since `updated_at`.
     requests: u32,
     requests_per_s: f64,
+    /// Requests in flight by service.
     in_flight: BTreeMap<String, f64>,
 }
 
 impl LoadMeter {
     /// Counts a request of a caller.
-    pub(crate) fn count(&mut self) {
+    pub(crate) fn count_request(&mut self) {
         self.requests += 1;
     }
 
-    /// The load of now.
+    /// Updates the averages and returns them.
     pub(crate) fn read(&mut self, pool: &Pool, now: Timestamp) -> GatewayLoad {
-        let elapsed = now.since(self.at).as_secs_f64();
+        let elapsed = now.since(self.updated_at).as_secs_f64();
         if elapsed > 0.0 {
-            let weight = 1.0 - (-elapsed / AVERAGED_OVER.as_secs_f64()).exp();
+            let weight = 1.0 - (-elapsed / AVERAGING_TIME_CONSTANT.as_secs_f64()).exp();
             let rate = f64::from(std::mem::take(&mut self.requests)) / elapsed;
             self.requests_per_s += weight * (rate - self.requests_per_s);
             self.average_in_flight(pool, weight);
-            self.at = now;
+            self.updated_at = now;
         }
         let in_flight = self.in_flight.iter();
         let services = in_flight.map(|(service, average)| ServiceLoad {
--- a/crates/gateway-server/src/load_view.rs
+++ b/crates/gateway-server/src/load_view.rs
@@ -1,4 +1,5 @@
-//! What the gateways of the zone tell each other of the replicas, by way of the control members.
+//! Load view of the zone: what its gateways observe of the replicas, merged and distributed by the
+//! control members.
 
 use crate::gateway::Gateway;
 use luglink_fleet::{Sights, ZoneSights};
@@ -10,26 +11,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between looks at the view's age.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the age of the view is checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The view that was taken last.
+/// Age and size of the latest load view.
 #[derive(Debug, Default)]
-pub(crate) struct ViewTaken {
-    /// When the words in it were said, in the mean; `None` before the first.
-    said_at: Cell<Option<Timestamp>>,
-    /// Replicas in it.
+pub(crate) struct LastView {
+    /// Mean time at which its observations were made; `None` before the first view.
+    observed_at: Cell<Option<Timestamp>>,
+    /// Number of replicas in it.
     replicas: Cell<usize>,
 }
 
-impl ViewTaken {
+impl LastView {
     fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.said_at.get().map(|said_at| now.since(said_at))
+        self.observed_at
+            .get()
+            .map(|observed_at| now.since(observed_at))
     }
 }
 
 impl Gateway {
-    /// Whether the settings and the configuration in force call for a shared view.
+    /// Returns true if the settings and the configuration in force enable the load view.
     fn shares_load_view(&self) -> bool {
         let in_force = self.in_force.borrow();
         let features = &self.config.features;
@@ -38,47 +41,48 @@
             .is_some_and(|in_force| features.load_view(&in_force.configuration))
     }
 
-    /// What to tell a member of the replicas; `None` while nothing is shared, and for a member
-    /// that needs it for no sum.
-    pub(crate) fn sights_to_tell(&self, asked: Asked) -> Option<Sights> {
+    /// Returns this gateway's observations for a control member; `None` if the load view is
+    /// disabled, or if the member does not include this gateway in any sum.
+    pub(crate) fn sights_to_report(&self, asked: Asked) -> Option<Sights> {
         let is_needed = asked.is_counted_here || asked.hears_whole_zone;
-        let is_told = is_needed && self.shares_load_view();
-        is_told.then(|| self.pool.borrow().sights(self.now()))
+        let is_reported = is_needed && self.shares_load_view();
+        is_reported.then(|| self.pool.borrow().sights(self.now()))
     }
 
-    /// Takes what the gateways of the zone see together.
-    pub(crate) fn take_view(&self, zone: &ZoneSights) {
+    /// Updates the pool with the merged observations of the zone's gateways.
+    pub(crate) fn update_load_view(&self, zone: &ZoneSights) {
         if !self.shares_load_view() {
             return;
         }
         let age = u64::try_from(zone.age.as_micros()).unwrap_or(u64::MAX);
-        let said_at = Timestamp::from_micros(self.now().as_micros().saturating_sub(age));
-        self.pool.borrow_mut().take_view(&zone.sights, said_at);
-        self.view_taken.said_at.set(Some(said_at));
-        self.view_taken.replicas.set(zone.sights.0.len());
+        let observed_at = Timestamp::from_micros(self.now().as_micros().saturating_sub(age));
+        self.pool.borrow_mut().take_view(&zone.sights, observed_at);
+        self.last_view.observed_at.set(Some(observed_at));
+        self.last_view.replicas.set(zone.sights.0.len());
     }
 }
 
-/// Shows the view's age, and logs when it is lost and regained, for ever.
+/// Exports the age of the view as a metric and logs when the view becomes stale or fresh again;
+/// never returns.
 pub(crate) async fn watch(gateway: Rc<Gateway>) {
-    let mut is_held = false;
+    let mut is_fresh = false;
     loop {
-        actix_rt::time::sleep(LOOK_INTERVAL).await;
-        let view = &gateway.view_taken;
+        actix_rt::time::sleep(CHECK_INTERVAL).await;
+        let view = &gateway.last_view;
         let age = view.age(gateway.now());
         let replicas = view.replicas.get();
         if let Some(age) = age {
             gateway.metrics.load_view_age.set(age.as_secs_f64());
             gateway.metrics.load_view_replicas.set(replicas as f64);
         }
-        let was_held =
-            std::mem::replace(&mut is_held, age.is_some_and(|age| age < VIEW_STALE_AFTER));
-        match (was_held, is_held) {
-            (false, true) => tracing::info!(replicas, "load view of the zone regained"),
+        let was_fresh =
+            std::mem::replace(&mut is_fresh, age.is_some_and(|age| age < VIEW_STALE_AFTER));
+        match (was_fresh, is_fresh) {
+            (false, true) => tracing::info!(replicas, "load view of the zone is fresh again"),
             (true, false) => {
                 let age_ms = age.map(milliseconds);
                 let is_shared = gateway.shares_load_view();
-                tracing::warn!(age_ms, is_shared, "load view of the zone lost");
+                tracing::warn!(age_ms, is_shared, "load view of the zone is stale");
             }
             _ => {}
         }
--- a/crates/gateway-server/src/metrics.rs
+++ b/crates/gateway-server/src/metrics.rs
@@ -1,79 +1,79 @@
-//! What a gateway counts.
+//! Metrics of a gateway.
 
 use crate::errors::GatewayError;
 use luglink_telemetry::Metrics;
 use prometheus::{Gauge, Histogram, IntCounter, IntCounterVec};
 
-/// Counters and histograms of a gateway.
+/// Counters, gauges and histograms of a gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewayMetrics {
     pub(crate) registry: Metrics,
-    /// Answers by status.
+    /// Answers to callers by status.
     pub(crate) answers: IntCounterVec,
-    /// Sends by how they ended.
+    /// Requests sent to replicas by outcome.
     pub(crate) sends: IntCounterVec,
-    /// Streams by how they ended.
+    /// Streams by outcome.
     pub(crate) streams: IntCounterVec,
     /// New connections to replicas.
     pub(crate) connects: IntCounter,
-    /// Looks at the platform's list by this gateway.
+    /// Reads of the platform's list of replicas by this gateway.
     pub(crate) list_reads: IntCounter,
-    /// Entries of that list that name no replica to use.
+    /// Entries of that list that could not be parsed.
     pub(crate) list_entries_passed_over: IntCounter,
-    /// Replicas that have started again under their old identifiers.
+    /// Replicas that restarted under the same identifier.
     pub(crate) replica_restarts: IntCounter,
-    /// Mean age of what the gateways of the zone told last, in seconds.
+    /// Mean age of the observations in the zone's load view, in seconds.
     pub(crate) load_view_age: Gauge,
-    /// Replicas in it.
+    /// Number of replicas in the zone's load view.
     pub(crate) load_view_replicas: Gauge,
-    /// Time to a whole answer, or to the first event of a stream.
+    /// Time to a complete answer, or to the first event of a stream.
     pub(crate) answer_seconds: Histogram,
-    /// By how much the time to a first event differed from what was expected.
+    /// Absolute difference between the expected and the measured time to a first event.
     pub(crate) expectation_error_seconds: Histogram,
-    /// Time to a first event that was expected.
+    /// Expected time to a first event.
     pub(crate) expected_seconds: Histogram,
-    /// Time for the turn stores to note a turn's beginning.
+    /// Time for the turn stores to reserve a turn's tokens.
     pub(crate) reserve_seconds: Histogram,
-    /// Time for the turn stores to keep a turn.
+    /// Time for the turn stores to store a turn.
     pub(crate) keep_seconds: Histogram,
     /// Version of the configuration in force.
     pub(crate) version: Gauge,
-    /// Requests without a key that is known, by what they showed.
+    /// Requests without a known key, by what they presented instead.
     pub(crate) unknown_keys: IntCounterVec,
-    /// Requests that a tenant's quota held up, by why.
+    /// Requests refused by their tenants' quotas, by reason.
     quota_refusals: IntCounterVec,
-    /// Streams that went on to another replica while the first one kept them waiting, by route.
+    /// Streams that moved to another replica because the first one was slow, by route.
     pub(crate) moved: IntCounterVec,
-    /// Streams that waited for unusually long and stayed, by route.
+    /// Slow streams that stayed at their replica, by route.
     pub(crate) kept: IntCounterVec,
-    /// Of these, those that had too little time left for another replica, by route.
+    /// Slow streams that had too little time left to move, by route.
     pub(crate) too_late_to_move: IntCounterVec,
-    /// Streams refused because no replica could answer them in time, by route.
+    /// Streams refused because no replica could answer before the deadline, by route.
     pub(crate) hopeless: IntCounterVec,
-    /// Time that streams had waited when they moved.
+    /// Time that streams had waited before they moved.
     pub(crate) move_seconds: Histogram,
-    /// Requests with one whole answer that went to a second replica, by when.
+    /// Non-streaming requests that were hedged to a second replica, by whether early or late.
     pub(crate) hedges: IntCounterVec,
-    /// Callers that left before their answer, by what they waited for.
+    /// Callers that disconnected before their answer, by what they were waiting for.
     pub(crate) callers_gone: IntCounterVec,
-    /// Bytes held for callers and replicas.
+    /// Bytes buffered for callers and replicas.
     pub(crate) held_bytes: Gauge,
-    /// Requests that were cut for what they held, by why.
+    /// Requests aborted because of the bytes buffered for them, by reason.
     pub(crate) held_cuts: IntCounterVec,
-    /// Requests whose bodies there was no room for, by the bound.
+    /// Requests refused because their body exceeded a limit on buffered bytes, by limit.
     pub(crate) held_refusals: IntCounterVec,
-    /// Time for the owners of a quota to answer.
+    /// Time to get a decision from the owners of a quota.
     pub(crate) quota_seconds: Histogram,
-    /// New programs by what became of them: let in, or what was too short.
+    /// New programs by whether they were admitted or which resource was short.
     pub(crate) programs: IntCounterVec,
-    /// New programs by whether their tenants ask for more than their fair shares while room is
+    /// New programs by whether their tenants demand more than their fair shares while capacity is
     /// short.
     pub(crate) tenant_classes: IntCounterVec,
-    /// Tokens of memory that programs under way need until they end, by the last estimate.
+    /// Latest estimate of the memory that the running programs need until they end, in tokens.
     pub(crate) working_set: Gauge,
-    /// Tokens of memory that there are for them.
+    /// Memory available to them, in tokens.
     pub(crate) room: Gauge,
-    /// Estimated time from a program's beginning to its end, of the last one that came.
+    /// Estimated time from start to end of the latest new program.
     pub(crate) program_seconds: Gauge,
 }
 
@@ -170,7 +170,7 @@
     }
 
     /// Counts a request that a quota refused.
-    pub(crate) fn note_quota(&self, reason: &str) {
+    pub(crate) fn count_quota_refusal(&self, reason: &str) {
         self.quota_refusals.with_label_values(&[reason]).inc();
     }
 }
--- a/crates/gateway-server/src/news.rs
+++ b/crates/gateway-server/src/news.rs
@@ -1,4 +1,4 @@
-//! What the control members tell a gateway.
+//! Exchange of state between a gateway and the control members.
 
 use crate::gateway::{Gateway, InForce};
 use luglink_control::{RequestParts, ResponseParts};
@@ -13,9 +13,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time after its start from which a gateway that has no list of replicas asks more than one
-/// member for it: a list is large, and the first one that is asked is about to send it.
-const FIRST_LIST_PATIENCE: Duration = Duration::from_secs(2);
+/// Time after its start for which a gateway without a list of replicas asks only one member for it.
+/// The list is large, and asking a second member at once would transfer it twice.
+const SECOND_LIST_SOURCE_DELAY: Duration = Duration::from_secs(2);
 
 impl Subject for Gateway {
     fn presence(&self) -> Presence {
@@ -38,7 +38,7 @@
         Known {
             document_version: in_force.as_ref().map_or(0, |in_force| in_force.version),
             is_current: self.is_current.get()
-                || in_force.is_none() && self.fresh_at.get().is_some(),
+                || in_force.is_none() && self.last_fresh_news.get().is_some(),
             store_epoch: self.turns.epoch(),
             backends: self.known_list(source),
             ..Known::default()
@@ -49,57 +49,58 @@
         let asks_list = self.known_list(asked.source).is_some();
         RequestParts {
             known_incarnations: asks_list.then(|| self.list.borrow().known_incarnations()),
-            sights: self.sights_to_tell(asked),
+            sights: self.sights_to_report(asked),
             ..RequestParts::default()
         }
     }
 
     fn on_parts(&self, parts: ResponseParts) {
-        self.take_incarnations(&parts.incarnations);
+        self.record_incarnations(&parts.incarnations);
         if let Some(sights) = parts.zone_sights {
-            self.take_view(&sights);
+            self.update_load_view(&sights);
         }
     }
 
     fn on_news(&self, member: SocketAddr, news: News) {
         if let Some(document) = news.document {
-            self.put_in_force(member, document);
+            self.apply_configuration(member, document);
         }
         if news.fresh {
-            self.fresh_at.set(Some(Instant::now()));
+            self.last_fresh_news.set(Some(Instant::now()));
         }
         if news.fresh && !self.is_current.get() && self.in_force.borrow().is_some() {
-            tracing::info!(%member, "the configuration is current");
+            tracing::info!(%member, "configuration confirmed as current");
             self.is_current.set(true);
         }
         if news.gateways > 0 {
             self.gateways.set(news.gateways);
         }
         if let Some(view) = news.stores {
-            tracing::info!(%member, epoch = view.epoch, stores = view.len(), "new view of the stores");
+            tracing::info!(%member, epoch = view.epoch, stores = view.len(), "store view updated");
             self.turns.set_view(view);
         }
         if let Some(report) = news.backends {
-            self.take_report(report);
+            self.apply_list_report(report);
         }
         if let Some(load) = news.zone_load {
             self.pool.borrow_mut().follow_zone_load(&load, self.now());
             self.admission
                 .borrow_mut()
-                .take_zone_load(&load, self.now());
+                .update_zone_load(&load, self.now());
         }
     }
 }
 
 impl Gateway {
-    /// Puts a document in force unless a newer one is. A version never goes back within a life.
-    fn put_in_force(&self, member: SocketAddr, document: VersionedDocument) {
-        let held = self
+    /// Puts a configuration document in force if it is newer than the current one. The version
+    /// never decreases while the process runs.
+    fn apply_configuration(&self, member: SocketAddr, document: VersionedDocument) {
+        let current_version = self
             .in_force
             .borrow()
             .as_ref()
-            .map_or(0, |held| held.version);
-        if document.version <= held {
+            .map_or(0, |in_force| in_force.version);
+        if document.version <= current_version {
             return;
         }
         match self.dialect.configuration(&document.content) {
@@ -107,7 +108,7 @@
                 tracing::info!(
                     %member,
                     version = document.version,
-                    before = held,
+                    before = current_version,
                     routes = configuration.routes.len(),
                     tenants = configuration.tenants.len(),
                     "configuration in force"
@@ -128,53 +129,56 @@
                     keys,
                 }));
             }
-            // The control members check documents before they take them.
+            // Unexpected: the control members validate documents before they accept them.
             Err(error) => {
-                tracing::error!(version = document.version, %error, "a document cannot be read");
+                tracing::error!(version = document.version, %error, "cannot parse the configuration");
             }
         }
     }
 
-    /// What to say of the list of replicas to a member; `None` when that member need not tell it.
+    /// Describes the known list of replicas for a request to a member; `None` if that member is not
+    /// asked for the list.
     fn known_list(&self, source: ListSource) -> Option<KnownList> {
         let now = self.now();
         let known = self.list.borrow().known(now);
         let is_asked = match source {
             ListSource::First => true,
             ListSource::Second => {
-                known.age.is_some() || now.since(Timestamp::ZERO) >= FIRST_LIST_PATIENCE
+                known.age.is_some() || now.since(Timestamp::ZERO) >= SECOND_LIST_SOURCE_DELAY
             }
             ListSource::Not => false,
         };
         is_asked.then_some(known)
     }
 
-    fn take_report(&self, report: BackendReport) {
+    fn apply_list_report(&self, report: BackendReport) {
         let changes = self.list.borrow_mut().follow(report, self.now());
-        self.show(changes);
+        self.apply_list_changes(changes);
     }
 
-    /// Takes a list that this gateway has read itself, in a reading that began at `seen`.
-    pub(crate) fn take_list(&self, list: BackendList, seen: Timestamp) {
+    /// Applies a list that this gateway read from the platform, starting at `seen`.
+    pub(crate) fn apply_list(&self, list: BackendList, seen: Timestamp) {
         let changes = self.list.borrow_mut().replace(list, seen);
-        self.show(changes);
+        self.apply_list_changes(changes);
     }
 
-    /// Takes what a replica says of its life itself: it is there before the list shows it.
-    pub(crate) fn note_incarnation(&self, replica: &BackendId, incarnation: Incarnation) {
-        self.take_incarnations(&[ReplicaIncarnation {
+    /// Records the incarnation that a replica reports itself, which it does before the list shows
+    /// its restart.
+    pub(crate) fn record_incarnation(&self, replica: &BackendId, incarnation: Incarnation) {
+        self.record_incarnations(&[ReplicaIncarnation {
             replica: replica.clone(),
             incarnation,
         }]);
     }
 
-    fn take_incarnations(&self, told: &[ReplicaIncarnation]) {
-        let changes = self.list.borrow_mut().take_incarnations(told);
-        self.show(changes);
+    fn record_incarnations(&self, reported: &[ReplicaIncarnation]) {
+        let changes = self.list.borrow_mut().take_incarnations(reported);
+        self.apply_list_changes(changes);
     }
 
-    /// Shows changes of the list in the pool.
-    fn show(&self, changes: Option<BackendChanges>) {
+    /// Applies changes of the list to the pool and closes connections to replicas that were removed
+    /// or restarted.
+    fn apply_list_changes(&self, changes: Option<BackendChanges>) {
         let Some(changes) = changes else { return };
         let restarted = self.pool.borrow().restarted(&changes);
         let draining = changes.changed.iter().filter(|backend| backend.draining);
@@ -184,7 +188,7 @@
             draining = draining.count(),
             removed = changes.removed.len(),
             restarted = restarted.len(),
-            "new list of replicas"
+            "list of replicas updated"
         );
         self.pool.borrow_mut().apply(&changes);
         self.upstream.forget(&changes.removed);
--- a/crates/gateway-server/src/placement.rs
+++ b/crates/gateway-server/src/placement.rs
@@ -1,9 +1,9 @@
-//! Looks at replicas before a program begins at one of them.
+//! Placement of new programs, based on load reports queried from candidate replicas.
 //!
-//! A gateway of a large fleet has less than one request at a time at most replicas, so its own
-//! requests say nothing of how full a replica is; the replica does. Two reports for each program
-//! cost a round trip once in its life. With them programs neither pile up at some replicas, whose
-//! prompt caches then thrash, nor begin while all are full.
+//! In a large fleet one gateway has less than one request in flight at most replicas, so its own
+//! requests do not show how full a replica is. Querying two replicas costs one round trip per
+//! program. It prevents programs from piling up at a few replicas, whose prompt caches then thrash,
+//! and from starting while all replicas are full.
 
 use crate::exchange::connection_limit;
 use crate::gateway::Gateway;
@@ -20,31 +20,32 @@
 use luglink_telemetry::milliseconds;
 use std::time::Duration;
 
-/// Replicas that are looked at before a program begins.
-const CANDIDATES: usize = 2;
+/// Number of replicas that are queried within each reach.
+const CANDIDATES_PER_REACH: usize = 2;
 
-/// Fullness of the candidates of a program's home from which others are looked at too, first those
-/// of its zone that are not needed at the load of now, then those of other zones: below it a
-/// replica batches without slowing down much. From 0.75 on, the replicas of busy zones were full
-/// while others had room.
-const LEAVES_AT: f64 = 0.4;
+/// Fullness from which a candidate counts as busy. Below it a replica batches without slowing down
+/// much. If all home candidates of a program are busy, the search widens: first to replicas of the
+/// zone that the current load does not need, then to other zones. With 0.75, replicas in busy zones
+/// filled up while other zones had free capacity.
+const BUSY_FULLNESS: f64 = 0.4;
 
-/// Fullness that a replica in another zone counts as having more: all turns of the program then
-/// cross zones.
-const ELSEWHERE_COST: f64 = 0.1;
+/// Penalty added to the fullness of a replica in another zone, because all turns of the program
+/// would then cross zones.
+const OTHER_ZONE_PENALTY: f64 = 0.1;
 
-/// Longest wait for a replica's report; one that is well answers within a round trip. A program
-/// whose candidates say nothing begins at the first of them.
-const REPORT_LIMIT: Duration = Duration::from_millis(40);
+/// Timeout of querying a replica's report. A healthy replica answers within a round trip. If no
+/// candidate answers, the program starts at the first of them.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// Longest report, in bytes.
+/// Maximum size of a report.
 const MAX_REPORT_BYTES: usize = 64 << 10;
 
-/// The replica at which a program begins; `None` where that does not matter.
+/// Chooses the replica at which a program starts; `None` if querying is disabled, or the service
+/// has no engines or no candidates.
 ///
 /// # Errors
-/// All that it could begin at are full. The request has not run.
-pub(crate) async fn first_place(
+/// All candidates are full. The request has not run.
+pub(crate) async fn choose_first_replica(
     gateway: &Gateway,
     inbound: &Inbound,
 ) -> Result<Option<BackendId>, Refusal> {
@@ -53,26 +54,26 @@
     if limit <= 0.0 || has_engine != Some(true) {
         return Ok(None);
     }
-    let work = work::of_first_turn(gateway, inbound).filter(|_| remembers_place(inbound));
-    let (mut candidates, mut fullness) = look_home(gateway, inbound, work.as_ref()).await;
-    if are_busy(&fullness) {
-        let (spare, their_fullness) = look_at(gateway, inbound, Reach::Spare).await;
+    let work = work::estimate_first_turn(gateway, inbound).filter(|_| is_replica_stored(inbound));
+    let (mut candidates, mut fullness) = query_home(gateway, inbound, work.as_ref()).await;
+    if are_all_busy(&fullness) {
+        let (spare, added_fullness) = query_reach(gateway, inbound, Reach::Spare).await;
         candidates.extend(spare);
-        fullness.extend(their_fullness);
+        fullness.extend(added_fullness);
         gateway.pool.borrow_mut().widen(&inbound.service);
     }
-    if are_busy(&fullness) {
-        let (others, their_fullness) = look_at(gateway, inbound, Reach::Elsewhere).await;
+    if are_all_busy(&fullness) {
+        let (others, added_fullness) = query_reach(gateway, inbound, Reach::Elsewhere).await;
         candidates.extend(others);
-        let their_fullness = their_fullness.into_iter();
-        fullness.extend(their_fullness.map(|known| Some(known? + ELSEWHERE_COST)));
+        let added_fullness = added_fullness.into_iter();
+        fullness.extend(added_fullness.map(|reported| Some(reported? + OTHER_ZONE_PENALTY)));
     }
     let spread = (gateway.draw() >> 32) as f64 / f64::from(u32::MAX);
     let placement = match &work {
         None => place(&fullness, limit, spread),
         Some(work) => {
             let seconds = expected_seconds(gateway, &candidates, work);
-            place_soonest(&fullness, &seconds, LEAVES_AT, limit, spread)
+            place_soonest(&fullness, &seconds, BUSY_FULLNESS, limit, spread)
         }
     };
     match placement {
@@ -87,19 +88,19 @@
                 fullness,
                 limit,
                 come_back_ms = milliseconds(come_back),
-                "a program is not let in: the replicas are full"
+                "program refused: all candidate replicas are full"
             );
             Err(Refusal::not_run_until(
-                "the engines have too much to do",
+                "the engines are overloaded",
                 come_back,
             ))
         }
     }
 }
 
-/// Whether the stores say at the program's later turns where it began. Those of other programs
-/// go where all gateways agree on.
-fn remembers_place(inbound: &Inbound) -> bool {
+/// Returns true if the turn stores record the program's replica for its later turns. Later turns of
+/// other programs go to the replica that all gateways derive from the program's name.
+fn is_replica_stored(inbound: &Inbound) -> bool {
     let program = inbound.program.as_ref();
     let has_budget = program.is_some_and(|program| program.budget.is_some());
     has_budget || inbound.route.keeps_history
@@ -115,31 +116,32 @@
     seconds.collect()
 }
 
-/// Whether no candidate is known to have room to spare.
-fn are_busy(fullness: &[Option<f64>]) -> bool {
-    let is_busy = |known: &Option<f64>| known.is_none_or(|known| known >= LEAVES_AT);
+/// Returns true if all candidates are busy or have not reported.
+fn are_all_busy(fullness: &[Option<f64>]) -> bool {
+    let is_busy =
+        |reported: &Option<f64>| reported.is_none_or(|fullness| fullness >= BUSY_FULLNESS);
     fullness.iter().all(is_busy)
 }
 
-/// Looks at the candidates for a program's home, and tells how full they are.
-async fn look_home(
+/// Queries the home candidates of a program. Returns them with their fullness.
+async fn query_home(
     gateway: &Gateway,
     inbound: &Inbound,
     work: Option<&Work>,
 ) -> (Vec<Backend>, Vec<Option<f64>>) {
     let Some(work) = work else {
-        return look_at(gateway, inbound, Reach::Home).await;
+        return query_reach(gateway, inbound, Reach::Home).await;
     };
     let candidates = {
         let pool = gateway.pool.borrow();
         let (service, now) = (&inbound.service, gateway.now());
-        pool.candidates_by_finish(service, inbound.draw, work, CANDIDATES, now)
+        pool.candidates_by_finish(service, inbound.draw, work, CANDIDATES_PER_REACH, now)
     };
-    look_at_each(gateway, candidates).await
+    query_all(gateway, candidates).await
 }
 
-/// Looks at the candidates of a reach, and tells how full they are.
-async fn look_at(
+/// Queries the candidates within a reach. Returns them with their fullness.
+async fn query_reach(
     gateway: &Gateway,
     inbound: &Inbound,
     reach: Reach,
@@ -147,32 +149,41 @@
     let candidates = {
         let pool = gateway.pool.borrow();
         let service = &inbound.service;
-        pool.candidates(service, inbound.draw, reach, CANDIDATES, gateway.now())
+        pool.candidates(
+            service,
+            inbound.draw,
+            reach,
+            CANDIDATES_PER_REACH,
+            gateway.now(),
+        )
     };
-    look_at_each(gateway, candidates).await
+    query_all(gateway, candidates).await
 }
 
-async fn look_at_each(
+async fn query_all(
     gateway: &Gateway,
     candidates: Vec<Backend>,
 ) -> (Vec<Backend>, Vec<Option<f64>>) {
-    let looks = candidates.iter().map(|backend| look(gateway, backend));
-    let fullness = join_all(looks).await;
+    let queries = candidates
+        .iter()
+        .map(|backend| query_fullness(gateway, backend));
+    let fullness = join_all(queries).await;
     (candidates, fullness)
 }
 
-async fn look(gateway: &Gateway, backend: &Backend) -> Option<f64> {
+/// Queries the fullness of a replica; `None` if it does not report in time.
+async fn query_fullness(gateway: &Gateway, backend: &Backend) -> Option<f64> {
     let reading = read_report(gateway, backend);
-    let report = actix_rt::time::timeout(REPORT_LIMIT, reading)
+    let report = actix_rt::time::timeout(REPORT_TIMEOUT, reading)
         .await
         .ok()??;
-    gateway.note_incarnation(&backend.id, report.incarnation);
+    gateway.record_incarnation(&backend.id, report.incarnation);
     Some(report.fullness(backend.slots))
 }
 
 async fn read_report(gateway: &Gateway, backend: &Backend) -> Option<ReplicaReport> {
     let limit = connection_limit(gateway, &backend.service);
-    let acquiring = gateway.upstream.acquire(backend, limit, REPORT_LIMIT);
+    let acquiring = gateway.upstream.acquire(backend, limit, REPORT_TIMEOUT);
     let mut lease = acquiring.await.ok()?;
     gateway.pool.borrow_mut().note_connected(&backend.id);
     let mut request = Request::new(empty_body());
@@ -187,7 +198,7 @@
     match report {
         Ok(report) => Some(report),
         Err(error) => {
-            tracing::warn!(replica = %backend.id, %error, "a replica's report cannot be read");
+            tracing::warn!(replica = %backend.id, %error, "cannot parse the report of a replica");
             None
         }
     }
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -1,7 +1,8 @@
-//! The program side of a turn: its budget and the turns that it goes on from.
+//! Preparation of a turn: reserves its budget, admits and places new programs, and loads the turns
+//! it continues.
 
-use crate::admission::UnderWay;
-use crate::chain_search::ChainAnswer;
+use crate::admission::TurnGuard;
+use crate::chain_search::ChainLookup;
 use crate::gateway::Gateway;
 use crate::inbound::{Inbound, ProgramFields};
 use crate::refusal::Refusal;
@@ -17,35 +18,36 @@
 use std::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Keeps a program's place among those that are let in apart from the service and the replica
-/// that its name chooses: otherwise some of these would lose all their programs first.
-const INTAKE_SEED: u64 = 1;
+/// Seed of the hash that ranks programs for admission. It keeps this hash independent of the one
+/// that chooses the service and the replica: otherwise some of these would lose all their programs
+/// first.
+const ADMISSION_SEED: u64 = 1;
 
-/// A turn that may be sent.
+/// A turn that has been admitted and may be sent.
 #[derive(Debug)]
 pub(crate) struct TurnStart {
-    /// What it holds of its program's budget, when it has one.
+    /// Tokens reserved from the program's budget; `None` if the turn stores were not involved.
     pub(crate) reservation: Option<Reservation>,
-    /// The turns that it goes on from, oldest first.
+    /// Ancestors of the turn, oldest first.
     pub(crate) chain: Vec<Rc<TurnRecord>>,
-    /// The replica that holds the prompt's beginning, or at which the program begins.
+    /// Replica that holds the prompt's prefix in cache, or at which the program starts.
     pub(crate) place: Option<BackendId>,
-    /// Whether it is not its program's first.
-    pub(crate) goes_on: bool,
-    /// The whole prompt, when it differs from what the caller sent.
+    /// True if the turn is not the first of its program.
+    pub(crate) is_continuation: bool,
+    /// The whole prompt, if it differs from what the caller sent.
     pub(crate) prompt: Option<Bytes>,
-    /// Counts its program as under way, where programs are let in by their working set.
-    pub(crate) _under_way: Option<UnderWay>,
+    /// Counts the program as running, where programs are admitted by working set.
+    pub(crate) _guard: Option<TurnGuard>,
 }
 
-/// Tokens that a turn holds of its program's budget. Dropping it gives back what was not given
-/// to the caller.
+/// Tokens reserved for a turn from its program's budget. Dropping the reservation settles the
+/// turn, which releases the tokens that were not delivered to the caller.
 pub(crate) struct Reservation {
     gateway: Rc<Gateway>,
     program: ProgramName,
     turn: TurnId,
     retention_ms: u64,
-    given: Cell<u64>,
+    delivered: Cell<u64>,
     is_settled: Cell<bool>,
     served_by: RefCell<Option<BackendId>>,
 }
@@ -55,29 +57,29 @@
         formatter
             .debug_struct("Reservation")
             .field("turn", &self.turn)
-            .field("given", &self.given)
+            .field("delivered", &self.delivered)
             .finish_non_exhaustive()
     }
 }
 
 impl Reservation {
-    /// Notes tokens that go to the caller.
+    /// Adds tokens that are delivered to the caller.
     pub(crate) fn give(&self, tokens: u64) {
-        self.given.set(self.given.get() + tokens);
+        self.delivered.set(self.delivered.get() + tokens);
     }
 
-    /// Tokens that went to the caller.
+    /// Returns the number of tokens delivered to the caller.
     pub(crate) fn given(&self) -> u64 {
-        self.given.get()
+        self.delivered.get()
     }
 
-    /// Notes the replica that serves the turn. The stores are told with the turn's end, so that
-    /// the program's next turn goes there from whichever gateway it reaches.
+    /// Records the replica that serves the turn. It is sent to the stores when the turn is settled,
+    /// so that any gateway sends the program's next turn to the same replica.
     pub(crate) fn note_replica(&self, replica: &BackendId) {
         *self.served_by.borrow_mut() = Some(replica.clone());
     }
 
-    /// The stores have the turn's end already.
+    /// Marks the turn as already settled in the stores.
     pub(crate) fn mark_settled(&self) {
         self.is_settled.set(true);
     }
@@ -91,39 +93,40 @@
         let gateway = Rc::clone(&self.gateway);
         let program = self.program.clone();
         let turn = self.turn.clone();
-        let (given, retention_ms) = (self.given.get(), self.retention_ms);
+        let (delivered, retention_ms) = (self.delivered.get(), self.retention_ms);
         let served_by = self.served_by.take();
         actix_rt::spawn(async move {
-            let settling = gateway
-                .turns
-                .settle(&program, &turn, given, retention_ms, served_by);
+            let settling =
+                gateway
+                    .turns
+                    .settle(&program, &turn, delivered, retention_ms, served_by);
             settling.await;
         });
     }
 }
 
-/// What the stores say of a turn.
-struct Reserved {
+/// State of a turn after the turn stores were consulted.
+struct ReservedTurn {
     reservation: Option<Reservation>,
-    chain: Option<ChainAnswer>,
-    /// The replica that served the program's last turn.
+    chain: Option<ChainLookup>,
+    /// Replica that served the program's latest turn.
     served_by: Option<BackendId>,
     purpose: Purpose,
 }
 
-impl Reserved {
-    /// Of a turn that needs nothing of the stores.
-    fn nothing(program: &ProgramFields) -> Self {
+impl ReservedTurn {
+    /// Returns the state of a turn that does not involve the stores.
+    fn without_stores(program: &ProgramFields) -> Self {
         Self {
             reservation: None,
             chain: None,
             served_by: None,
-            purpose: purpose(program.previous.is_none()),
+            purpose: purpose_of(program.previous.is_none()),
         }
     }
 }
 
-fn purpose(begins: bool) -> Purpose {
+fn purpose_of(begins: bool) -> Purpose {
     if begins {
         Purpose::Begins
     } else {
@@ -131,8 +134,8 @@
     }
 }
 
-/// Reserves a turn's tokens, takes one of its tenant's quota, and finds the turns that it goes on
-/// from.
+/// Prepares a turn: reserves its tokens, loads its ancestors, chooses a replica, and takes a token
+/// from its tenant's quota.
 pub(crate) async fn begin(gateway: &Rc<Gateway>, inbound: &Inbound) -> Result<TurnStart, Refusal> {
     let Some(program) = &inbound.program else {
         quota::take(gateway, inbound, Purpose::Continues).await?;
@@ -140,45 +143,46 @@
             reservation: None,
             chain: Vec::new(),
             place: None,
-            goes_on: false,
+            is_continuation: false,
             prompt: None,
-            _under_way: None,
+            _guard: None,
         });
     };
     let previous = program
         .previous
         .as_ref()
         .filter(|_| inbound.route.keeps_history);
-    let known = previous.and_then(|previous| gateway.turn_cache.borrow().chain(previous));
-    let wanted = previous.filter(|_| known.is_none());
+    let cached_chain = previous.and_then(|previous| gateway.turn_cache.borrow().chain(previous));
+    let wanted = previous.filter(|_| cached_chain.is_none());
     let reserved = if program.budget.is_some() || wanted.is_some() {
         reserve(gateway, inbound, program, wanted).await?
     } else {
-        Reserved::nothing(program)
+        ReservedTurn::without_stores(program)
     };
-    let chain = match (known, reserved.chain) {
+    let chain = match (cached_chain, reserved.chain) {
         (Some(chain), _) => chain,
-        (None, Some(answer)) => take_chain(gateway, inbound, answer)?,
+        (None, Some(lookup)) => resolve_chain(gateway, inbound, lookup)?,
         (None, None) => Vec::new(),
     };
     let place = match (chain.last(), reserved.purpose) {
         (Some(turn), _) => turn.served_by.clone(),
-        (None, Purpose::Begins) => placement::first_place(gateway, inbound).await?,
+        (None, Purpose::Begins) => placement::choose_first_replica(gateway, inbound).await?,
         (None, Purpose::Continues) => reserved.served_by,
     };
-    // Only for a turn that will be sent: one that names no turn or is over its budget takes none.
+    // Taken after the checks above, so that a turn with an unknown ancestor or without budget takes
+    // no token.
     quota::take(gateway, inbound, reserved.purpose).await?;
     let prompt = match chain.is_empty() {
         true => None,
-        false => Some(prompt(&chain, inbound)?),
+        false => Some(build_prompt(&chain, inbound)?),
     };
     Ok(TurnStart {
         reservation: reserved.reservation,
         place,
-        goes_on: reserved.purpose == Purpose::Continues,
+        is_continuation: reserved.purpose == Purpose::Continues,
         chain,
         prompt,
-        _under_way: admission::note_turn(gateway, inbound, reserved.purpose),
+        _guard: admission::track_turn(gateway, inbound, reserved.purpose),
     })
 }
 
@@ -187,7 +191,7 @@
     inbound: &Inbound,
     program: &ProgramFields,
     wanted: Option<&TurnId>,
-) -> Result<Reserved, Refusal> {
+) -> Result<ReservedTurn, Refusal> {
     let turn = inbound.turn();
     let retention_ms = inbound.route.retention_ms;
     let reservation = Reservation {
@@ -195,7 +199,7 @@
         program: program.name.clone(),
         turn: turn.clone(),
         retention_ms,
-        given: Cell::new(0),
+        delivered: Cell::new(0),
         is_settled: Cell::new(false),
         served_by: RefCell::default(),
     };
@@ -207,7 +211,7 @@
     let begun = match actix_rt::time::timeout(inbound.remaining(), beginning).await {
         Ok(Ok(begun)) => begun,
         Ok(Err(error)) => {
-            tracing::warn!(id = inbound.id, %error, "a turn could not be noted");
+            tracing::warn!(id = inbound.id, %error, "cannot reserve tokens for a turn");
             return Err(Refusal::recovering("the turn stores do not answer"));
         }
         Err(_) => {
@@ -220,13 +224,13 @@
     gateway.metrics.reserve_seconds.observe(seconds);
     let begins = program.previous.is_none() && begun.account.is_begun_by(&turn);
     if begins {
-        let_in(gateway, inbound, program)?;
+        admit(gateway, inbound, program)?;
     }
-    let reserved = Reserved {
+    let reserved = ReservedTurn {
         reservation: Some(reservation),
         chain: begun.chain,
         served_by: begun.served_by,
-        purpose: purpose(begins),
+        purpose: purpose_of(begins),
     };
     let Some(budget) = program.budget else {
         return Ok(reserved);
@@ -234,9 +238,9 @@
     let mut spent = begun.account.total();
     let mut admission = Admission::at_first_look(spent, program.ceiling, budget);
     if admission == Admission::LookAgain {
-        let again = gateway.turns.account(&program.name).await;
-        let again = again.ok_or(Refusal::recovering("the turn stores do not answer"))?;
-        spent = spent.max(again.total());
+        let account = gateway.turns.account(&program.name).await;
+        let account = account.ok_or(Refusal::recovering("the turn stores do not answer"))?;
+        spent = spent.max(account.total());
         admission = Admission::at_second_look(spent, budget);
     }
     if admission == Admission::Refuse {
@@ -246,7 +250,7 @@
             spent,
             budget,
             ceiling = program.ceiling,
-            "the budget is spent"
+            "turn refused: the program's token budget is spent"
         );
         return Err(Refusal::new(
             StatusCode::PAYMENT_REQUIRED,
@@ -256,14 +260,14 @@
     Ok(reserved)
 }
 
-/// Refuses a program that has not begun when the engines have too much to do already.
-fn let_in(gateway: &Gateway, inbound: &Inbound, program: &ProgramFields) -> Result<(), Refusal> {
-    let place = xxh3_64_with_seed(program.name.0.as_bytes(), INTAKE_SEED);
-    if admission::decides(gateway, inbound) {
-        return admission::let_in(gateway, inbound, program, place);
+/// Refuses a new program if the engines are overloaded.
+fn admit(gateway: &Gateway, inbound: &Inbound, program: &ProgramFields) -> Result<(), Refusal> {
+    let program_hash = xxh3_64_with_seed(program.name.0.as_bytes(), ADMISSION_SEED);
+    if admission::uses_working_set(gateway, inbound) {
+        return admission::admit(gateway, inbound, program, program_hash);
     }
     let mut shedder = gateway.shedder.borrow_mut();
-    let intake = shedder.admit(&inbound.route, place, gateway.now());
+    let intake = shedder.admit(&inbound.route, program_hash, gateway.now());
     let Intake::Refuse {
         come_back,
         share,
@@ -279,40 +283,45 @@
         share,
         late,
         aim_ms = inbound.route.target_latency_ms,
-        "a program is not let in"
+        "program refused: too many first events on its route are late"
     );
     Err(Refusal::not_run_until(
-        "the engines have too much to do",
+        "the engines are overloaded",
         come_back,
     ))
 }
 
-fn take_chain(
+fn resolve_chain(
     gateway: &Gateway,
     inbound: &Inbound,
-    answer: ChainAnswer,
+    lookup: ChainLookup,
 ) -> Result<Vec<Rc<TurnRecord>>, Refusal> {
-    match answer {
-        ChainAnswer::Found(chain) => {
+    match lookup {
+        ChainLookup::Found(chain) => {
             let mut cache = gateway.turn_cache.borrow_mut();
             for turn in &chain {
                 cache.insert(Rc::clone(turn));
             }
             Ok(chain)
         }
-        ChainAnswer::Absent => {
-            tracing::info!(id = inbound.id, "no store has the previous turn");
+        ChainLookup::Absent => {
+            tracing::info!(id = inbound.id, "the previous turn does not exist");
             Err(Refusal::new(StatusCode::NOT_FOUND, "no such turn"))
         }
-        ChainAnswer::Unknown => {
-            tracing::warn!(id = inbound.id, "the previous turn cannot be found now");
-            Err(Refusal::recovering("the previous turn cannot be found now"))
+        ChainLookup::Unknown => {
+            tracing::warn!(
+                id = inbound.id,
+                "cannot determine whether the previous turn exists"
+            );
+            Err(Refusal::recovering(
+                "the previous turn cannot be looked up at the moment",
+            ))
         }
     }
 }
 
-/// The prompt of a turn: everything before it in its line, then what is new.
-fn prompt(chain: &[Rc<TurnRecord>], inbound: &Inbound) -> Result<Bytes, Refusal> {
+/// Builds the prompt of a turn: the inputs and outputs of its ancestors followed by the new input.
+fn build_prompt(chain: &[Rc<TurnRecord>], inbound: &Inbound) -> Result<Bytes, Refusal> {
     let history: usize = chain
         .iter()
         .map(|turn| turn.input.len() + turn.output.len())
--- a/crates/gateway-server/src/quota.rs
+++ b/crates/gateway-server/src/quota.rs
@@ -1,4 +1,4 @@
-//! Whether a request may go by its tenant's quota.
+//! Enforcement of tenant quotas: takes a token for a request from the owners of its tenant's quota.
 
 use crate::gateway::Gateway;
 use crate::inbound::Inbound;
@@ -11,35 +11,35 @@
 use luglink_telemetry::milliseconds;
 use std::time::{Duration, Instant};
 
-/// Wait for one owner after which the next one is asked too. An owner that is well answers within
-/// a few milliseconds; one token too many is what a slow one costs.
-const OWNER_PATIENCE: Duration = Duration::from_millis(60);
+/// Time after which the next owner is asked as well. A healthy owner answers within a few
+/// milliseconds. Asking a second one may take one token too many.
+const OWNER_HEDGE_DELAY: Duration = Duration::from_millis(60);
 
-/// Longest wait for the owners together.
-const OWNERS_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout of asking all owners once.
+const OWNERS_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest time that a request of a program that has begun waits for a token. Refused, it would
-/// spend one of its caller's few tries, or end a program that engines have worked for.
-const TOKEN_PATIENCE: Duration = Duration::from_millis(400);
+/// Maximum time that a request of a running program waits for a token. Refusing it would use up one
+/// of its caller's few retries, or end a program that engines have already worked on.
+const MAX_TOKEN_WAIT: Duration = Duration::from_millis(400);
 
-/// Shortest pause before the owners are asked again.
-const SHORTEST_TOKEN_WAIT: Duration = Duration::from_millis(10);
+/// Minimum delay before the owners are asked again.
+const MIN_TOKEN_WAIT: Duration = Duration::from_millis(10);
 
-/// What the owners of a tenant say together.
+/// Combined answer of the owners of a tenant's quota.
 enum Verdict {
     Granted,
     Denied {
         come_back: Duration,
     },
-    /// None of them could say.
+    /// No owner gave a decision.
     Unknown,
 }
 
-/// Takes a token of the quota of a request's tenant; requests of tenants without a limit, and of
-/// callers without a tenant, need none.
+/// Takes a token from the quota of the request's tenant. Does nothing if the caller has no tenant
+/// or the tenant has no quota.
 ///
 /// # Errors
-/// The tenant's limit is reached, or nobody can say whether it is. The request has not run.
+/// The tenant's limit is reached, or no owner can tell. The request has not run.
 pub(crate) async fn take(
     gateway: &Gateway,
     inbound: &Inbound,
@@ -52,21 +52,21 @@
         return Ok(());
     };
     let began = Instant::now();
-    let ask = ask(inbound, tenant, quota, purpose);
-    let verdict = verdict(gateway, inbound, &ask).await;
+    let ask = token_request(inbound, tenant, quota, purpose);
+    let verdict = request_token(gateway, inbound, &ask).await;
     let seconds = began.elapsed().as_secs_f64();
     gateway.metrics.quota_seconds.observe(seconds);
     match verdict {
         Verdict::Granted => Ok(()),
-        Verdict::Denied { come_back } => Err(over_limit(gateway, inbound, &ask, come_back)),
+        Verdict::Denied { come_back } => Err(limit_reached(gateway, inbound, &ask, come_back)),
         Verdict::Unknown => {
             tracing::warn!(
                 id = inbound.id,
                 tenant = %tenant.name,
                 epoch = gateway.turns.epoch(),
-                "no owner of the quota can say whether a request may go"
+                "cannot check the quota: no owner gave a decision"
             );
-            gateway.metrics.note_quota("unknown");
+            gateway.metrics.count_quota_refusal("unknown");
             Err(Refusal::recovering(
                 "the tenant's quota cannot be looked up",
             ))
@@ -74,28 +74,28 @@
     }
 }
 
-/// Asks the owners, again when a program that has begun would be refused for want of a token that
-/// will be there within moments.
-async fn verdict(gateway: &Gateway, inbound: &Inbound, ask: &QuotaAsk) -> Verdict {
-    let patience = match ask.purpose {
+/// Asks the owners for a token. A request of a running program retries while a token is expected
+/// within its maximum wait.
+async fn request_token(gateway: &Gateway, inbound: &Inbound, ask: &QuotaAsk) -> Verdict {
+    let max_wait = match ask.purpose {
         Purpose::Begins => Duration::ZERO,
-        Purpose::Continues => TOKEN_PATIENCE.min(inbound.remaining() / 4),
+        Purpose::Continues => MAX_TOKEN_WAIT.min(inbound.remaining() / 4),
     };
-    let deadline = Instant::now() + patience;
+    let deadline = Instant::now() + max_wait;
     loop {
-        let limit = OWNERS_LIMIT.min(inbound.remaining());
-        let asking = actix_rt::time::timeout(limit, ask_owners(gateway, ask));
-        let verdict = asking.await.unwrap_or(Verdict::Unknown);
+        let timeout = OWNERS_TIMEOUT.min(inbound.remaining());
+        let verdict = actix_rt::time::timeout(timeout, ask_owners(gateway, ask));
+        let verdict = verdict.await.unwrap_or(Verdict::Unknown);
         match verdict {
             Verdict::Denied { come_back } if Instant::now() + come_back < deadline => {
-                actix_rt::time::sleep(come_back.max(SHORTEST_TOKEN_WAIT)).await;
+                actix_rt::time::sleep(come_back.max(MIN_TOKEN_WAIT)).await;
             }
             verdict => return verdict,
         }
     }
 }
 
-fn ask(inbound: &Inbound, tenant: &Tenant, quota: Quota, purpose: Purpose) -> QuotaAsk {
+fn token_request(inbound: &Inbound, tenant: &Tenant, quota: Quota, purpose: Purpose) -> QuotaAsk {
     QuotaAsk {
         tenant: tenant.name.clone(),
         limit: Limit {
@@ -107,7 +107,7 @@
     }
 }
 
-fn over_limit(
+fn limit_reached(
     gateway: &Gateway,
     inbound: &Inbound,
     ask: &QuotaAsk,
@@ -122,31 +122,31 @@
         burst = ask.limit.burst,
         version = inbound.version,
         come_back_ms = milliseconds(come_back),
-        "a tenant's limit is reached"
+        "request refused: the tenant's limit is reached"
     );
-    gateway.metrics.note_quota("denied");
+    gateway.metrics.count_quota_refusal("denied");
     Refusal {
         status: StatusCode::TOO_MANY_REQUESTS,
         ..Refusal::not_run_until("the tenant's limit is reached", come_back)
     }
 }
 
-/// Asks one owner after the other until one has a token: the next one when an owner has none, and
-/// besides it when an owner is slow to answer.
+/// Asks the owners in turn until one grants a token. The next owner is asked when one has no token,
+/// or in parallel when one is slow to answer.
 async fn ask_owners(gateway: &Gateway, ask: &QuotaAsk) -> Verdict {
     let mut owners = gateway.turns.quota_owners(&ask.tenant).into_iter();
-    let mut asking = FuturesUnordered::new();
+    let mut pending = FuturesUnordered::new();
     let mut come_back = None;
     loop {
         let next = owners.next();
         let is_last = next.is_none();
         if let Some(owner) = next {
-            asking.push(gateway.turns.ask_quota(&owner, ask));
+            pending.push(gateway.turns.request_quota(&owner, ask));
         }
         loop {
             let answer = tokio::select! {
-                answer = asking.next() => answer,
-                () = actix_rt::time::sleep(OWNER_PATIENCE), if !is_last => break,
+                answer = pending.next() => answer,
+                () = actix_rt::time::sleep(OWNER_HEDGE_DELAY), if !is_last => break,
             };
             match answer {
                 Some(Some(QuotaAnswer::Granted)) => return Verdict::Granted,
--- a/crates/gateway-server/src/server.rs
+++ b/crates/gateway-server/src/server.rs
@@ -1,4 +1,4 @@
-//! Start and stop of a gateway.
+//! Startup and planned stop of a gateway.
 
 use crate::config::GatewayConfig;
 use crate::errors::{GatewayError, ListenSnafu};
@@ -19,26 +19,26 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpListener;
 
-/// Time for which a stopping gateway still takes connections, so that callers that were told of
-/// it before find it, and hear on each answer that they should leave.
-const LEAVING_TIME: Duration = Duration::from_millis(1_000);
+/// Time for which a stopping gateway still accepts connections. Callers that were given its address
+/// earlier can still reach it, and each answer asks them to close the connection.
+const STOP_GRACE_PERIOD: Duration = Duration::from_millis(1_000);
 
-/// Time after which a connection is broken off whose caller takes nothing of what waits for it.
-/// Streams are cut before, with their own reason; this lets go of what their connections still have,
-/// and of whole answers.
-const UNREAD_CONNECTION_LIMIT: Duration = Duration::from_secs(4);
+/// Time after which a connection is aborted if its caller reads nothing of the pending data.
+/// Streams are aborted earlier and for a reason of their own; this limit frees the data that their
+/// connections still buffer, and complete answers.
+const UNREAD_CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Time between looks at what is still under way.
-const STOP_CHECK: Duration = Duration::from_millis(20);
+/// Interval at which a stopping gateway checks for remaining requests and connections.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait of the platform's checks, and longest rest of their connections.
-const CHECK_IDLE: Duration = Duration::from_secs(30);
+/// Idle timeout of connections for readiness checks, including the time to receive a request head.
+const READINESS_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A running gateway.
 pub struct GatewayServer {
     /// Address for callers.
     pub address: SocketAddr,
-    /// Address of the metrics, when they are served.
+    /// Address for metrics; `None` if they are not served.
     pub metrics_address: Option<SocketAddr>,
     gateway: Rc<Gateway>,
     stopper: Stopper,
@@ -49,13 +49,13 @@
 /// Starts a gateway on the current actix thread.
 ///
 /// # Errors
-/// An address is taken.
+/// A listen address cannot be bound, or the metrics cannot be registered.
 pub async fn start(
     config: GatewayConfig,
     dialect: Rc<dyn Dialect>,
 ) -> Result<GatewayServer, GatewayError> {
     let callers = bind(config.listen).await?;
-    let checks = bind(config.ready_listen).await?;
+    let readiness = bind(config.ready_listen).await?;
     let address = callers.local_addr().context(ListenSnafu {
         address: config.listen,
     })?;
@@ -67,7 +67,7 @@
     let gateway = Rc::new(Gateway::new(config, dialect, metrics, seed));
     let (stopper, signal) = stopper();
     serve_callers(&gateway, callers, signal.clone());
-    serve_checks(&gateway, checks);
+    serve_readiness(&gateway, readiness);
     actix_rt::spawn(list::keep_current(Rc::clone(&gateway)));
     actix_rt::spawn(load_view::watch(Rc::clone(&gateway)));
     let observer = Observer::start(Rc::clone(&gateway), gateway.config.observer.clone());
@@ -94,12 +94,12 @@
         move || {
             let limits = gateway
                 .in_force()
-                .map_or(Limits::default(), |held| held.configuration.limits);
+                .map_or(Limits::default(), |in_force| in_force.configuration.limits);
             ServeOptions {
                 header_bytes: limits.max_header_bytes,
-                // The library counts rest and head together.
+                // The HTTP library counts the idle time and the time to receive a head together.
                 idle: Duration::from_millis(limits.idle_timeout_ms + limits.header_timeout_ms),
-                unread: features.held_bytes().then_some(UNREAD_CONNECTION_LIMIT),
+                unread: features.held_bytes().then_some(UNREAD_CONNECTION_TIMEOUT),
             }
         }
     };
@@ -110,27 +110,27 @@
     actix_rt::spawn(serve(listener, options, signal, handler));
 }
 
-fn check_options() -> ServeOptions {
+fn readiness_options() -> ServeOptions {
     ServeOptions {
         header_bytes: 16 << 10,
-        idle: CHECK_IDLE,
+        idle: READINESS_IDLE_TIMEOUT,
         unread: None,
     }
 }
 
-fn serve_checks(gateway: &Rc<Gateway>, listener: TcpListener) {
+fn serve_readiness(gateway: &Rc<Gateway>, listener: TcpListener) {
     let gateway = Rc::clone(gateway);
     let handler = Rc::new(move |request: Request<Incoming>| {
         let gateway = Rc::clone(&gateway);
-        async move { Ok::<_, Abort>(check(&gateway, &request)) }
+        async move { Ok::<_, Abort>(readiness_response(&gateway, &request)) }
     });
     let (_, signal) = stopper();
-    actix_rt::spawn(serve(listener, check_options, signal, handler));
+    actix_rt::spawn(serve(listener, readiness_options, signal, handler));
 }
 
-fn check(gateway: &Gateway, request: &Request<Incoming>) -> Response<Body> {
+fn readiness_response(gateway: &Gateway, request: &Request<Incoming>) -> Response<Body> {
     if !gateway.dialect.is_readiness(request.uri().path()) {
-        let refusal = Refusal::new(StatusCode::NOT_FOUND, "no such check");
+        let refusal = Refusal::new(StatusCode::NOT_FOUND, "no such readiness check");
         return refusal.into_response(&*gateway.dialect);
     }
     let mut response = Response::new(empty_body());
@@ -141,13 +141,13 @@
 }
 
 impl GatewayServer {
-    /// Observes these control members too, as when the settings have come to name others.
+    /// Adds control members to observe, for example after the settings have changed.
     pub fn add_members(&self, members: &[SocketAddr]) {
         self.observer.add(members);
     }
 
-    /// Takes no new callers and finishes what is under way. Returns whether all of it ended in
-    /// time.
+    /// Stops accepting callers and waits for requests in flight. Returns true if all of them ended
+    /// in time.
     pub async fn stop(&self) -> bool {
         let began = Instant::now();
         self.gateway.is_stopping.set(true);
@@ -156,18 +156,18 @@
             connections = self.signal.open_connections(),
             "gateway stopping"
         );
-        actix_rt::time::sleep(LEAVING_TIME).await;
+        actix_rt::time::sleep(STOP_GRACE_PERIOD).await;
         self.stopper.stop();
         while began.elapsed() < self.gateway.config.stop_limit {
             if self.gateway.in_flight.get() == 0 && self.signal.open_connections() == 0 {
                 tracing::info!(ms = milliseconds(began.elapsed()), "gateway stopped");
                 return true;
             }
-            actix_rt::time::sleep(STOP_CHECK).await;
+            actix_rt::time::sleep(STOP_CHECK_INTERVAL).await;
         }
         tracing::warn!(
             in_flight = self.gateway.in_flight.get(),
-            "gateway stopped with requests under way"
+            "gateway stopped with requests in flight"
         );
         false
     }
--- a/crates/gateway-server/src/store_link.rs
+++ b/crates/gateway-server/src/store_link.rs
@@ -1,4 +1,4 @@
-//! A link to one turn store.
+//! Client of one turn store.
 
 use luglink_fleet::StoreName;
 use luglink_net::RequestClient;
@@ -10,24 +10,24 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest wait for one store.
-const ANSWER_LIMIT: Duration = Duration::from_millis(600);
+/// Timeout of a request to a store.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Weight of a new sample in a store's average answer time.
+/// Weight of a new sample in the moving average of a store's response time.
 const SAMPLE_WEIGHT: f64 = 0.2;
 
-/// A link to one store.
+/// Client of one turn store.
 #[derive(Debug)]
 pub(crate) struct StoreLink {
     name: StoreName,
     client: RequestClient,
-    /// Average time to an answer, in milliseconds.
-    answer_ms: Cell<f64>,
-    is_lost: Cell<bool>,
+    /// Moving average of the response time, in milliseconds.
+    response_ms: Cell<f64>,
+    is_unresponsive: Cell<bool>,
 }
 
 impl StoreLink {
-    /// Opens a link; it connects when it is used.
+    /// Creates a client, which connects on first use.
     pub(crate) fn open(name: StoreName, address: SocketAddr) -> Self {
         let hello = Hello {
             version: PROTOCOL_VERSION,
@@ -37,8 +37,8 @@
         Self {
             name,
             client: RequestClient::open(address, hello),
-            answer_ms: Cell::new(0.0),
-            is_lost: Cell::new(false),
+            response_ms: Cell::new(0.0),
+            is_unresponsive: Cell::new(false),
         }
     }
 
@@ -46,43 +46,43 @@
         self.client.address()
     }
 
-    /// Whether the store did not answer last time.
-    pub(crate) fn is_lost(&self) -> bool {
-        self.is_lost.get()
+    /// Returns true if the store did not answer the latest request.
+    pub(crate) fn is_unresponsive(&self) -> bool {
+        self.is_unresponsive.get()
     }
 
-    /// Average time to an answer, in microseconds; 0 before the first one.
-    pub(crate) fn answer_micros(&self) -> u64 {
-        (self.answer_ms.get() * 1_000.0) as u64
+    /// Returns the average response time in microseconds; 0 before the first response.
+    pub(crate) fn response_micros(&self) -> u64 {
+        (self.response_ms.get() * 1_000.0) as u64
     }
 
-    /// Asks the store; `None` when it does not answer. The request is on its way once the future
-    /// is polled first, and stays so when the future is dropped.
-    pub(crate) fn ask(
+    /// Sends a request; `None` if the store does not answer in time. The request is sent when the
+    /// future is first polled, and dropping the future does not cancel it.
+    pub(crate) fn send(
         self: Rc<Self>,
         request: &StoreRequest,
     ) -> impl Future<Output = Option<StoreResponse>> + use<> {
         let body = encode_body(request).ok();
         async move {
             let began = Instant::now();
-            let answer = self.client.request(body?, ANSWER_LIMIT).await.ok();
+            let answer = self.client.request(body?, REQUEST_TIMEOUT).await.ok();
             let response = answer.and_then(|answer| decode_body(&answer).ok());
-            self.note(began.elapsed(), response.is_some());
+            self.record_response(began.elapsed(), response.is_some());
             response
         }
     }
 
-    fn note(&self, time: Duration, answered: bool) {
-        if self.is_lost.replace(!answered) == answered {
+    fn record_response(&self, time: Duration, answered: bool) {
+        if self.is_unresponsive.replace(!answered) == answered {
             if answered {
-                tracing::info!(store = %self.name, "turn store regained");
+                tracing::info!(store = %self.name, "turn store is responding again");
             } else {
-                tracing::warn!(store = %self.name, "turn store lost");
+                tracing::warn!(store = %self.name, "turn store is not responding");
             }
         }
         let sample = time.as_secs_f64() * 1_000.0;
-        let average = self.answer_ms.get();
-        self.answer_ms.set(if average > 0.0 {
+        let average = self.response_ms.get();
+        self.response_ms.set(if average > 0.0 {
             average + SAMPLE_WEIGHT * (sample - average)
         } else {
             sample
--- a/crates/gateway-server/src/turn_cache.rs
+++ b/crates/gateway-server/src/turn_cache.rs
@@ -1,17 +1,19 @@
-//! Turns that this gateway has seen lately. A turn never changes, so a copy is as good as the
-//! stores' word while it is kept at all.
+//! Cache of recently seen turns. Turns are immutable, so a cached copy is valid for as long as the
+//! stores are certain to retain the turn.
 
 use luglink_turns::{TurnId, TurnRecord};
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A bounded cache of turns; the oldest give way.
+/// Cache of turns with a maximum size in bytes. The oldest turns are evicted first.
 #[derive(Debug)]
 pub(crate) struct TurnCache {
+    /// Maximum number of bytes.
     capacity: usize,
     bytes: usize,
     turns: HashMap<TurnId, (Rc<TurnRecord>, Instant)>,
+    /// Identifiers in the order of insertion.
     order: VecDeque<TurnId>,
 }
 
@@ -42,14 +44,15 @@
         }
     }
 
-    /// A turn that is certainly still kept: one that was seen within half of its retention.
+    /// Returns a turn that was inserted within half of its retention time, so that the stores are
+    /// certain to retain it still.
     fn get(&self, id: &TurnId) -> Option<Rc<TurnRecord>> {
-        let (turn, seen) = self.turns.get(id)?;
-        let certain = Duration::from_millis(turn.retention_ms / 2);
-        (seen.elapsed() < certain).then(|| Rc::clone(turn))
+        let (turn, inserted_at) = self.turns.get(id)?;
+        let max_age = Duration::from_millis(turn.retention_ms / 2);
+        (inserted_at.elapsed() < max_age).then(|| Rc::clone(turn))
     }
 
-    /// A turn with all its ancestors, oldest first and itself last, when all are here.
+    /// Returns the ancestors of a turn, oldest first, followed by the turn, if all are cached.
     pub(crate) fn chain(&self, id: &TurnId) -> Option<Vec<Rc<TurnRecord>>> {
         let turn = self.get(id)?;
         let mut chain = Vec::with_capacity(turn.ancestors.len() + 1);
--- a/crates/gateway-server/src/turn_client.rs
+++ b/crates/gateway-server/src/turn_client.rs
@@ -1,6 +1,6 @@
-//! Reads from and writes to the turn stores.
+//! Client of the replicated turn stores.
 
-use crate::chain_search::{ChainAnswer, ChainSearch};
+use crate::chain_search::{ChainLookup, ChainSearch};
 use crate::store_link::StoreLink;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -18,36 +18,39 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Pause before a write that too few stores took is sent again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a write that too few stores acknowledged is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest time that a turn waits for enough stores before its caller is told to come back.
-const BEGIN_LIMIT: Duration = Duration::from_millis(700);
+/// Time during which reserving tokens is retried, before the caller is told to retry later.
+const BEGIN_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Pause between two tries to reserve.
-const BEGIN_PAUSE: Duration = Duration::from_millis(30);
+/// Delay between two attempts to reserve tokens.
+const BEGIN_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// Times that the end of a turn is told to the stores before it is left at its reservation.
-const SETTLE_TRIES: u32 = 8;
+/// Maximum number of attempts to settle a turn. If all fail, the turn continues to count with all
+/// its reserved tokens.
+const MAX_SETTLE_ATTEMPTS: u32 = 8;
 
-/// Too few stores answered.
+/// Error: too few stores acknowledged a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("{acknowledged} of {needed} turn stores answered"))]
+#[snafu(display(
+    "only {acknowledged} of the required {needed} turn stores acknowledged the request"
+))]
 pub(crate) struct StoresUnavailable {
     acknowledged: usize,
     needed: usize,
 }
 
-/// What the stores say at the beginning of a turn.
+/// Combined response of the stores to the beginning of a turn.
 #[derive(Clone, Debug)]
 pub(crate) struct Begun {
     pub(crate) account: Account,
-    pub(crate) chain: Option<ChainAnswer>,
-    /// The replica that served the program's last turn.
+    pub(crate) chain: Option<ChainLookup>,
+    /// Replica that served the program's latest turn.
     pub(crate) served_by: Option<BackendId>,
 }
 
-/// Talks to all stores of the view.
+/// Client of all stores in the current view.
 #[derive(Debug)]
 pub(crate) struct TurnClient {
     replication: Replication,
@@ -55,7 +58,7 @@
     links: RefCell<BTreeMap<StoreName, Rc<StoreLink>>>,
 }
 
-type Answered = (StoreName, Option<StoreResponse>);
+type Reply = (StoreName, Option<StoreResponse>);
 
 impl TurnClient {
     pub(crate) fn new(replication: Replication) -> Self {
@@ -70,7 +73,7 @@
         self.view.borrow().epoch
     }
 
-    /// Whether enough stores are known to take a write.
+    /// Returns true if enough writable stores are known to complete a write.
     pub(crate) fn has_quorum(&self) -> bool {
         self.view.borrow().writable().count() >= self.replication.quorum()
     }
@@ -97,40 +100,40 @@
         self.replication.owners(&self.view.borrow(), &program.0)
     }
 
-    /// Asks one store.
-    fn ask(
+    /// Sends a request to one store.
+    fn send(
         &self,
         name: &StoreName,
         request: &StoreRequest,
-    ) -> impl Future<Output = Answered> + use<> {
+    ) -> impl Future<Output = Reply> + use<> {
         let link = self.links.borrow().get(name).cloned();
-        let asking = link.map(|link| link.ask(request));
+        let response = link.map(|link| link.send(request));
         let name = name.clone();
         async move {
-            let response = match asking {
-                Some(asking) => asking.await,
+            let response = match response {
+                Some(response) => response.await,
                 None => None,
             };
             (name, response)
         }
     }
 
-    /// Asks the owners of a program until a quorum of them has given an answer that `accept`
-    /// takes.
-    async fn ask_quorum(
+    /// Sends a request to the owners of a program and returns once `accept` has accepted the
+    /// responses of a quorum.
+    async fn send_to_quorum(
         &self,
         program: &ProgramName,
         request: &StoreRequest,
         mut accept: impl FnMut(StoreResponse) -> bool,
     ) -> Result<(), StoresUnavailable> {
         let owners = self.owners(program);
-        let mut asking: FuturesUnordered<_> = owners
+        let mut pending: FuturesUnordered<_> = owners
             .iter()
-            .map(|owner| self.ask(owner, request))
+            .map(|owner| self.send(owner, request))
             .collect();
         let needed = self.replication.quorum();
         let mut acknowledged = 0;
-        while let Some((_, response)) = asking.next().await {
+        while let Some((_, response)) = pending.next().await {
             if response.is_some_and(&mut accept) {
                 acknowledged += 1;
             }
@@ -144,8 +147,8 @@
         })
     }
 
-    /// Reserves tokens for a turn and looks its chain up, again while too few stores answer: a
-    /// link that is just coming up, or a store that is just back, costs a moment and not the turn.
+    /// Reserves tokens for a turn and looks up its chain. Retries while too few stores answer, so
+    /// that a connection that is being established or a store that restarts only delays the turn.
     pub(crate) async fn begin(
         &self,
         program: &ProgramName,
@@ -154,13 +157,13 @@
         retention_ms: u64,
         previous: Option<&TurnId>,
     ) -> Result<Begun, StoresUnavailable> {
-        let deadline = Instant::now() + BEGIN_LIMIT;
-        let try_once = || self.begin_once(program, turn, ceiling, retention_ms, previous);
-        again_until(deadline, BEGIN_PAUSE, try_once).await
+        let deadline = Instant::now() + BEGIN_TIMEOUT;
+        let attempt = || self.begin_once(program, turn, ceiling, retention_ms, previous);
+        retry_until(deadline, BEGIN_RETRY_DELAY, attempt).await
     }
 
-    /// Reserves tokens for a turn and looks its chain up. The chain is asked of the store that
-    /// answers fastest; of the others only when it is not there.
+    /// Reserves tokens for a turn and looks up its chain. Only the store that answers fastest is
+    /// asked for the chain at first; the others are asked if it does not have it.
     async fn begin_once(
         &self,
         program: &ProgramName,
@@ -170,11 +173,11 @@
         previous: Option<&TurnId>,
     ) -> Result<Begun, StoresUnavailable> {
         let owners = self.owners(program);
-        let nearest = self.nearest(&owners);
+        let fastest = self.fastest(&owners);
         let wish = previous.map(|turn| ChainWish { turn: turn.clone() });
-        let mut asking = FuturesUnordered::new();
+        let mut pending = FuturesUnordered::new();
         for owner in &owners {
-            let chain = wish.clone().filter(|_| Some(owner) == nearest.as_ref());
+            let chain = wish.clone().filter(|_| Some(owner) == fastest.as_ref());
             let request = StoreRequest::Spend {
                 epoch: self.epoch(),
                 program: program.clone(),
@@ -184,13 +187,13 @@
                 chain,
                 served_by: None,
             };
-            asking.push(self.ask(owner, &request));
+            pending.push(self.send(owner, &request));
         }
         let mut search = ChainSearch::default();
         let mut account = Account::default();
         let mut acknowledged = 0;
-        let mut last_replica = None;
-        while let Some((name, response)) = asking.next().await {
+        let mut latest_replica = None;
+        while let Some((name, response)) = pending.next().await {
             if let Some(StoreResponse::Spent {
                 account: copy,
                 chain,
@@ -198,10 +201,10 @@
             }) = response
             {
                 acknowledged += 1;
-                last_replica = last_replica.or(served_by);
+                latest_replica = latest_replica.or(served_by);
                 account.merge(&copy);
                 if let Some(chain) = chain {
-                    search.note(&self.view.borrow(), &name, chain);
+                    search.add_response(&self.view.borrow(), &name, chain);
                 }
             }
             if acknowledged >= self.replication.quorum() {
@@ -216,32 +219,32 @@
         }
         let chain = match wish {
             None => None,
-            Some(wish) => Some(self.search(wish, search, nearest, asking).await),
+            Some(wish) => Some(self.search(wish, search, fastest, pending).await),
         };
         Ok(Begun {
             account,
             chain,
-            served_by: last_replica,
+            served_by: latest_replica,
         })
     }
 
-    /// Looks for a chain on every store, beginning with the owners that are still to answer.
+    /// Searches for a chain on all stores, starting with the pending responses of the owners.
     async fn search(
         &self,
         wish: ChainWish,
         mut search: ChainSearch,
-        asked: Option<StoreName>,
-        mut owners_asking: FuturesUnordered<impl Future<Output = Answered>>,
-    ) -> ChainAnswer {
+        queried: Option<StoreName>,
+        mut pending_owners: FuturesUnordered<impl Future<Output = Reply>>,
+    ) -> ChainLookup {
         let view = self.view.borrow().clone();
-        // The store that was asked first may be a moment behind the others.
-        let grace = actix_rt::time::sleep(FIRST_STORE_GRACE);
+        // The store that was asked for the chain may answer slightly later than the quorum.
+        let grace = actix_rt::time::sleep(FASTEST_STORE_GRACE);
         tokio::pin!(grace);
         while !search.is_complete() && !search.has_answer {
             tokio::select! {
-                answered = owners_asking.next() => match answered {
+                reply = pending_owners.next() => match reply {
                     Some((name, Some(StoreResponse::Spent { chain: Some(chain), .. }))) => {
-                        search.note(&view, &name, chain);
+                        search.add_response(&view, &name, chain);
                     }
                     Some(_) => {}
                     None => break,
@@ -249,33 +252,34 @@
                 () = &mut grace => break,
             }
         }
-        if let Some(found) = search.complete() {
-            return ChainAnswer::Found(found);
+        if let Some(found) = search.complete_chain() {
+            return ChainLookup::Found(found);
         }
-        let mut asking = FuturesUnordered::new();
-        let already = asked.filter(|_| search.has_answer);
+        let mut pending = FuturesUnordered::new();
+        let already_queried = queried.filter(|_| search.has_answer);
         for name in view
             .members
             .keys()
-            .filter(|name| Some(*name) != already.as_ref())
+            .filter(|name| Some(*name) != already_queried.as_ref())
         {
-            asking.push(self.ask(name, &StoreRequest::Lookup(wish.clone())));
+            pending.push(self.send(name, &StoreRequest::Lookup(wish.clone())));
         }
-        while let Some((name, response)) = asking.next().await {
+        while let Some((name, response)) = pending.next().await {
             if let Some(StoreResponse::Chain(chain)) = response {
-                search.note(&view, &name, chain);
+                search.add_response(&view, &name, chain);
             }
-            if let Some(found) = search.complete() {
-                return ChainAnswer::Found(found);
+            if let Some(found) = search.complete_chain() {
+                return ChainLookup::Found(found);
             }
             if search.is_absent(&view, self.replication) {
-                return ChainAnswer::Absent;
+                return ChainLookup::Absent;
             }
         }
-        ChainAnswer::Unknown
+        ChainLookup::Unknown
     }
 
-    /// Reads a program's account from enough stores to see every reservation that counts.
+    /// Reads a program's account from a quorum of its stores, which together know of every
+    /// acknowledged reservation.
     pub(crate) async fn account(&self, program: &ProgramName) -> Option<Account> {
         let request = StoreRequest::Account(program.clone());
         let mut account = Account::default();
@@ -286,11 +290,12 @@
             }
             _ => false,
         };
-        let asked = self.ask_quorum(program, &request, merge).await;
-        asked.ok().map(|()| account)
+        let result = self.send_to_quorum(program, &request, merge).await;
+        result.ok().map(|()| account)
     }
 
-    /// Tells the stores what a turn took; again and again while too few take it.
+    /// Settles a turn at the number of tokens that it used. Retries while too few stores
+    /// acknowledge.
     pub(crate) async fn settle(
         &self,
         program: &ProgramName,
@@ -299,7 +304,7 @@
         retention_ms: u64,
         served_by: Option<BackendId>,
     ) {
-        for _ in 0..SETTLE_TRIES {
+        for _ in 0..MAX_SETTLE_ATTEMPTS {
             let request = StoreRequest::Spend {
                 epoch: self.epoch(),
                 program: program.clone(),
@@ -312,12 +317,12 @@
             if self.write(program, &request).await.is_ok() {
                 return;
             }
-            actix_rt::time::sleep(REPEAT_PAUSE).await;
+            actix_rt::time::sleep(WRITE_RETRY_DELAY).await;
         }
-        tracing::warn!(turn = %turn, tokens, "a turn's end could not be noted; it counts at its most");
+        tracing::warn!(turn = %turn, tokens, "cannot settle a turn: its reservation still counts");
     }
 
-    /// Keeps a turn. Returns once enough stores have it on disk.
+    /// Stores a turn. Returns once a quorum of stores has written it to disk.
     pub(crate) async fn keep(
         &self,
         turn: &TurnRecord,
@@ -325,7 +330,7 @@
         carried: &[Rc<TurnRecord>],
         deadline: Instant,
     ) -> Result<(), StoresUnavailable> {
-        let try_once = || async {
+        let attempt = || async {
             let request = StoreRequest::Keep {
                 epoch: self.epoch(),
                 turn: Box::new(turn.clone()),
@@ -334,7 +339,7 @@
             };
             self.write(&turn.program, &request).await
         };
-        again_until(deadline, REPEAT_PAUSE, try_once).await
+        retry_until(deadline, WRITE_RETRY_DELAY, attempt).await
     }
 
     async fn write(
@@ -344,70 +349,76 @@
     ) -> Result<(), StoresUnavailable> {
         let is_written =
             |response| matches!(response, StoreResponse::Done | StoreResponse::Spent { .. });
-        self.ask_quorum(program, request, is_written).await
+        self.send_to_quorum(program, request, is_written).await
     }
 
-    /// The stores that give out a tenant's quota, the nearest first.
+    /// Returns the stores that own a tenant's quota, fastest first.
     pub(crate) fn quota_owners(&self, tenant: &TenantName) -> Vec<StoreName> {
         let count = self.replication.quota_owners();
         let mut owners = QuotaOwner::owners_of(&self.view.borrow(), tenant, count);
-        owners.sort_by_cached_key(|name| self.distance(name));
+        owners.sort_by_cached_key(|name| self.response_rank(name));
         owners
     }
 
-    /// Asks a store for a token; `None` when it does not answer.
-    pub(crate) fn ask_quota(
+    /// Requests a quota token from a store; `None` if it does not answer.
+    pub(crate) fn request_quota(
         &self,
         owner: &StoreName,
         ask: &QuotaAsk,
     ) -> impl Future<Output = Option<QuotaAnswer>> + use<> {
-        let asking = self.ask(owner, &StoreRequest::Quota(ask.clone()));
+        let reply = self.send(owner, &StoreRequest::Quota(ask.clone()));
         async move {
-            match asking.await {
+            match reply.await {
                 (_, Some(StoreResponse::Quota(answer))) => Some(answer),
                 _ => None,
             }
         }
     }
 
-    fn nearest(&self, owners: &[StoreName]) -> Option<StoreName> {
+    /// Returns the fastest of the owners, preferring stores that are fully synchronized.
+    fn fastest(&self, owners: &[StoreName]) -> Option<StoreName> {
         let view = self.view.borrow();
         let rank = |name: &&StoreName| {
-            let filled = view
+            let is_active = view
                 .members
                 .get(*name)
                 .is_some_and(|member| member.state == StoreState::Active);
-            (!filled, self.distance(name))
+            (!is_active, self.response_rank(name))
         };
         owners.iter().min_by_key(rank).cloned()
     }
 
-    /// Orders stores by how soon they answer; those that did not answer last time come last.
-    fn distance(&self, name: &StoreName) -> (bool, u64) {
+    /// Returns a key that orders stores by response time; stores that did not answer the latest
+    /// request come last.
+    fn response_rank(&self, name: &StoreName) -> (bool, u64) {
         let links = self.links.borrow();
         let link = links.get(name);
-        let lost = link.is_none_or(|link| link.is_lost());
-        (lost, link.map_or(0, |link| link.answer_micros()))
+        let is_unresponsive = link.is_none_or(|link| link.is_unresponsive());
+        (
+            is_unresponsive,
+            link.map_or(0, |link| link.response_micros()),
+        )
     }
 }
 
-/// Time that the store that was asked for a chain gets beyond the quorum, before all are asked.
-const FIRST_STORE_GRACE: Duration = Duration::from_millis(15);
+/// Extra time after the quorum for the store that was asked for a chain, before all stores are
+/// asked.
+const FASTEST_STORE_GRACE: Duration = Duration::from_millis(15);
 
-/// Tries until it succeeds, or until another try would begin after `deadline`.
-async fn again_until<Value, Trying>(
+/// Repeats `attempt` until it succeeds, or until the next attempt would start after `deadline`.
+async fn retry_until<Value, Attempt>(
     deadline: Instant,
-    pause: Duration,
-    try_once: impl Fn() -> Trying,
+    delay: Duration,
+    attempt: impl Fn() -> Attempt,
 ) -> Result<Value, StoresUnavailable>
 where
-    Trying: Future<Output = Result<Value, StoresUnavailable>>,
+    Attempt: Future<Output = Result<Value, StoresUnavailable>>,
 {
     loop {
-        let result = try_once().await;
-        if result.is_ok() || Instant::now() + pause >= deadline {
+        let result = attempt().await;
+        if result.is_ok() || Instant::now() + delay >= deadline {
             return result;
         }
-        actix_rt::time::sleep(pause).await;
+        actix_rt::time::sleep(delay).await;
     }
 }
--- a/crates/gateway-server/src/work.rs
+++ b/crates/gateway-server/src/work.rs
@@ -1,13 +1,14 @@
-//! What a turn asks of a model engine, as far as its caller and the answers before tell.
+//! Estimate of the work that a turn requires of an engine, from the caller's declarations and the
+//! lengths of earlier answers.
 
 use crate::gateway::Gateway;
 use crate::inbound::Inbound;
 use crate::program::TurnStart;
 use luglink_scheduling::Work;
 
-/// Of a program's first turn; `None` where replicas are not chosen by expected finish now, or the
-/// service has no engines.
-pub(crate) fn of_first_turn(gateway: &Gateway, inbound: &Inbound) -> Option<Work> {
+/// Estimates the work of a program's first turn; `None` if replicas are not chosen by expected
+/// finish at the moment, or the service has no engines.
+pub(crate) fn estimate_first_turn(gateway: &Gateway, inbound: &Inbound) -> Option<Work> {
     let prompt = inbound
         .prompt
         .filter(|_| gateway.pool.borrow().goes_by_finish(gateway.now()))?;
@@ -17,7 +18,7 @@
             engine.map(|engine| engine.tokens_per_event)
         })
         .flatten()?;
-    let most = inbound
+    let max_tokens = inbound
         .program
         .as_ref()
         .map_or(0, |program| program.ceiling);
@@ -27,21 +28,26 @@
         prompt_tokens: prompt.tokens,
         new_tokens: prompt.tokens.saturating_sub(shared),
         shared: prompt.shared,
-        events: lengths.expected(&inbound.route.name, most, tokens_per_event),
+        events: lengths.expected(&inbound.route.name, max_tokens, tokens_per_event),
         tokens_per_event: u32::try_from(tokens_per_event).unwrap_or(u32::MAX),
     })
 }
 
-/// Of a turn that is about to be sent.
+/// Estimates the work of a turn that is about to be sent.
 pub(crate) fn of_turn(gateway: &Gateway, inbound: &Inbound, start: &TurnStart) -> Option<Work> {
-    let mut work = of_first_turn(gateway, inbound)?;
-    let Some(whole) = &start.prompt else {
-        // The part that is its program's is mostly what was read for the turn before.
-        work.new_tokens = if start.goes_on { 0 } else { work.new_tokens };
+    let mut work = estimate_first_turn(gateway, inbound)?;
+    let Some(whole_prompt) = &start.prompt else {
+        // The program's own part of the prompt was mostly read already for the previous turn.
+        work.new_tokens = if start.is_continuation {
+            0
+        } else {
+            work.new_tokens
+        };
         return Some(work);
     };
-    // Callers name the tokens of the whole prompt; what is new is told by its bytes.
-    let new_share = inbound.body.len() as f64 / whole.len().max(1) as f64;
+    // Callers declare the tokens of the whole prompt; the new part is estimated from its share of
+    // the bytes.
+    let new_share = inbound.body.len() as f64 / whole_prompt.len().max(1) as f64;
     work.new_tokens = (f64::from(work.prompt_tokens) * new_share.min(1.0)).round() as u32;
     Some(work)
 }
