--- a/crates/gateway-server/tests/gateway/expected_finish.rs
+++ b/crates/gateway-server/tests/gateway/expected_finish.rs
@@ -1,18 +1,19 @@
-//! Engines chosen by when a turn is expected to be finished there.
+//! Selection of replicas by the expected finish of a turn.
 
 use crate::support::caller::{Ask, Got, get};
 use crate::support::replica::{Replica, Script};
 use crate::support::{Fleet, configuration};
 
-/// A fleet whose configuration lets a streaming route use a second replica, or not.
-async fn fleet(may_use_second: bool) -> (Fleet, Vec<Replica>) {
+/// Starts a fleet of three replicas. With `allow_second_replica`, streams may be sent to a second
+/// replica, which enables the expected finish.
+async fn fleet(allow_second_replica: bool) -> (Fleet, Vec<Replica>) {
     let mut replicas = Vec::new();
     for name in ["r0", "r1", "r2"] {
         replicas.push(Replica::start(name, Script::Stream).await);
     }
     let fleet = Fleet::start(replicas.clone()).await;
     let mut configuration = configuration(1);
-    if may_use_second {
+    if allow_second_replica {
         for route in &mut configuration.routes {
             route.max_attempts = 2;
         }
@@ -33,7 +34,8 @@
     ask.send(fleet.gateway_address).await
 }
 
-async fn expectations(fleet: &Fleet) -> u32 {
+/// Returns the number of turns for which the gateway has recorded an expected time.
+async fn expected_count(fleet: &Fleet) -> u32 {
     let metrics = get(fleet.gateway.metrics_address.unwrap(), "/metrics").await;
     let mut lines = metrics.body.lines();
     let count = lines.find_map(|line| line.strip_prefix("luglink_expected_seconds_count "));
@@ -41,7 +43,7 @@
 }
 
 #[actix_rt::test]
-async fn programs_stay_where_they_began() {
+async fn later_turns_go_to_the_replica_of_the_first_turn() {
     let (fleet, replicas) = fleet(true).await;
     for replica in &replicas {
         replica.running.set(Some(0));
@@ -62,16 +64,16 @@
 }
 
 #[actix_rt::test]
-async fn nothing_is_expected_where_the_configuration_does_not_call_for_it() {
+async fn no_time_is_expected_unless_a_stream_may_use_a_second_replica() {
     let (fleet, _) = fleet(false).await;
     assert_eq!(turn(&fleet, "p", "t").await.status, 200);
-    assert_eq!(expectations(&fleet).await, 0);
+    assert_eq!(expected_count(&fleet).await, 0);
 }
 
 #[actix_rt::test]
-async fn a_turn_whose_caller_says_nothing_of_its_prompt_is_served() {
+async fn a_turn_without_declared_prompt_tokens_is_served() {
     let (fleet, _) = fleet(true).await;
     let ask = Ask::post("/resumable/x", "t", "input").with("luglink-program", "p");
     assert_eq!(ask.send(fleet.gateway_address).await.status, 200);
-    assert_eq!(expectations(&fleet).await, 0);
+    assert_eq!(expected_count(&fleet).await, 0);
 }
--- a/crates/gateway-server/tests/gateway/load_view.rs
+++ b/crates/gateway-server/tests/gateway/load_view.rs
@@ -1,4 +1,4 @@
-//! What one gateway of a zone sees of the replicas reaches the others.
+//! Distribution of the load view among the gateways of a zone.
 
 use crate::support::caller::{Ask, get};
 use crate::support::replica::{Replica, Script};
@@ -7,18 +7,20 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Several times what a word takes from one gateway to another.
-const SEVERAL_WORDS: Duration = Duration::from_secs(2);
+/// Several times the delay with which an observation of one gateway reaches another.
+const SEVERAL_DELAYS: Duration = Duration::from_secs(2);
 
-/// A configuration that calls for a shared view, by a stream that may go to a second replica.
-fn sharing() -> Configuration {
-    let mut sharing = configuration(1);
-    sharing.routes.push(route("/stream/", RouteKind::Streaming));
-    sharing
+/// Returns a configuration with a stream that may go to a second replica, which enables the view.
+fn sharing_configuration() -> Configuration {
+    let mut configuration = configuration(1);
+    configuration
+        .routes
+        .push(route("/stream/", RouteKind::Streaming));
+    configuration
 }
 
-/// Replicas in the view that a gateway was told last.
-async fn seen_replicas(metrics: Option<SocketAddr>) -> f64 {
+/// Returns the number of replicas in a gateway's latest view.
+async fn replicas_in_view(metrics: Option<SocketAddr>) -> f64 {
     let text = get(metrics.unwrap(), "/metrics").await.body;
     let mut lines = text.lines();
     let value = lines.find_map(|line| line.strip_prefix("luglink_load_view_replicas "));
@@ -27,33 +29,33 @@
         .unwrap_or(0.0)
 }
 
-/// Keeps a request under way at a replica that says nothing.
-fn ask_in_vain(gateway: SocketAddr) {
+/// Starts a request that stays in flight at a replica that never answers.
+fn start_unanswered_request(gateway: SocketAddr) {
     actix_rt::spawn(async move { Ask::get("/safe/x", "waits").send(gateway).await });
 }
 
 #[actix_rt::test]
-async fn what_one_gateway_sees_reaches_the_other_of_its_zone() {
+async fn observations_of_one_gateway_reach_the_other_gateway_of_its_zone() {
     let replica = Replica::start("r0", Script::Mute).await;
     let fleet = Fleet::start(vec![replica]).await;
-    fleet.configure(&sharing()).await;
+    fleet.configure(&sharing_configuration()).await;
     let (second, _) = fleet.start_second_gateway().await;
-    assert_eq!(seen_replicas(second.metrics_address).await, 0.0);
-    ask_in_vain(fleet.gateway_address);
+    assert_eq!(replicas_in_view(second.metrics_address).await, 0.0);
+    start_unanswered_request(fleet.gateway_address);
     until("the second gateway sees the busy replica", || async {
-        seen_replicas(second.metrics_address).await == 1.0
+        replicas_in_view(second.metrics_address).await == 1.0
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn nothing_is_shared_where_nothing_calls_for_it() {
+async fn no_observations_are_shared_unless_the_configuration_needs_them() {
     let replica = Replica::start("r0", Script::Mute).await;
     let fleet = Fleet::start(vec![replica]).await;
     fleet.configure(&configuration(1)).await;
     let (second, _) = fleet.start_second_gateway().await;
-    ask_in_vain(fleet.gateway_address);
-    actix_rt::time::sleep(SEVERAL_WORDS).await;
-    assert_eq!(seen_replicas(second.metrics_address).await, 0.0);
-    assert_eq!(seen_replicas(fleet.gateway.metrics_address).await, 0.0);
+    start_unanswered_request(fleet.gateway_address);
+    actix_rt::time::sleep(SEVERAL_DELAYS).await;
+    assert_eq!(replicas_in_view(second.metrics_address).await, 0.0);
+    assert_eq!(replicas_in_view(fleet.gateway.metrics_address).await, 0.0);
 }
--- a/crates/gateway-server/tests/gateway/main.rs
+++ b/crates/gateway-server/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! A gateway in a whole fleet, before scripted replicas.
+//! Integration tests of a gateway in a complete fleet with scripted replicas.
 
 mod expected_finish;
 mod held_bytes;
--- a/crates/gateway-server/tests/gateway/metrics.rs
+++ b/crates/gateway-server/tests/gateway/metrics.rs
@@ -1,11 +1,11 @@
-//! The figures that each program of a fleet tells of itself.
+//! Metrics of the processes of a fleet.
 
 use crate::support::caller::{Ask, Got, get};
 use crate::support::replica::{Replica, Script};
 use crate::support::{Fleet, configuration, until};
 use std::net::SocketAddr;
 
-/// The value of a metric; `series` is its name with its labels. 0 when it is not there.
+/// Returns the value of a metric, or 0 if it is missing. `series` is its name with its labels.
 pub(crate) fn value(text: &str, series: &str) -> f64 {
     let line = text.lines().find_map(|line| line.strip_prefix(series));
     let number = line.and_then(|rest| rest.trim().parse().ok());
@@ -25,7 +25,7 @@
 }
 
 #[actix_rt::test]
-async fn gateways_stores_and_members_tell_what_they_did() {
+async fn gateways_stores_and_members_export_metrics() {
     let replica = Replica::start("r0", Script::Stream).await;
     let fleet = Fleet::start(vec![replica.clone()]).await;
     fleet.configure(&configuration(7)).await;
@@ -35,7 +35,7 @@
         .with("luglink-token-budget", "500");
     assert_eq!(turn.send(fleet.gateway_address).await.status, 200);
     let resolution = || get(fleet.resolution_address, "/v1/gateways");
-    until("callers are told of the gateway", || async {
+    until("the gateway is resolved for callers", || async {
         resolution().await.status == 200
     })
     .await;
@@ -57,7 +57,7 @@
     let stores = || fleet.stores.iter().map(|store| store.metrics_address);
     let spends = sum(stores(), "luglink_store_requests_total{kind=\"spend\"}").await;
     assert!(spends >= 2.0, "{spends}");
-    until("the stores show the turn that they hold", || async {
+    until("the stores report the stored turn", || async {
         sum(stores(), "luglink_store_turns").await >= 2.0
     })
     .await;
@@ -67,14 +67,14 @@
     assert!(sum(members(), taken).await >= 1.0);
     let answered = "luglink_resolutions_total{status=\"200\"}";
     assert!(sum(members(), answered).await >= 1.0);
-    until("one member shows that it leads", || async {
+    until("exactly one member reports that it leads", || async {
         sum(members(), "luglink_member_leads").await == 1.0
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn a_taken_metrics_port_keeps_nobody_from_serving() {
+async fn a_metrics_port_in_use_is_not_an_error() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap();
     let registry = luglink_telemetry::Metrics::new();
@@ -85,7 +85,7 @@
 }
 
 #[actix_rt::test]
-async fn metrics_have_one_path() {
+async fn metrics_are_served_on_one_path_only() {
     let registry = luglink_telemetry::Metrics::new();
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let address = luglink_metrics_server::start(Some(any), &registry).await;
--- a/crates/gateway-server/tests/gateway/mixed_builds.rs
+++ b/crates/gateway-server/tests/gateway/mixed_builds.rs
@@ -1,4 +1,4 @@
-//! Processes of a newer build ask what this one does not know.
+//! Requests of a newer build that this build does not know.
 
 use crate::support::{Fleet, until};
 use luglink_control::{Request, Response};
@@ -10,7 +10,7 @@
 
 const LIMIT: Duration = Duration::from_secs(5);
 
-/// A request of a kind that no build knows yet.
+/// Request of a kind that no build knows yet.
 const UNKNOWN_REQUEST: [u8; 3] = [120, 1, 2];
 
 fn client(address: SocketAddr, role: ClientRole) -> RequestClient {
@@ -22,14 +22,14 @@
     RequestClient::open(address, hello)
 }
 
-/// An unknown request is answered while one that came before it on the same connection waits,
-/// and that one gets its answer too: a link that breaks fails whatever is under way.
+/// Guards against a member closing the connection on an unknown request, which would fail the other
+/// requests in flight on it.
 #[actix_rt::test]
-async fn a_member_answers_that_it_cannot_and_keeps_the_connection() {
+async fn a_member_rejects_an_unknown_request_and_keeps_the_connection() {
     let fleet = Fleet::start(Vec::new()).await;
     let member = client(fleet.member_addresses[0], ClientRole::Observer);
     let status = encode_body(&Request::Status).unwrap();
-    until("the member has read its disk", || async {
+    until("the member has loaded its state", || async {
         let answer = member.request(status.clone(), LIMIT).await;
         let answer = answer.ok().and_then(|answer| decode_body(&answer).ok());
         matches!(answer, Some(Response::Status(_)))
@@ -42,7 +42,7 @@
     );
     let unknown: Response = decode_body(&unknown.unwrap()).unwrap();
     let Response::Unavailable { reason } = unknown else {
-        panic!("expected that it is unavailable, got {unknown:?}");
+        panic!("expected Unavailable, got {unknown:?}");
     };
     assert!(reason.contains("does not know"), "{reason}");
     for answer in [before, after] {
@@ -52,7 +52,7 @@
 }
 
 #[actix_rt::test]
-async fn a_store_answers_that_it_cannot_and_keeps_the_connection() {
+async fn a_store_rejects_an_unknown_request_and_keeps_the_connection() {
     let fleet = Fleet::start(Vec::new()).await;
     let store = client(fleet.stores[0].address, ClientRole::Writer);
     let account = StoreRequest::Account(luglink_turns::ProgramName("p".to_owned()));
--- a/crates/gateway-server/tests/gateway/overload.rs
+++ b/crates/gateway-server/tests/gateway/overload.rs
@@ -1,4 +1,4 @@
-//! New programs before engines that have too much to do.
+//! Admission of new programs while the engines are overloaded.
 
 use crate::support::caller::{Ask, Got};
 use crate::support::replica::{Replica, Script};
@@ -8,11 +8,11 @@
 use luglink_types::{Switch, Switches};
 use std::net::SocketAddr;
 
-/// Rounds of turns that wait in vain, and turns in each.
+/// Rounds of turns that time out, and turns in each round.
 const ROUNDS: usize = 8;
 const TURNS: usize = 6;
 
-/// Programs that come afterwards; far more than could all be let in by chance.
+/// Programs that arrive afterwards: too many for all of them to be admitted by chance.
 const NEW_PROGRAMS: usize = 60;
 
 fn turn(program: &str, id: &str) -> Ask {
@@ -22,8 +22,9 @@
         .with("luglink-token-usage", "100,50")
 }
 
-/// `usage`: tokens of each turn's prompt, and the most that it may generate.
-async fn wait_in_vain(to: SocketAddr, usage: &str) {
+/// Sends turns that time out. `usage` holds the prompt tokens and the maximum number of generated
+/// tokens of each turn.
+async fn send_turns_that_time_out(to: SocketAddr, usage: &str) {
     for round in 0..ROUNDS {
         let turns = (0..TURNS).map(|number| {
             let name = format!("late-{round}-{number}");
@@ -35,7 +36,7 @@
 }
 
 #[actix_rt::test]
-async fn new_programs_are_refused_at_once_and_those_that_have_begun_go_on() {
+async fn new_programs_are_refused_at_once_and_running_ones_continue() {
     let replica = Replica::start("r0", Script::Stream).await;
     let fleet = Fleet::start(vec![replica.clone()]).await;
     fleet.configure(&configuration(1)).await;
@@ -43,7 +44,7 @@
     assert_eq!(turn("begun", "begun-1").send(gateway).await.status, 200);
 
     *replica.script.borrow_mut() = Script::Mute;
-    wait_in_vain(gateway, "100,50").await;
+    send_turns_that_time_out(gateway, "100,50").await;
     *replica.script.borrow_mut() = Script::Stream;
 
     let mut refused: Vec<(String, Got)> = Vec::new();
@@ -54,21 +55,21 @@
             refused.push((name, got));
         }
     }
-    assert!(!refused.is_empty(), "everyone was let in");
-    assert!(refused.len() < NEW_PROGRAMS, "nobody was let in");
+    assert!(!refused.is_empty(), "all new programs were admitted");
+    assert!(refused.len() < NEW_PROGRAMS, "no new program was admitted");
     for (name, got) in &refused {
         assert!(got.header("retry-after").is_some(), "{got:?}");
         let ran = replica.seen.borrow().iter().any(|seen| seen.id() == name);
-        assert!(!ran, "{name} was refused and has run");
+        assert!(!ran, "{name} was refused but has run");
     }
-    // Neither the next turn of a program that has begun nor its sub-agents wait for anything.
+    // Further turns and sub-agents of a running program are not subject to admission.
     let next = turn("begun", "begun-2").with("luglink-previous-turn", "begun-1");
     assert_eq!(next.send(gateway).await.status, 200);
     assert_eq!(turn("begun", "begun-sub").send(gateway).await.status, 200);
 }
 
-/// Programs are let in by the memory that those under way need; one replica has 1,000 tokens.
-fn by_working_set() -> Features {
+/// Features that admit programs by working set. One replica has memory for 1,000 tokens.
+fn working_set_features() -> Features {
     let switches = Switches {
         working_set: Switch::On,
         fair_shares: Switch::On,
@@ -81,39 +82,46 @@
     turn(program, id).with("luglink-token-usage", "600,50")
 }
 
-/// Usage of a turn that needs next to no memory, so that only lateness could refuse it.
-const SMALL: &str = "1,50";
+/// Usage of a turn that needs almost no memory, so that only lateness could cause a refusal.
+const SMALL_USAGE: &str = "1,50";
 
-/// Such a turn of a program of its own.
+/// A turn with that usage, of a program of its own.
 fn small_turn(program: &str) -> Ask {
-    turn(program, program).with("luglink-token-usage", SMALL)
+    turn(program, program).with("luglink-token-usage", SMALL_USAGE)
 }
 
 #[actix_rt::test]
-async fn no_program_begins_beyond_the_memory_and_those_under_way_go_on() {
+async fn no_program_starts_beyond_the_memory_and_running_ones_continue() {
     let replica = Replica::start("r0", Script::StreamEndless).await;
-    let fleet = Fleet::start_deciding(vec![replica.clone()], by_working_set()).await;
+    let fleet = Fleet::start_deciding(vec![replica.clone()], working_set_features()).await;
     fleet.configure(&configuration(1)).await;
     let gateway = fleet.gateway_address;
     let first = large_turn("begun", "begun-1").with("luglink-deadline-ms", 1_500);
     let under_way = actix_rt::spawn(first.send(gateway));
-    until("the first turn runs", || async { replica.requests() == 1 }).await;
+    until("the first turn is running", || async {
+        replica.requests() == 1
+    })
+    .await;
 
     let refused = large_turn("new", "new-1").send(gateway).await;
     assert_eq!(refused.status, 503);
     let come_back: f64 = refused.header("retry-after").unwrap().parse().unwrap();
-    // A third of the three seconds that the caller has.
+    // One third of the three seconds that the caller has left.
     assert!(come_back > 0.0 && come_back <= 1.0, "{come_back}");
-    assert_eq!(replica.requests(), 1, "a refused program has run");
+    assert_eq!(
+        replica.requests(),
+        1,
+        "a refused program was sent to a replica"
+    );
 
-    // A sub-agent of the program under way needs no leave, and small ones find room.
+    // A sub-agent of the running program is not subject to admission, and a small program fits.
     replica.set(Script::Stream);
     let sub = large_turn("begun", "begun-2").send(gateway).await;
     assert_eq!(sub.status, 200);
     assert_eq!(turn("small", "small-1").send(gateway).await.status, 200);
     under_way.await.unwrap();
 
-    // Once it has ended there is room for the one that was refused.
+    // After the running program has ended, the refused one is admitted.
     until("there is room again", || async {
         large_turn("new", "new-1").send(gateway).await.status == 200
     })
@@ -121,13 +129,13 @@
 }
 
 #[actix_rt::test]
-async fn lateness_refuses_nobody_where_the_working_set_decides() {
+async fn late_first_events_do_not_matter_where_admission_is_by_working_set() {
     let replica = Replica::start("r0", Script::Mute).await;
-    let fleet = Fleet::start_deciding(vec![replica.clone()], by_working_set()).await;
+    let fleet = Fleet::start_deciding(vec![replica.clone()], working_set_features()).await;
     fleet.configure(&configuration(1)).await;
-    wait_in_vain(fleet.gateway_address, SMALL).await;
+    send_turns_that_time_out(fleet.gateway_address, SMALL_USAGE).await;
     replica.set(Script::Stream);
-    // Those that waited in vain have ended; nothing is under way.
+    // The turns that timed out have ended; no program is running.
     until("there is room again", || async {
         let got = small_turn("after").send(fleet.gateway_address).await;
         got.status == 200
--- a/crates/gateway-server/tests/gateway/placement.rs
+++ b/crates/gateway-server/tests/gateway/placement.rs
@@ -1,4 +1,4 @@
-//! Where programs begin, by what replicas say of themselves.
+//! Placement of new programs by the reports of the replicas.
 
 use crate::support::caller::{Ask, Got};
 use crate::support::replica::{Replica, Script};
@@ -12,7 +12,7 @@
     (fleet, [first, second])
 }
 
-/// A turn of a program that brings its own history.
+/// Sends a turn on a route that does not keep the history of programs.
 async fn turn(fleet: &Fleet, program: &str, id: &str) -> Got {
     let ask = Ask::post("/resumable/x", id, "input")
         .with("luglink-program", program)
@@ -22,7 +22,7 @@
 }
 
 #[actix_rt::test]
-async fn programs_begin_at_the_emptier_replica_and_stay_there() {
+async fn programs_start_at_the_less_loaded_replica_and_stay_there() {
     let (fleet, [full, empty]) = fleet().await;
     full.running.set(Some(2));
     empty.running.set(Some(1));
@@ -31,7 +31,7 @@
         assert_eq!(got.status, 200);
     }
     assert_eq!((full.requests(), empty.requests()), (0, 6));
-    // Whatever is emptier later, and wherever their home is.
+    // Later turns stay there, whichever replica is less loaded by then or is the home replica.
     full.running.set(Some(0));
     for number in 0..6 {
         let got = turn(&fleet, &format!("p{number}"), &format!("u{number}")).await;
@@ -41,7 +41,7 @@
 }
 
 #[actix_rt::test]
-async fn no_program_begins_where_all_replicas_are_full_and_those_under_way_go_on() {
+async fn no_program_starts_while_all_replicas_are_full_and_running_ones_continue() {
     let (fleet, [first, second]) = fleet().await;
     first.running.set(Some(0));
     second.running.set(Some(0));
@@ -59,7 +59,7 @@
 }
 
 #[actix_rt::test]
-async fn replicas_that_report_nothing_still_serve() {
+async fn replicas_without_reports_still_get_programs() {
     let (fleet, [first, second]) = fleet().await;
     assert_eq!(turn(&fleet, "p", "t1").await.status, 200);
     assert_eq!(first.requests() + second.requests(), 1);
--- a/crates/gateway-server/tests/gateway/programs.rs
+++ b/crates/gateway-server/tests/gateway/programs.rs
@@ -1,4 +1,4 @@
-//! Turns: chains, budgets, streams that break, planned stops and configurations.
+//! Turns of programs: history, budgets, broken streams, planned stops and configurations.
 
 use crate::support::caller::{Ask, Got, get, put};
 use crate::support::replica::{Replica, Script, event};
@@ -29,7 +29,7 @@
 }
 
 #[actix_rt::test]
-async fn a_turn_brings_only_what_is_new_and_the_replica_gets_everything() {
+async fn the_gateway_prepends_the_history_to_the_new_input() {
     let (fleet, replica) = fleet(Script::Stream).await;
     let first = send(&fleet, turn("/kept/x", "t1", "first ")).await;
     assert_eq!((first.status, first.is_whole), (200, true));
@@ -41,7 +41,7 @@
     let words = "word0\nword1\nword2\nword3\nword4\n";
     let prompt = format!("first {words}second {words}third");
     assert_eq!(String::from_utf8(replica.last().body).unwrap(), prompt);
-    // Several turns may go on from the same one.
+    // Several turns may continue the same turn.
     let branch = turn("/kept/x", "t4", "other").with("luglink-previous-turn", "t1");
     assert_eq!(send(&fleet, branch).await.status, 200);
     let prompt = format!("first {words}other");
@@ -49,7 +49,7 @@
 }
 
 #[actix_rt::test]
-async fn a_turn_that_nobody_said_is_not_gone_on_from() {
+async fn a_turn_that_continues_an_unknown_turn_is_refused() {
     let (fleet, replica) = fleet(Script::Stream).await;
     let ask = turn("/kept/x", "t1", "x").with("luglink-previous-turn", "never");
     assert_eq!(send(&fleet, ask).await.status, 404);
@@ -57,9 +57,9 @@
 }
 
 #[actix_rt::test]
-async fn a_turn_that_broke_off_is_not_kept_and_does_not_look_whole() {
+async fn a_broken_turn_is_not_stored_and_its_answer_is_not_complete() {
     let (fleet, replica) = fleet(Script::StreamBroken(2)).await;
-    // In the middle of an event, between two events, and with a proper end inside an event.
+    // Broken inside an event, broken between two events, and ended properly inside an event.
     let scripts = [
         Script::StreamBroken(2),
         Script::StreamCut(2),
@@ -72,14 +72,18 @@
         let broken = send(&fleet, turn("/kept/x", &id, "x")).await;
         assert!(!broken.is_whole, "{script:?}");
         assert_eq!(broken.body, events(0..2), "{script:?}");
-        assert_eq!(replica.requests(), before + 1, "it may have run");
+        assert_eq!(
+            replica.requests(),
+            before + 1,
+            "a turn that may have run was sent again"
+        );
         let next = turn("/kept/x", &format!("n{number}"), "x").with("luglink-previous-turn", id);
         assert_eq!(send(&fleet, next).await.status, 404, "{script:?}");
     }
 }
 
 #[actix_rt::test]
-async fn a_resumable_stream_goes_on_in_the_same_answer() {
+async fn a_broken_resumable_stream_resumes_in_the_same_answer() {
     let (fleet, replica) = fleet(Script::StreamBroken(3)).await;
     let script = Rc::clone(&replica.script);
     let seen = Rc::clone(&replica.seen);
@@ -97,10 +101,10 @@
 }
 
 #[actix_rt::test]
-async fn a_budget_is_not_passed_and_a_turn_over_it_does_not_run() {
+async fn a_turn_beyond_the_budget_does_not_run() {
     let (fleet, replica) = fleet(Script::Stream).await;
     let ask = |id: &str| turn("/resumable/x", id, "x").with("luglink-token-budget", 120);
-    // Each turn gives 5 events of 10 tokens and may give 50.
+    // Each turn generates 5 events of 10 tokens; its ceiling is 50 tokens.
     assert_eq!(send(&fleet, ask("t1")).await.status, 200);
     assert_eq!(send(&fleet, ask("t2")).await.status, 200);
     assert_eq!(send(&fleet, ask("t3")).await.status, 402);
@@ -108,19 +112,19 @@
 }
 
 #[actix_rt::test]
-async fn a_turn_that_gave_less_gives_the_rest_back() {
+async fn an_incomplete_turn_releases_its_unused_tokens() {
     let (fleet, replica) = fleet(Script::StreamBroken(1)).await;
     let ask = |id: &str| turn("/kept/x", id, "x").with("luglink-token-budget", 70);
     assert!(!send(&fleet, ask("t1")).await.is_whole);
     replica.set(Script::Stream);
-    until("10 tokens count, not 50", || async {
+    until("the first turn counts 10 tokens instead of 50", || async {
         send(&fleet, ask("t2")).await.status == 200
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn turns_that_race_never_pass_the_budget_together() {
+async fn concurrent_turns_never_exceed_the_budget() {
     let (fleet, replica) = fleet(Script::Stream).await;
     let asks = (0..8).map(|number| {
         let ask = turn("/resumable/x", &format!("t{number}"), "x");
@@ -134,41 +138,47 @@
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_finishes_what_is_under_way() {
+async fn a_planned_stop_finishes_requests_in_flight() {
     let (fleet, replica) = fleet(Script::StreamEndless).await;
     let slow = turn("/resumable/x", "t1", "x").with("luglink-deadline-ms", "1500");
     let address = fleet.gateway_address;
     let under_way = actix_rt::spawn(async move { slow.send(address).await });
-    until("it is under way", || async { replica.requests() == 1 }).await;
+    until("the request is in flight", || async {
+        replica.requests() == 1
+    })
+    .await;
     let gateway = Rc::clone(&fleet.gateway);
     let stopping = actix_rt::spawn(async move { gateway.stop().await });
-    until("no callers are wanted", || async {
+    until("the gateway is not ready", || async {
         get(fleet.ready_address, "/v1/ready").await.status == 503
     })
     .await;
-    assert!(stopping.await.unwrap(), "all ended in time");
+    assert!(stopping.await.unwrap(), "not all requests ended in time");
     let got = under_way.await.unwrap();
     assert_eq!(got.status, 200);
-    assert!(got.body.len() > events(0..10).len(), "it went on");
+    assert!(
+        got.body.len() > events(0..10).len(),
+        "the stream ended when the stop began"
+    );
 }
 
 #[actix_rt::test]
-async fn callers_are_told_where_to_go() {
+async fn a_running_gateway_is_resolved_and_a_stopped_one_is_not() {
     let (fleet, _) = fleet(Script::Answer).await;
-    until("the gateway is named", || async {
+    until("the gateway is resolved", || async {
         let got = get(fleet.resolution_address, "/v1/gateways?zone=here").await;
         got.status == 200 && got.body.contains(&fleet.gateway_address.to_string())
     })
     .await;
     fleet.gateway.stop().await;
-    until("it is not named any more", || async {
+    until("the gateway is no longer resolved", || async {
         get(fleet.resolution_address, "/v1/gateways").await.status == 503
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn a_configuration_that_breaks_a_rule_is_refused_and_changes_nothing() {
+async fn an_invalid_configuration_is_refused_and_has_no_effect() {
     let (fleet, _) = fleet(Script::Answer).await;
     let to = fleet.operator_address;
     let mut broken = configuration(9);
@@ -184,7 +194,7 @@
 }
 
 #[actix_rt::test]
-async fn a_newer_configuration_is_in_force_and_an_older_one_changes_nothing() {
+async fn a_newer_configuration_takes_effect_and_an_older_one_does_not() {
     let (fleet, _) = fleet(Script::Answer).await;
     let mut newer = configuration(5);
     newer.routes.remove(0);
@@ -198,14 +208,14 @@
 }
 
 #[actix_rt::test]
-async fn members_and_stores_wait_for_a_disk_that_cannot_be_used() {
+async fn members_and_stores_wait_for_an_unusable_disk() {
     let folder = tempfile::tempdir().unwrap();
-    // A file where the first member's folder should be stands in for a disk that takes nothing.
+    // A file in place of the first member's folder simulates an unusable disk.
     let taken = folder.path().join("member-1");
     std::fs::write(&taken, "in the way").unwrap();
     let replica = Replica::start("r0", Script::Answer).await;
     let fleet = Fleet::start_in(folder, vec![replica]).await;
-    // The other two serve; the first one says that it cannot.
+    // The other two members serve; the first one reports that it is unavailable.
     let got = get(fleet.operator_address, "/v1/configuration").await;
     assert_eq!(got.status, 503);
     std::fs::remove_file(&taken).unwrap();
@@ -214,7 +224,7 @@
 }
 
 #[actix_rt::test]
-async fn a_gateway_finds_members_that_its_settings_name_later() {
+async fn a_gateway_observes_members_that_are_added_later() {
     let replica = Replica::start("r0", Script::Answer).await;
     let fleet = Fleet::start_misled(vec![replica]).await;
     let ready = get(fleet.ready_address, "/v1/ready").await;
--- a/crates/gateway-server/tests/gateway/tenants.rs
+++ b/crates/gateway-server/tests/gateway/tenants.rs
@@ -1,4 +1,4 @@
-//! Callers with keys: who gets in, what replicas are told, what stays apart, and how much.
+//! Tenants: API keys, headers for replicas, isolation of turns and budgets, and quotas.
 
 use crate::support::caller::{Ask, Got};
 use crate::support::replica::{Replica, Script};
@@ -47,7 +47,7 @@
 }
 
 #[actix_rt::test]
-async fn without_a_known_key_nothing_runs() {
+async fn requests_without_a_known_key_do_not_run() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
     replica.set(Script::Answer);
     let safe = |id: &str| Ask::get("/safe/x", id);
@@ -64,7 +64,7 @@
 }
 
 #[actix_rt::test]
-async fn a_replica_is_told_the_tenant_and_not_the_key() {
+async fn replicas_get_the_tenant_but_not_the_key() {
     let mut ranked = tenant("one", "k1");
     ranked.priority = Some(6);
     let (fleet, replica) = fleet(vec![ranked, tenant("two", "k2")]).await;
@@ -89,7 +89,7 @@
 }
 
 #[actix_rt::test]
-async fn without_tenants_a_credential_is_passed_on() {
+async fn without_tenants_the_credential_is_forwarded() {
     let (fleet, replica) = fleet(Vec::new()).await;
     replica.set(Script::Answer);
     let ask = keyed(Ask::get("/safe/x", "a1"), "k1").with("luglink-tenant", "forged");
@@ -100,7 +100,7 @@
 }
 
 #[actix_rt::test]
-async fn a_turn_of_another_tenant_is_like_one_that_never_was() {
+async fn a_turn_of_another_tenant_is_indistinguishable_from_a_missing_one() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1"), tenant("two", "k2")]).await;
     assert_eq!(send(&fleet, turn("t1", "k1")).await.status, 200);
     let runs = replica.requests();
@@ -110,7 +110,7 @@
     let invented = send(&fleet, invented).await;
     assert_eq!((stolen.status, invented.status), (404, 404));
     assert_eq!(stolen.body, invented.body);
-    // Nor does it help to spell how the turn is stored.
+    // Guessing the internal identifier of the stored turn does not give access either.
     for spelt in ["one/t1", "one:t1"] {
         let ask = turn("t4", "k2").with("luglink-previous-turn", spelt);
         assert_eq!(send(&fleet, ask).await.status, 404);
@@ -121,7 +121,7 @@
 }
 
 #[actix_rt::test]
-async fn programs_of_the_same_name_have_budgets_of_their_own() {
+async fn programs_of_the_same_name_have_separate_budgets_per_tenant() {
     let (fleet, _) = fleet(vec![tenant("one", "k1"), tenant("two", "k2")]).await;
     let ask = |id: &str, key: &str| turn(id, key).with("luglink-token-budget", 60);
     assert_eq!(send(&fleet, ask("t1", "k1")).await.status, 200);
@@ -130,14 +130,14 @@
 }
 
 #[actix_rt::test]
-async fn a_key_that_is_taken_away_and_one_that_is_added_hold_with_the_next_version() {
+async fn revoked_and_added_keys_take_effect_with_the_next_version() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
     replica.set(Script::Answer);
     let asks = |key: &'static str| keyed(Ask::get("/safe/x", "a1"), key);
     assert_eq!(send(&fleet, asks("k1")).await.status, 200);
     let next = with_tenants(2, vec![tenant("one", "k2")]);
     fleet.configure(&next).await;
-    until("the new key holds", || async {
+    until("the new key is accepted", || async {
         send(&fleet, asks("k2")).await.status == 200
     })
     .await;
@@ -147,7 +147,7 @@
 #[actix_rt::test]
 async fn requests_beyond_a_quota_get_429_and_do_not_run() {
     let mut limited = tenant("one", "k1");
-    // Two owners, each with three tokens and nearly nothing to come.
+    // Two owners, each with three tokens and almost no refill.
     limited.quota = Some(Quota {
         rate_per_s: 0.01,
         burst: 6.0,
@@ -159,11 +159,14 @@
         let got = send(&fleet, keyed(Ask::get("/safe/x", "a1"), "k1")).await;
         match got.status {
             200 => served += 1,
-            // The stores have not heard a leader yet, or the buckets are still empty.
+            // The stores have not heard from a leader yet, or the buckets are still empty.
             503 => actix_rt::time::sleep(std::time::Duration::from_millis(50)).await,
             _ => break got,
         }
-        assert!(served <= 6, "more than the quota");
+        assert!(
+            served <= 6,
+            "more requests were served than the quota allows"
+        );
     };
     assert_eq!(refused.status, 429);
     let come_back: f64 = refused.header("retry-after").unwrap().parse().unwrap();
@@ -174,7 +177,7 @@
 }
 
 #[actix_rt::test]
-async fn keys_hold_no_longer_than_told_without_a_word_of_the_members() {
+async fn keys_expire_without_contact_to_the_members() {
     let (mut fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
     replica.set(Script::Answer);
     let keyed_ask = || keyed(Ask::get("/safe/x", "a1"), "k1");
@@ -182,11 +185,11 @@
     for member in std::mem::take(&mut fleet.members) {
         member.stop().await;
     }
-    until("the key is not relied on any more", || async {
+    until("the key is no longer accepted", || async {
         send(&fleet, keyed_ask()).await.status == 503
     })
     .await;
-    // Nobody takes a public route away but a configuration.
+    // Public routes do not depend on keys.
     let public = Ask::get("/public/x", "a2");
     assert_eq!(send(&fleet, public).await.status, 200);
 }
