--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -7,14 +7,14 @@
 //! program if they report that they are full.
 
 use crate::gateway::Gateway;
-use crate::inbound::{Inbound, ProgramFields};
+use crate::inbound::{InboundRequest, ProgramFields};
 use crate::refusal::Refusal;
 use luglink_edge::{Configuration, Service};
 use luglink_fleet::GatewayLoad;
 use luglink_quota::Purpose;
 use luglink_scheduling::{
-    Entry, FleetDemand, Newcomer, ProgramIntake, ProgramTable, Room, ShortOf, TurnBegins,
-    ZoneRequests, ZoneTrend,
+    AdmissionDecision, Capacity, FleetDemand, NewProgram, ProgramAdmission, ProgramTable, Shortage,
+    TurnStarted, ZoneRequests, ZoneTrend,
 };
 use luglink_telemetry::milliseconds;
 use luglink_types::Timestamp;
@@ -27,7 +27,7 @@
 pub(crate) struct AdmissionState {
     programs: ProgramTable,
     /// Admission state by service.
-    intakes: HashMap<String, ProgramIntake>,
+    intakes: HashMap<String, ProgramAdmission>,
     /// Requests in flight at all gateways of the zone, by service.
     zone_trends: HashMap<String, ZoneTrend>,
 }
@@ -57,7 +57,7 @@
     /// Estimates what the running programs of all gateways of the zone need.
     fn estimate_demand(&mut self, service: &str, gateways: f64, now: Timestamp) -> FleetDemand {
         let own = self.programs.demand(service, now);
-        let usual = self.programs.usual_demand(service);
+        let usual = self.programs.average_demand(service);
         let zone = self.zone_requests(service, now);
         FleetDemand::estimate(own, usual, gateways, zone)
     }
@@ -94,28 +94,28 @@
 }
 
 /// Returns true if new programs of the request's service are admitted by working set.
-pub(crate) fn uses_working_set(gateway: &Gateway, inbound: &Inbound) -> bool {
+pub(crate) fn uses_working_set(gateway: &Gateway, inbound: &InboundRequest) -> bool {
     let has_engine = |service: &Service| service.engine.is_some();
     gateway.config.features.working_set()
-        && gateway.of_service(&inbound.service, has_engine) == Some(true)
+        && gateway.with_service(&inbound.service, has_engine) == Some(true)
 }
 
 /// Records that a turn is about to be sent. Returns `None` if programs of the service are not
 /// admitted by working set.
 pub(crate) fn track_turn(
     gateway: &Rc<Gateway>,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     purpose: Purpose,
 ) -> Option<TurnGuard> {
     if !uses_working_set(gateway, inbound) {
         return None;
     }
-    let turn = TurnBegins {
+    let turn = TurnStarted {
         program: inbound.draw,
         route: &inbound.route,
         service: &inbound.service,
         prompt_tokens: prompt_tokens(inbound),
-        begins_program: purpose == Purpose::Begins,
+        is_first_turn: purpose == Purpose::Begins,
     };
     let mut state = gateway.admission.borrow_mut();
     state.programs.begin_turn(&turn, gateway.now());
@@ -130,7 +130,7 @@
 /// and is the same for every retry and at every gateway.
 pub(crate) fn admit(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     program: &ProgramFields,
     program_hash: u64,
 ) -> Result<(), Refusal> {
@@ -142,7 +142,7 @@
     let service = inbound.service.as_str();
     let zone_share = ZoneShare::of(gateway, service);
     let demand = state.estimate_demand(service, zone_share.gateways, now);
-    let new_program = Newcomer {
+    let new_program = NewProgram {
         place: program_hash,
         route: &inbound.route,
         tenant: inbound.caller.tenant().map(|tenant| &tenant.name),
@@ -165,24 +165,24 @@
         return Ok(());
     }
     decision.log_refusal(inbound, program);
-    Err(Refusal::not_run_until(
+    Err(Refusal::not_run_retry_after(
         "the engines are overloaded",
-        entry.come_back,
+        entry.retry_delay,
     ))
 }
 
 /// An admission decision together with its inputs.
 struct Decision<'request> {
-    new_program: Newcomer<'request>,
-    room: Room,
+    new_program: NewProgram<'request>,
+    room: Capacity,
     demand: FleetDemand,
-    entry: Entry,
+    entry: AdmissionDecision,
 }
 
 impl Decision<'_> {
     fn record_metrics(&self, gateway: &Gateway) {
         let metrics = &gateway.metrics;
-        let outcome = self.entry.refused_for.map_or("let_in", ShortOf::as_str);
+        let outcome = self.entry.refused_for.map_or("let_in", Shortage::as_str);
         metrics.programs.with_label_values(&[outcome]).inc();
         let class = if self.entry.is_above_fair_share() {
             "above_share"
@@ -190,29 +190,29 @@
             "within_share"
         };
         metrics.tenant_classes.with_label_values(&[class]).inc();
-        metrics.working_set.set(self.demand.tokens_under_way);
+        metrics.working_set.set(self.demand.peak_tokens);
         metrics.room.set(self.room.tokens);
         let lifetime = self.new_program.lifetime.as_secs_f64();
         metrics.program_seconds.set(lifetime);
     }
 
-    fn log_refusal(&self, inbound: &Inbound, program: &ProgramFields) {
+    fn log_refusal(&self, inbound: &InboundRequest, program: &ProgramFields) {
         tracing::info!(
             id = inbound.id,
             program = %program.name,
             route = inbound.route.name,
-            short_of = self.entry.refused_for.map(ShortOf::as_str),
+            short_of = self.entry.refused_for.map(Shortage::as_str),
             fullness = self.entry.fullness,
             share = self.entry.share,
             tenant_share = self.entry.tenant_share,
-            working_set = self.demand.tokens_under_way,
-            requests = self.demand.requests_under_way,
-            programs = self.demand.programs_under_way,
+            working_set = self.demand.peak_tokens,
+            requests = self.demand.requests_in_flight,
+            programs = self.demand.active_programs,
             room_tokens = self.room.tokens,
             room_slots = self.room.slots,
             age_ms = milliseconds(self.demand.age),
             lifetime_ms = milliseconds(self.new_program.lifetime),
-            come_back_ms = milliseconds(self.entry.come_back),
+            come_back_ms = milliseconds(self.entry.retry_delay),
             left_ms = milliseconds(self.new_program.remaining),
             "program refused: running programs need the capacity of the engines"
         );
@@ -224,18 +224,18 @@
     /// Number of gateways in the zone.
     gateways: f64,
     /// The zone's part of the capacity of the engines.
-    room: Room,
+    room: Capacity,
 }
 
 impl ZoneShare {
     fn of(gateway: &Gateway, service: &str) -> Self {
-        let extent = gateway.pool.borrow().extent(service);
+        let service_size = gateway.pool.borrow().service_size(service);
         let all_gateways = f64::from(gateway.gateways.get().max(1));
-        let zones = (extent.zones.max(1) as f64).min(all_gateways);
-        let replicas = extent.usable as f64 / zones;
-        let room = gateway.of_service(service, |service| {
+        let zones = (service_size.zones.max(1) as f64).min(all_gateways);
+        let replicas = service_size.usable as f64 / zones;
+        let room = gateway.with_service(service, |service| {
             let engine = service.engine.as_ref()?;
-            Some(Room {
+            Some(Capacity {
                 tokens: replicas * engine.cache_tokens as f64,
                 slots: replicas * f64::from(engine.slots),
             })
@@ -248,6 +248,6 @@
 }
 
 /// Returns the number of tokens in the whole prompt as declared by the caller; 0 if undeclared.
-fn prompt_tokens(inbound: &Inbound) -> u64 {
+fn prompt_tokens(inbound: &InboundRequest) -> u64 {
     inbound.prompt.map_or(0, |prompt| u64::from(prompt.tokens))
 }
--- a/crates/gateway-server/src/config.rs
+++ b/crates/gateway-server/src/config.rs
@@ -30,7 +30,7 @@
     /// Replication of turns and accounts on the turn stores.
     pub replication: Replication,
     /// Maximum duration of a planned stop.
-    pub stop_limit: Duration,
+    pub stop_timeout: Duration,
     /// Overload decisions that are enabled.
     pub features: Features,
     /// Fullness from which a replica gets no new programs; 0 starts programs without querying
--- a/crates/gateway-server/src/list.rs
+++ b/crates/gateway-server/src/list.rs
@@ -2,8 +2,8 @@
 //! it.
 
 use crate::gateway::Gateway;
-use luglink_fleet::{ListReader, ListReading, ReadingRates};
-use luglink_list_client::{AtRefusal, ListClient};
+use luglink_fleet::{ListReadLimits, ListReadSchedule, ListReader};
+use luglink_list_client::{ListClient, RateLimitPolicy};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
 /// Timeout of reading the whole list once.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Watches the age of the list and reads it when it is stale; never returns. [`ListReading`] limits
+/// Watches the age of the list and reads it when it is stale; never returns. [`ListReadSchedule`] limits
 /// how often this gateway reads.
 pub(crate) async fn keep_current(gateway: Rc<Gateway>) {
     let mut client = ListClient::new(gateway.config.list_address);
-    let mut reading = ListReading::new(ReadingRates {
+    let mut reading = ListReadSchedule::new(ListReadLimits {
         calls_per_s: gateway.config.list_calls_per_s,
-        shortest: CHECK_INTERVAL,
+        min_interval: CHECK_INTERVAL,
         stale_after: gateway.config.list_stale_after,
     });
     let mut was_stale = false;
@@ -39,19 +39,22 @@
     }
 }
 
-async fn read(gateway: &Gateway, client: &mut ListClient, reading: &mut ListReading) {
+async fn read(gateway: &Gateway, client: &mut ListClient, reading: &mut ListReadSchedule) {
     let began = gateway.now();
     gateway.metrics.list_reads.inc();
-    let fetched = client.fetch(&*gateway.dialect, READ_TIMEOUT, AtRefusal::GiveUp);
+    let fetched = client.fetch(&*gateway.dialect, READ_TIMEOUT, RateLimitPolicy::GiveUp);
     match fetched.await {
         Ok(fetched) => {
             reading.succeeded(fetched.pages, began, gateway.draw());
-            let passed_over = u64::from(fetched.passed_over);
-            gateway.metrics.list_entries_passed_over.inc_by(passed_over);
+            let skipped_entries = u64::from(fetched.skipped_entries);
+            gateway
+                .metrics
+                .list_entries_passed_over
+                .inc_by(skipped_entries);
             gateway.apply_list(fetched.list, began);
         }
         Err(error) => {
-            reading.failed(error.is_refusal(), began, gateway.draw());
+            reading.failed(error.is_rate_limited(), began, gateway.draw());
             tracing::warn!(%error, age = ?gateway.list_age(), "cannot read the list of replicas");
         }
     }
--- a/crates/gateway-server/src/load_view.rs
+++ b/crates/gateway-server/src/load_view.rs
@@ -2,8 +2,8 @@
 //! control members.
 
 use crate::gateway::Gateway;
-use luglink_fleet::{Sights, ZoneSights};
-use luglink_fleet_client::Asked;
+use luglink_fleet::{StatsReport, ZoneStats};
+use luglink_fleet_client::AskedMember;
 use luglink_scheduling::VIEW_STALE_AFTER;
 use luglink_telemetry::milliseconds;
 use luglink_types::Timestamp;
@@ -43,22 +43,24 @@
 
     /// Returns this gateway's observations for a control member; `None` if the load view is
     /// disabled, or if the member does not include this gateway in any sum.
-    pub(crate) fn sights_to_report(&self, asked: Asked) -> Option<Sights> {
-        let is_needed = asked.is_counted_here || asked.hears_whole_zone;
+    pub(crate) fn sights_to_report(&self, asked: AskedMember) -> Option<StatsReport> {
+        let is_needed = asked.is_counted_here || asked.covers_whole_zone;
         let is_reported = is_needed && self.shares_load_view();
-        is_reported.then(|| self.pool.borrow().sights(self.now()))
+        is_reported.then(|| self.pool.borrow().replica_stats(self.now()))
     }
 
     /// Updates the pool with the merged observations of the zone's gateways.
-    pub(crate) fn update_load_view(&self, zone: &ZoneSights) {
+    pub(crate) fn update_load_view(&self, zone: &ZoneStats) {
         if !self.shares_load_view() {
             return;
         }
         let age = u64::try_from(zone.age.as_micros()).unwrap_or(u64::MAX);
         let observed_at = Timestamp::from_micros(self.now().as_micros().saturating_sub(age));
-        self.pool.borrow_mut().take_view(&zone.sights, observed_at);
+        self.pool
+            .borrow_mut()
+            .set_zone_view(&zone.replica_stats, observed_at);
         self.last_view.observed_at.set(Some(observed_at));
-        self.last_view.replicas.set(zone.sights.0.len());
+        self.last_view.replicas.set(zone.replica_stats.0.len());
     }
 }
 
--- a/crates/gateway-server/src/placement.rs
+++ b/crates/gateway-server/src/placement.rs
@@ -7,7 +7,7 @@
 
 use crate::exchange::connection_limit;
 use crate::gateway::Gateway;
-use crate::inbound::Inbound;
+use crate::inbound::InboundRequest;
 use crate::refusal::Refusal;
 use crate::work;
 use futures_util::future::join_all;
@@ -16,7 +16,7 @@
 use luglink_edge::ReplicaReport;
 use luglink_fleet::{Backend, BackendId};
 use luglink_http::empty_body;
-use luglink_scheduling::{Placement, Reach, Work, place, place_soonest};
+use luglink_scheduling::{CandidateScope, Placement, Work, place, place_soonest};
 use luglink_telemetry::milliseconds;
 use std::time::Duration;
 
@@ -47,23 +47,24 @@
 /// All candidates are full. The request has not run.
 pub(crate) async fn choose_first_replica(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
 ) -> Result<Option<BackendId>, Refusal> {
     let limit = gateway.config.full_at;
-    let has_engine = gateway.of_service(&inbound.service, |service| service.engine.is_some());
+    let has_engine = gateway.with_service(&inbound.service, |service| service.engine.is_some());
     if limit <= 0.0 || has_engine != Some(true) {
         return Ok(None);
     }
     let work = work::estimate_first_turn(gateway, inbound).filter(|_| is_replica_stored(inbound));
     let (mut candidates, mut fullness) = query_home(gateway, inbound, work.as_ref()).await;
     if are_all_busy(&fullness) {
-        let (spare, added_fullness) = query_reach(gateway, inbound, Reach::Spare).await;
+        let (spare, added_fullness) = query_reach(gateway, inbound, CandidateScope::Spare).await;
         candidates.extend(spare);
         fullness.extend(added_fullness);
-        gateway.pool.borrow_mut().widen(&inbound.service);
+        gateway.pool.borrow_mut().grow_working_set(&inbound.service);
     }
     if are_all_busy(&fullness) {
-        let (others, added_fullness) = query_reach(gateway, inbound, Reach::Elsewhere).await;
+        let (others, added_fullness) =
+            query_reach(gateway, inbound, CandidateScope::OtherZones).await;
         candidates.extend(others);
         let added_fullness = added_fullness.into_iter();
         fullness.extend(added_fullness.map(|reported| Some(reported? + OTHER_ZONE_PENALTY)));
@@ -80,19 +81,19 @@
         Placement::At(position) => Ok(candidates.get(position).map(|backend| backend.id.clone())),
         Placement::Refuse {
             fullness,
-            come_back,
+            retry_delay,
         } => {
             tracing::info!(
                 id = inbound.id,
                 route = inbound.route.name,
                 fullness,
                 limit,
-                come_back_ms = milliseconds(come_back),
+                come_back_ms = milliseconds(retry_delay),
                 "program refused: all candidate replicas are full"
             );
-            Err(Refusal::not_run_until(
+            Err(Refusal::not_run_retry_after(
                 "the engines are overloaded",
-                come_back,
+                retry_delay,
             ))
         }
     }
@@ -100,7 +101,7 @@
 
 /// Returns true if the turn stores record the program's replica for its later turns. Later turns of
 /// other programs go to the replica that all gateways derive from the program's name.
-fn is_replica_stored(inbound: &Inbound) -> bool {
+fn is_replica_stored(inbound: &InboundRequest) -> bool {
     let program = inbound.program.as_ref();
     let has_budget = program.is_some_and(|program| program.budget.is_some());
     has_budget || inbound.route.keeps_history
@@ -126,11 +127,11 @@
 /// Queries the home candidates of a program. Returns them with their fullness.
 async fn query_home(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     work: Option<&Work>,
 ) -> (Vec<Backend>, Vec<Option<f64>>) {
     let Some(work) = work else {
-        return query_reach(gateway, inbound, Reach::Home).await;
+        return query_reach(gateway, inbound, CandidateScope::Home).await;
     };
     let candidates = {
         let pool = gateway.pool.borrow();
@@ -143,8 +144,8 @@
 /// Queries the candidates within a reach. Returns them with their fullness.
 async fn query_reach(
     gateway: &Gateway,
-    inbound: &Inbound,
-    reach: Reach,
+    inbound: &InboundRequest,
+    reach: CandidateScope,
 ) -> (Vec<Backend>, Vec<Option<f64>>) {
     let candidates = {
         let pool = gateway.pool.borrow();
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -4,14 +4,14 @@
 use crate::admission::TurnGuard;
 use crate::chain_search::ChainLookup;
 use crate::gateway::Gateway;
-use crate::inbound::{Inbound, ProgramFields};
+use crate::inbound::{InboundRequest, ProgramFields};
 use crate::refusal::Refusal;
 use crate::{admission, placement, quota};
 use bytes::{Bytes, BytesMut};
 use http::StatusCode;
 use luglink_fleet::BackendId;
 use luglink_quota::Purpose;
-use luglink_scheduling::Intake;
+use luglink_scheduling::ShedDecision;
 use luglink_turns::{Admission, ProgramName, TurnId, TurnRecord};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -25,7 +25,7 @@
 
 /// A turn that has been admitted and may be sent.
 #[derive(Debug)]
-pub(crate) struct TurnStart {
+pub(crate) struct PreparedTurn {
     /// Tokens reserved from the program's budget; `None` if the turn stores were not involved.
     pub(crate) reservation: Option<Reservation>,
     /// Ancestors of the turn, oldest first.
@@ -75,7 +75,7 @@
 
     /// Records the replica that serves the turn. It is sent to the stores when the turn is settled,
     /// so that any gateway sends the program's next turn to the same replica.
-    pub(crate) fn note_replica(&self, replica: &BackendId) {
+    pub(crate) fn record_replica(&self, replica: &BackendId) {
         *self.served_by.borrow_mut() = Some(replica.clone());
     }
 
@@ -136,10 +136,13 @@
 
 /// Prepares a turn: reserves its tokens, loads its ancestors, chooses a replica, and takes a token
 /// from its tenant's quota.
-pub(crate) async fn begin(gateway: &Rc<Gateway>, inbound: &Inbound) -> Result<TurnStart, Refusal> {
+pub(crate) async fn begin(
+    gateway: &Rc<Gateway>,
+    inbound: &InboundRequest,
+) -> Result<PreparedTurn, Refusal> {
     let Some(program) = &inbound.program else {
         quota::take(gateway, inbound, Purpose::Continues).await?;
-        return Ok(TurnStart {
+        return Ok(PreparedTurn {
             reservation: None,
             chain: Vec::new(),
             place: None,
@@ -176,7 +179,7 @@
         true => None,
         false => Some(build_prompt(&chain, inbound)?),
     };
-    Ok(TurnStart {
+    Ok(PreparedTurn {
         reservation: reserved.reservation,
         place,
         is_continuation: reserved.purpose == Purpose::Continues,
@@ -188,7 +191,7 @@
 
 async fn reserve(
     gateway: &Rc<Gateway>,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     program: &ProgramFields,
     wanted: Option<&TurnId>,
 ) -> Result<ReservedTurn, Refusal> {
@@ -261,15 +264,19 @@
 }
 
 /// Refuses a new program if the engines are overloaded.
-fn admit(gateway: &Gateway, inbound: &Inbound, program: &ProgramFields) -> Result<(), Refusal> {
+fn admit(
+    gateway: &Gateway,
+    inbound: &InboundRequest,
+    program: &ProgramFields,
+) -> Result<(), Refusal> {
     let program_hash = xxh3_64_with_seed(program.name.0.as_bytes(), ADMISSION_SEED);
     if admission::uses_working_set(gateway, inbound) {
         return admission::admit(gateway, inbound, program, program_hash);
     }
     let mut shedder = gateway.shedder.borrow_mut();
     let intake = shedder.admit(&inbound.route, program_hash, gateway.now());
-    let Intake::Refuse {
-        come_back,
+    let ShedDecision::Refuse {
+        retry_delay,
         share,
         late,
     } = intake
@@ -285,15 +292,15 @@
         aim_ms = inbound.route.target_latency_ms,
         "program refused: too many first events on its route are late"
     );
-    Err(Refusal::not_run_until(
+    Err(Refusal::not_run_retry_after(
         "the engines are overloaded",
-        come_back,
+        retry_delay,
     ))
 }
 
 fn resolve_chain(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     lookup: ChainLookup,
 ) -> Result<Vec<Rc<TurnRecord>>, Refusal> {
     match lookup {
@@ -321,14 +328,14 @@
 }
 
 /// Builds the prompt of a turn: the inputs and outputs of its ancestors followed by the new input.
-fn build_prompt(chain: &[Rc<TurnRecord>], inbound: &Inbound) -> Result<Bytes, Refusal> {
+fn build_prompt(chain: &[Rc<TurnRecord>], inbound: &InboundRequest) -> Result<Bytes, Refusal> {
     let history: usize = chain
         .iter()
         .map(|turn| turn.input.len() + turn.output.len())
         .sum();
     let length = history + inbound.body.len();
     let room = inbound.held.add_prompt(length as u64);
-    room.map_err(|_| Refusal::no_room())?;
+    room.map_err(|_| Refusal::memory_exhausted())?;
     let mut prompt = BytesMut::with_capacity(length);
     for turn in chain {
         prompt.extend_from_slice(&turn.input);
--- a/crates/gateway-server/src/quota.rs
+++ b/crates/gateway-server/src/quota.rs
@@ -1,13 +1,13 @@
 //! Enforcement of tenant quotas: takes a token for a request from the owners of its tenant's quota.
 
 use crate::gateway::Gateway;
-use crate::inbound::Inbound;
+use crate::inbound::InboundRequest;
 use crate::refusal::Refusal;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 use http::StatusCode;
 use luglink_edge::{Quota, Tenant};
-use luglink_quota::{Limit, Purpose, QuotaAnswer, QuotaAsk};
+use luglink_quota::{Limit, Purpose, QuotaRequest, QuotaResponse};
 use luglink_telemetry::milliseconds;
 use std::time::{Duration, Instant};
 
@@ -29,7 +29,7 @@
 enum Verdict {
     Granted,
     Denied {
-        come_back: Duration,
+        retry_delay: Duration,
     },
     /// No owner gave a decision.
     Unknown,
@@ -42,7 +42,7 @@
 /// The tenant's limit is reached, or no owner can tell. The request has not run.
 pub(crate) async fn take(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     purpose: Purpose,
 ) -> Result<(), Refusal> {
     let Some(tenant) = inbound.caller.tenant() else {
@@ -58,7 +58,7 @@
     gateway.metrics.quota_seconds.observe(seconds);
     match verdict {
         Verdict::Granted => Ok(()),
-        Verdict::Denied { come_back } => Err(limit_reached(gateway, inbound, &ask, come_back)),
+        Verdict::Denied { retry_delay } => Err(limit_reached(gateway, inbound, &ask, retry_delay)),
         Verdict::Unknown => {
             tracing::warn!(
                 id = inbound.id,
@@ -76,7 +76,7 @@
 
 /// Asks the owners for a token. A request of a running program retries while a token is expected
 /// within its maximum wait.
-async fn request_token(gateway: &Gateway, inbound: &Inbound, ask: &QuotaAsk) -> Verdict {
+async fn request_token(gateway: &Gateway, inbound: &InboundRequest, ask: &QuotaRequest) -> Verdict {
     let max_wait = match ask.purpose {
         Purpose::Begins => Duration::ZERO,
         Purpose::Continues => MAX_TOKEN_WAIT.min(inbound.remaining() / 4),
@@ -87,16 +87,21 @@
         let verdict = actix_rt::time::timeout(timeout, ask_owners(gateway, ask));
         let verdict = verdict.await.unwrap_or(Verdict::Unknown);
         match verdict {
-            Verdict::Denied { come_back } if Instant::now() + come_back < deadline => {
-                actix_rt::time::sleep(come_back.max(MIN_TOKEN_WAIT)).await;
+            Verdict::Denied { retry_delay } if Instant::now() + retry_delay < deadline => {
+                actix_rt::time::sleep(retry_delay.max(MIN_TOKEN_WAIT)).await;
             }
             verdict => return verdict,
         }
     }
 }
 
-fn token_request(inbound: &Inbound, tenant: &Tenant, quota: Quota, purpose: Purpose) -> QuotaAsk {
-    QuotaAsk {
+fn token_request(
+    inbound: &InboundRequest,
+    tenant: &Tenant,
+    quota: Quota,
+    purpose: Purpose,
+) -> QuotaRequest {
+    QuotaRequest {
         tenant: tenant.name.clone(),
         limit: Limit {
             version: inbound.version,
@@ -109,9 +114,9 @@
 
 fn limit_reached(
     gateway: &Gateway,
-    inbound: &Inbound,
-    ask: &QuotaAsk,
-    come_back: Duration,
+    inbound: &InboundRequest,
+    ask: &QuotaRequest,
+    retry_delay: Duration,
 ) -> Refusal {
     tracing::info!(
         id = inbound.id,
@@ -121,22 +126,22 @@
         rate_per_s = ask.limit.rate_per_s,
         burst = ask.limit.burst,
         version = inbound.version,
-        come_back_ms = milliseconds(come_back),
+        come_back_ms = milliseconds(retry_delay),
         "request refused: the tenant's limit is reached"
     );
     gateway.metrics.count_quota_refusal("denied");
     Refusal {
         status: StatusCode::TOO_MANY_REQUESTS,
-        ..Refusal::not_run_until("the tenant's limit is reached", come_back)
+        ..Refusal::not_run_retry_after("the tenant's limit is reached", retry_delay)
     }
 }
 
 /// Asks the owners in turn until one grants a token. The next owner is asked when one has no token,
 /// or in parallel when one is slow to answer.
-async fn ask_owners(gateway: &Gateway, ask: &QuotaAsk) -> Verdict {
+async fn ask_owners(gateway: &Gateway, ask: &QuotaRequest) -> Verdict {
     let mut owners = gateway.turns.quota_owners(&ask.tenant).into_iter();
     let mut pending = FuturesUnordered::new();
-    let mut come_back = None;
+    let mut retry_delay = None;
     loop {
         let next = owners.next();
         let is_last = next.is_none();
@@ -149,15 +154,16 @@
                 () = actix_rt::time::sleep(OWNER_HEDGE_DELAY), if !is_last => break,
             };
             match answer {
-                Some(Some(QuotaAnswer::Granted)) => return Verdict::Granted,
-                Some(Some(QuotaAnswer::Denied { come_back_ms })) => {
+                Some(Some(QuotaResponse::Granted)) => return Verdict::Granted,
+                Some(Some(QuotaResponse::Denied { come_back_ms })) => {
                     let wait = Duration::from_millis(come_back_ms);
-                    come_back = Some(come_back.map_or(wait, |known: Duration| known.min(wait)));
+                    retry_delay = Some(retry_delay.map_or(wait, |known: Duration| known.min(wait)));
                 }
-                Some(Some(QuotaAnswer::NotOwner) | None) => {}
+                Some(Some(QuotaResponse::NotOwner) | None) => {}
                 None if is_last => {
-                    return come_back
-                        .map_or(Verdict::Unknown, |come_back| Verdict::Denied { come_back });
+                    return retry_delay.map_or(Verdict::Unknown, |retry_delay| Verdict::Denied {
+                        retry_delay,
+                    });
                 }
                 None => break,
             }
--- a/crates/gateway-server/src/work.rs
+++ b/crates/gateway-server/src/work.rs
@@ -2,18 +2,18 @@
 //! lengths of earlier answers.
 
 use crate::gateway::Gateway;
-use crate::inbound::Inbound;
-use crate::program::TurnStart;
+use crate::inbound::InboundRequest;
+use crate::program::PreparedTurn;
 use luglink_scheduling::Work;
 
 /// Estimates the work of a program's first turn; `None` if replicas are not chosen by expected
 /// finish at the moment, or the service has no engines.
-pub(crate) fn estimate_first_turn(gateway: &Gateway, inbound: &Inbound) -> Option<Work> {
+pub(crate) fn estimate_first_turn(gateway: &Gateway, inbound: &InboundRequest) -> Option<Work> {
     let prompt = inbound
         .prompt
-        .filter(|_| gateway.pool.borrow().goes_by_finish(gateway.now()))?;
+        .filter(|_| gateway.pool.borrow().uses_expected_finish(gateway.now()))?;
     let tokens_per_event = gateway
-        .of_service(&inbound.service, |service| {
+        .with_service(&inbound.service, |service| {
             let engine = service.engine.as_ref();
             engine.map(|engine| engine.tokens_per_event)
         })
@@ -34,7 +34,11 @@
 }
 
 /// Estimates the work of a turn that is about to be sent.
-pub(crate) fn of_turn(gateway: &Gateway, inbound: &Inbound, start: &TurnStart) -> Option<Work> {
+pub(crate) fn estimate_turn(
+    gateway: &Gateway,
+    inbound: &InboundRequest,
+    start: &PreparedTurn,
+) -> Option<Work> {
     let mut work = estimate_first_turn(gateway, inbound)?;
     let Some(whole_prompt) = &start.prompt else {
         // The program's own part of the prompt was mostly read already for the previous turn.
--- a/crates/gateway-server/tests/gateway/expected_finish.rs
+++ b/crates/gateway-server/tests/gateway/expected_finish.rs
@@ -1,6 +1,6 @@
 //! Selection of replicas by the expected finish of a turn.
 
-use crate::support::caller::{Ask, Got, get};
+use crate::support::caller::{TestRequest, TestResponse, get};
 use crate::support::replica::{Replica, Script};
 use crate::support::{Fleet, configuration};
 
@@ -22,8 +22,8 @@
     (fleet, replicas)
 }
 
-async fn turn(fleet: &Fleet, program: &str, id: &str) -> Got {
-    let ask = Ask::post("/resumable/x", id, "input")
+async fn turn(fleet: &Fleet, program: &str, id: &str) -> TestResponse {
+    let ask = TestRequest::post("/resumable/x", id, "input")
         .with("luglink-program", program)
         .with("luglink-token-usage", "1460,50")
         .with(
@@ -73,7 +73,7 @@
 #[actix_rt::test]
 async fn a_turn_without_declared_prompt_tokens_is_served() {
     let (fleet, _) = fleet(true).await;
-    let ask = Ask::post("/resumable/x", "t", "input").with("luglink-program", "p");
+    let ask = TestRequest::post("/resumable/x", "t", "input").with("luglink-program", "p");
     assert_eq!(ask.send(fleet.gateway_address).await.status, 200);
     assert_eq!(expected_count(&fleet).await, 0);
 }
--- a/crates/gateway-server/tests/gateway/load_view.rs
+++ b/crates/gateway-server/tests/gateway/load_view.rs
@@ -1,8 +1,8 @@
 //! Distribution of the load view among the gateways of a zone.
 
-use crate::support::caller::{Ask, get};
+use crate::support::caller::{TestRequest, get};
 use crate::support::replica::{Replica, Script};
-use crate::support::{Fleet, configuration, route, until};
+use crate::support::{Fleet, configuration, route, wait_until};
 use luglink_edge::{Configuration, RouteKind};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 
 /// Starts a request that stays in flight at a replica that never answers.
 fn start_unanswered_request(gateway: SocketAddr) {
-    actix_rt::spawn(async move { Ask::get("/safe/x", "waits").send(gateway).await });
+    actix_rt::spawn(async move { TestRequest::get("/safe/x", "waits").send(gateway).await });
 }
 
 #[actix_rt::test]
@@ -42,7 +42,7 @@
     let (second, _) = fleet.start_second_gateway().await;
     assert_eq!(replicas_in_view(second.metrics_address).await, 0.0);
     start_unanswered_request(fleet.gateway_address);
-    until("the second gateway sees the busy replica", || async {
+    wait_until("the second gateway sees the busy replica", || async {
         replicas_in_view(second.metrics_address).await == 1.0
     })
     .await;
--- a/crates/gateway-server/tests/gateway/metrics.rs
+++ b/crates/gateway-server/tests/gateway/metrics.rs
@@ -1,8 +1,8 @@
 //! Metrics of the processes of a fleet.
 
-use crate::support::caller::{Ask, Got, get};
+use crate::support::caller::{TestRequest, TestResponse, get};
 use crate::support::replica::{Replica, Script};
-use crate::support::{Fleet, configuration, until};
+use crate::support::{Fleet, configuration, wait_until};
 use std::net::SocketAddr;
 
 /// Returns the value of a metric, or 0 if it is missing. `series` is its name with its labels.
@@ -12,7 +12,7 @@
     number.unwrap_or(0.0)
 }
 
-pub(crate) async fn metrics(address: Option<SocketAddr>) -> Got {
+pub(crate) async fn metrics(address: Option<SocketAddr>) -> TestResponse {
     get(address.unwrap(), "/metrics").await
 }
 
@@ -29,13 +29,13 @@
     let replica = Replica::start("r0", Script::Stream).await;
     let fleet = Fleet::start(vec![replica.clone()]).await;
     fleet.configure(&configuration(7)).await;
-    let turn = Ask::post("/kept/x", "t1", "input")
+    let turn = TestRequest::post("/kept/x", "t1", "input")
         .with("luglink-program", "program")
         .with("luglink-token-usage", "100,50")
         .with("luglink-token-budget", "500");
     assert_eq!(turn.send(fleet.gateway_address).await.status, 200);
     let resolution = || get(fleet.resolution_address, "/v1/gateways");
-    until("the gateway is resolved for callers", || async {
+    wait_until("the gateway is resolved for callers", || async {
         resolution().await.status == 200
     })
     .await;
@@ -57,7 +57,7 @@
     let stores = || fleet.stores.iter().map(|store| store.metrics_address);
     let spends = sum(stores(), "luglink_store_requests_total{kind=\"spend\"}").await;
     assert!(spends >= 2.0, "{spends}");
-    until("the stores report the stored turn", || async {
+    wait_until("the stores report the stored turn", || async {
         sum(stores(), "luglink_store_turns").await >= 2.0
     })
     .await;
@@ -67,7 +67,7 @@
     assert!(sum(members(), taken).await >= 1.0);
     let answered = "luglink_resolutions_total{status=\"200\"}";
     assert!(sum(members(), answered).await >= 1.0);
-    until("exactly one member reports that it leads", || async {
+    wait_until("exactly one member reports that it leads", || async {
         sum(members(), "luglink_member_leads").await == 1.0
     })
     .await;
--- a/crates/gateway-server/tests/gateway/mixed_builds.rs
+++ b/crates/gateway-server/tests/gateway/mixed_builds.rs
@@ -1,6 +1,6 @@
 //! Requests of a newer build that this build does not know.
 
-use crate::support::{Fleet, until};
+use crate::support::{Fleet, wait_until};
 use luglink_control::{Request, Response};
 use luglink_net::RequestClient;
 use luglink_turns::{StoreRequest, StoreResponse};
@@ -29,7 +29,7 @@
     let fleet = Fleet::start(Vec::new()).await;
     let member = client(fleet.member_addresses[0], ClientRole::Observer);
     let status = encode_body(&Request::Status).unwrap();
-    until("the member has loaded its state", || async {
+    wait_until("the member has loaded its state", || async {
         let answer = member.request(status.clone(), LIMIT).await;
         let answer = answer.ok().and_then(|answer| decode_body(&answer).ok());
         matches!(answer, Some(Response::Status(_)))
--- a/crates/gateway-server/tests/gateway/overload.rs
+++ b/crates/gateway-server/tests/gateway/overload.rs
@@ -1,8 +1,8 @@
 //! Admission of new programs while the engines are overloaded.
 
-use crate::support::caller::{Ask, Got};
+use crate::support::caller::{TestRequest, TestResponse};
 use crate::support::replica::{Replica, Script};
-use crate::support::{Fleet, configuration, until};
+use crate::support::{Fleet, configuration, wait_until};
 use futures_util::future::join_all;
 use luglink_scheduling::Features;
 use luglink_types::{Switch, Switches};
@@ -15,8 +15,8 @@
 /// Programs that arrive afterwards: too many for all of them to be admitted by chance.
 const NEW_PROGRAMS: usize = 60;
 
-fn turn(program: &str, id: &str) -> Ask {
-    Ask::post("/kept/x", id, "input")
+fn turn(program: &str, id: &str) -> TestRequest {
+    TestRequest::post("/kept/x", id, "input")
         .with("luglink-program", program)
         .with("luglink-token-budget", 100_000)
         .with("luglink-token-usage", "100,50")
@@ -47,7 +47,7 @@
     send_turns_that_time_out(gateway, "100,50").await;
     *replica.script.borrow_mut() = Script::Stream;
 
-    let mut refused: Vec<(String, Got)> = Vec::new();
+    let mut refused: Vec<(String, TestResponse)> = Vec::new();
     for number in 0..NEW_PROGRAMS {
         let name = format!("new-{number}");
         let got = turn(&name, &name).send(gateway).await;
@@ -78,7 +78,7 @@
     Features::new(switches, false)
 }
 
-fn large_turn(program: &str, id: &str) -> Ask {
+fn large_turn(program: &str, id: &str) -> TestRequest {
     turn(program, id).with("luglink-token-usage", "600,50")
 }
 
@@ -86,28 +86,28 @@
 const SMALL_USAGE: &str = "1,50";
 
 /// A turn with that usage, of a program of its own.
-fn small_turn(program: &str) -> Ask {
+fn small_turn(program: &str) -> TestRequest {
     turn(program, program).with("luglink-token-usage", SMALL_USAGE)
 }
 
 #[actix_rt::test]
 async fn no_program_starts_beyond_the_memory_and_running_ones_continue() {
     let replica = Replica::start("r0", Script::StreamEndless).await;
-    let fleet = Fleet::start_deciding(vec![replica.clone()], working_set_features()).await;
+    let fleet = Fleet::start_with_features(vec![replica.clone()], working_set_features()).await;
     fleet.configure(&configuration(1)).await;
     let gateway = fleet.gateway_address;
     let first = large_turn("begun", "begun-1").with("luglink-deadline-ms", 1_500);
     let under_way = actix_rt::spawn(first.send(gateway));
-    until("the first turn is running", || async {
+    wait_until("the first turn is running", || async {
         replica.requests() == 1
     })
     .await;
 
     let refused = large_turn("new", "new-1").send(gateway).await;
     assert_eq!(refused.status, 503);
-    let come_back: f64 = refused.header("retry-after").unwrap().parse().unwrap();
+    let retry_delay: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     // One third of the three seconds that the caller has left.
-    assert!(come_back > 0.0 && come_back <= 1.0, "{come_back}");
+    assert!(retry_delay > 0.0 && retry_delay <= 1.0, "{retry_delay}");
     assert_eq!(
         replica.requests(),
         1,
@@ -122,7 +122,7 @@
     under_way.await.unwrap();
 
     // After the running program has ended, the refused one is admitted.
-    until("there is room again", || async {
+    wait_until("there is room again", || async {
         large_turn("new", "new-1").send(gateway).await.status == 200
     })
     .await;
@@ -131,12 +131,12 @@
 #[actix_rt::test]
 async fn late_first_events_do_not_matter_where_admission_is_by_working_set() {
     let replica = Replica::start("r0", Script::Mute).await;
-    let fleet = Fleet::start_deciding(vec![replica.clone()], working_set_features()).await;
+    let fleet = Fleet::start_with_features(vec![replica.clone()], working_set_features()).await;
     fleet.configure(&configuration(1)).await;
     send_turns_that_time_out(fleet.gateway_address, SMALL_USAGE).await;
     replica.set(Script::Stream);
     // The turns that timed out have ended; no program is running.
-    until("there is room again", || async {
+    wait_until("there is room again", || async {
         let got = small_turn("after").send(fleet.gateway_address).await;
         got.status == 200
     })
