--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -27,7 +27,7 @@
 pub(crate) struct AdmissionState {
     programs: ProgramTable,
     /// Admission state by service.
-    intakes: HashMap<String, ProgramAdmission>,
+    admissions: HashMap<String, ProgramAdmission>,
     /// Requests in flight at all gateways of the zone, by service.
     zone_trends: HashMap<String, ZoneTrend>,
 }
@@ -45,12 +45,12 @@
     /// Drops the state of services and routes that are no longer configured.
     pub(crate) fn keep_only(&mut self, configuration: &Configuration) {
         self.programs.keep_only(configuration);
-        self.intakes
+        self.admissions
             .retain(|service, _| configuration.service(service).is_some());
         self.zone_trends
             .retain(|service, _| configuration.service(service).is_some());
-        for intake in self.intakes.values_mut() {
-            intake.keep_only(configuration);
+        for admission in self.admissions.values_mut() {
+            admission.keep_only(configuration);
         }
     }
 
@@ -152,46 +152,46 @@
         spread: (gateway.draw() >> 32) as f64 / f64::from(u32::MAX),
     };
     let fair_shares = gateway.config.features.fair_shares();
-    let intake = state.intakes.entry(service.to_owned()).or_default();
-    let entry = intake.admit(&new_program, zone_share.room, &demand, fair_shares, now);
-    let decision = Decision {
+    let admission = state.admissions.entry(service.to_owned()).or_default();
+    let decision = admission.admit(&new_program, zone_share.capacity, &demand, fair_shares, now);
+    let record = DecisionRecord {
         new_program,
-        room: zone_share.room,
+        capacity: zone_share.capacity,
         demand,
-        entry,
+        decision,
     };
-    decision.record_metrics(gateway);
-    if entry.refused_for.is_none() {
+    record.record_metrics(gateway);
+    if decision.refused_for.is_none() {
         return Ok(());
     }
-    decision.log_refusal(inbound, program);
+    record.log_refusal(inbound, program);
     Err(Refusal::not_run_retry_after(
         "the engines are overloaded",
-        entry.retry_delay,
+        decision.retry_delay,
     ))
 }
 
 /// An admission decision together with its inputs.
-struct Decision<'request> {
+struct DecisionRecord<'request> {
     new_program: NewProgram<'request>,
-    room: Capacity,
+    capacity: Capacity,
     demand: FleetDemand,
-    entry: AdmissionDecision,
+    decision: AdmissionDecision,
 }
 
-impl Decision<'_> {
+impl DecisionRecord<'_> {
     fn record_metrics(&self, gateway: &Gateway) {
         let metrics = &gateway.metrics;
-        let outcome = self.entry.refused_for.map_or("let_in", Shortage::as_str);
+        let outcome = self.decision.refused_for.map_or("let_in", Shortage::as_str);
         metrics.programs.with_label_values(&[outcome]).inc();
-        let class = if self.entry.is_above_fair_share() {
+        let class = if self.decision.is_above_fair_share() {
             "above_share"
         } else {
             "within_share"
         };
         metrics.tenant_classes.with_label_values(&[class]).inc();
         metrics.working_set.set(self.demand.peak_tokens);
-        metrics.room.set(self.room.tokens);
+        metrics.room.set(self.capacity.tokens);
         let lifetime = self.new_program.lifetime.as_secs_f64();
         metrics.program_seconds.set(lifetime);
     }
@@ -201,18 +201,18 @@
             id = inbound.id,
             program = %program.name,
             route = inbound.route.name,
-            short_of = self.entry.refused_for.map(Shortage::as_str),
-            fullness = self.entry.fullness,
-            share = self.entry.share,
-            tenant_share = self.entry.tenant_share,
+            short_of = self.decision.refused_for.map(Shortage::as_str),
+            fullness = self.decision.fullness,
+            share = self.decision.share,
+            tenant_share = self.decision.tenant_share,
             working_set = self.demand.peak_tokens,
             requests = self.demand.requests_in_flight,
             programs = self.demand.active_programs,
-            room_tokens = self.room.tokens,
-            room_slots = self.room.slots,
+            room_tokens = self.capacity.tokens,
+            room_slots = self.capacity.slots,
             age_ms = milliseconds(self.demand.age),
             lifetime_ms = milliseconds(self.new_program.lifetime),
-            come_back_ms = milliseconds(self.entry.retry_delay),
+            come_back_ms = milliseconds(self.decision.retry_delay),
             left_ms = milliseconds(self.new_program.remaining),
             "program refused: running programs need the capacity of the engines"
         );
@@ -223,8 +223,8 @@
 struct ZoneShare {
     /// Number of gateways in the zone.
     gateways: f64,
-    /// The zone's part of the capacity of the engines.
-    room: Capacity,
+    /// The zone's part of the engines' capacity.
+    capacity: Capacity,
 }
 
 impl ZoneShare {
@@ -233,7 +233,7 @@
         let all_gateways = f64::from(gateway.gateways.get().max(1));
         let zones = (service_size.zones.max(1) as f64).min(all_gateways);
         let replicas = service_size.usable as f64 / zones;
-        let room = gateway.with_service(service, |service| {
+        let capacity = gateway.with_service(service, |service| {
             let engine = service.engine.as_ref()?;
             Some(Capacity {
                 tokens: replicas * engine.cache_tokens as f64,
@@ -242,7 +242,7 @@
         });
         Self {
             gateways: all_gateways / zones,
-            room: room.flatten().unwrap_or_default(),
+            capacity: capacity.flatten().unwrap_or_default(),
         }
     }
 }
--- a/crates/gateway-server/src/list.rs
+++ b/crates/gateway-server/src/list.rs
@@ -10,14 +10,14 @@
 /// Interval at which the age of the list is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Timeout of reading the whole list once.
+/// Timeout of schedule the whole list once.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Watches the age of the list and reads it when it is stale; never returns. [`ListReadSchedule`] limits
-/// how often this gateway reads.
+/// Watches the age of the list and reads it when it is stale; never returns. [`ListReadSchedule`]
+/// limits how often this gateway reads.
 pub(crate) async fn keep_current(gateway: Rc<Gateway>) {
     let mut client = ListClient::new(gateway.config.list_address);
-    let mut reading = ListReadSchedule::new(ListReadLimits {
+    let mut schedule = ListReadSchedule::new(ListReadLimits {
         calls_per_s: gateway.config.list_calls_per_s,
         min_interval: CHECK_INTERVAL,
         stale_after: gateway.config.list_stale_after,
@@ -32,20 +32,20 @@
             tracing::info!(is_stale, ?age, "staleness of the list of replicas changed");
         }
         let reader = ListReader::Gateway(gateway.gateways.get());
-        reading.expect_replicas(gateway.list.borrow().list().len());
-        if reading.is_due(reader, age, gateway.now(), gateway.draw()) {
-            read(&gateway, &mut client, &mut reading).await;
+        schedule.expect_replicas(gateway.list.borrow().list().len());
+        if schedule.is_due(reader, age, gateway.now(), gateway.draw()) {
+            read(&gateway, &mut client, &mut schedule).await;
         }
     }
 }
 
-async fn read(gateway: &Gateway, client: &mut ListClient, reading: &mut ListReadSchedule) {
+async fn read(gateway: &Gateway, client: &mut ListClient, schedule: &mut ListReadSchedule) {
     let began = gateway.now();
     gateway.metrics.list_reads.inc();
     let fetched = client.fetch(&*gateway.dialect, READ_TIMEOUT, RateLimitPolicy::GiveUp);
     match fetched.await {
         Ok(fetched) => {
-            reading.succeeded(fetched.pages, began, gateway.draw());
+            schedule.succeeded(fetched.pages, began, gateway.draw());
             let skipped_entries = u64::from(fetched.skipped_entries);
             gateway
                 .metrics
@@ -54,7 +54,7 @@
             gateway.apply_list(fetched.list, began);
         }
         Err(error) => {
-            reading.failed(error.is_rate_limited(), began, gateway.draw());
+            schedule.failed(error.is_rate_limited(), began, gateway.draw());
             tracing::warn!(%error, age = ?gateway.list_age(), "cannot read the list of replicas");
         }
     }
--- a/crates/gateway-server/src/load_view.rs
+++ b/crates/gateway-server/src/load_view.rs
@@ -1,5 +1,5 @@
-//! Load view of the zone: what its gateways observe of the replicas, merged and distributed by the
-//! control members.
+//! Load view of the zone: replica statistics of its gateways, summed and distributed by the control
+//! members.
 
 use crate::gateway::Gateway;
 use luglink_fleet::{StatsReport, ZoneStats};
@@ -17,17 +17,17 @@
 /// Age and size of the latest load view.
 #[derive(Debug, Default)]
 pub(crate) struct LastView {
-    /// Mean time at which its observations were made; `None` before the first view.
-    observed_at: Cell<Option<Timestamp>>,
+    /// Mean time at which its statistics were reported; `None` before the first view.
+    reported_at: Cell<Option<Timestamp>>,
     /// Number of replicas in it.
     replicas: Cell<usize>,
 }
 
 impl LastView {
     fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.observed_at
+        self.reported_at
             .get()
-            .map(|observed_at| now.since(observed_at))
+            .map(|reported_at| now.since(reported_at))
     }
 }
 
@@ -41,25 +41,25 @@
             .is_some_and(|in_force| features.load_view(&in_force.configuration))
     }
 
-    /// Returns this gateway's observations for a control member; `None` if the load view is
+    /// Returns this gateway's replica statistics for a control member; `None` if the load view is
     /// disabled, or if the member does not include this gateway in any sum.
-    pub(crate) fn sights_to_report(&self, asked: AskedMember) -> Option<StatsReport> {
-        let is_needed = asked.is_counted_here || asked.covers_whole_zone;
+    pub(crate) fn replica_stats_to_report(&self, member: AskedMember) -> Option<StatsReport> {
+        let is_needed = member.is_counted_here || member.covers_whole_zone;
         let is_reported = is_needed && self.shares_load_view();
         is_reported.then(|| self.pool.borrow().replica_stats(self.now()))
     }
 
-    /// Updates the pool with the merged observations of the zone's gateways.
+    /// Updates the pool with the summed statistics of the zone's gateways.
     pub(crate) fn update_load_view(&self, zone: &ZoneStats) {
         if !self.shares_load_view() {
             return;
         }
         let age = u64::try_from(zone.age.as_micros()).unwrap_or(u64::MAX);
-        let observed_at = Timestamp::from_micros(self.now().as_micros().saturating_sub(age));
+        let reported_at = Timestamp::from_micros(self.now().as_micros().saturating_sub(age));
         self.pool
             .borrow_mut()
-            .set_zone_view(&zone.replica_stats, observed_at);
-        self.last_view.observed_at.set(Some(observed_at));
+            .set_zone_view(&zone.replica_stats, reported_at);
+        self.last_view.reported_at.set(Some(reported_at));
         self.last_view.replicas.set(zone.replica_stats.0.len());
     }
 }
--- a/crates/gateway-server/src/metrics.rs
+++ b/crates/gateway-server/src/metrics.rs
@@ -22,7 +22,7 @@
     pub(crate) list_entries_passed_over: IntCounter,
     /// Replicas that restarted under the same identifier.
     pub(crate) replica_restarts: IntCounter,
-    /// Mean age of the observations in the zone's load view, in seconds.
+    /// Mean age of the replica statistics in the zone's load view, in seconds.
     pub(crate) load_view_age: Gauge,
     /// Number of replicas in the zone's load view.
     pub(crate) load_view_replicas: Gauge,
--- a/crates/gateway-server/src/news.rs
+++ b/crates/gateway-server/src/news.rs
@@ -45,44 +45,44 @@
         }
     }
 
-    fn parts(&self, asked: AskedMember) -> RequestParts {
-        let asks_list = self.known_list(asked.source).is_some();
+    fn parts(&self, asked_member: AskedMember) -> RequestParts {
+        let asks_for_list = self.known_list(asked_member.source).is_some();
         RequestParts {
-            known_incarnations: asks_list.then(|| self.list.borrow().known_incarnations()),
-            replica_stats: self.sights_to_report(asked),
+            known_incarnations: asks_for_list.then(|| self.list.borrow().known_incarnations()),
+            replica_stats: self.replica_stats_to_report(asked_member),
             ..RequestParts::default()
         }
     }
 
     fn on_response_parts(&self, parts: ResponseParts) {
         self.record_incarnations(&parts.incarnations);
-        if let Some(replica_stats) = parts.zone_stats {
-            self.update_load_view(&replica_stats);
+        if let Some(zone_stats) = parts.zone_stats {
+            self.update_load_view(&zone_stats);
         }
     }
 
-    fn on_update(&self, member: SocketAddr, news: ObserverUpdate) {
-        if let Some(document) = news.document {
+    fn on_update(&self, member: SocketAddr, update: ObserverUpdate) {
+        if let Some(document) = update.document {
             self.apply_configuration(member, document);
         }
-        if news.fresh {
+        if update.fresh {
             self.last_fresh_news.set(Some(Instant::now()));
         }
-        if news.fresh && !self.is_current.get() && self.in_force.borrow().is_some() {
+        if update.fresh && !self.is_current.get() && self.in_force.borrow().is_some() {
             tracing::info!(%member, "configuration confirmed as current");
             self.is_current.set(true);
         }
-        if news.gateways > 0 {
-            self.gateways.set(news.gateways);
+        if update.gateways > 0 {
+            self.gateways.set(update.gateways);
         }
-        if let Some(view) = news.stores {
+        if let Some(view) = update.stores {
             tracing::info!(%member, epoch = view.epoch, stores = view.len(), "store view updated");
             self.turns.set_view(view);
         }
-        if let Some(report) = news.backends {
+        if let Some(report) = update.backends {
             self.apply_list_report(report);
         }
-        if let Some(load) = news.zone_load {
+        if let Some(load) = update.zone_load {
             self.pool.borrow_mut().follow_zone_load(&load, self.now());
             self.admission
                 .borrow_mut()
--- a/crates/gateway-server/src/placement.rs
+++ b/crates/gateway-server/src/placement.rs
@@ -20,8 +20,8 @@
 use luglink_telemetry::milliseconds;
 use std::time::Duration;
 
-/// Number of replicas that are queried within each reach.
-const CANDIDATES_PER_REACH: usize = 2;
+/// Number of replicas that are queried within each scope.
+const CANDIDATES_PER_SCOPE: usize = 2;
 
 /// Fullness from which a candidate counts as busy. Below it a replica batches without slowing down
 /// much. If all home candidates of a program are busy, the search widens: first to replicas of the
@@ -57,14 +57,14 @@
     let work = work::estimate_first_turn(gateway, inbound).filter(|_| is_replica_stored(inbound));
     let (mut candidates, mut fullness) = query_home(gateway, inbound, work.as_ref()).await;
     if are_all_busy(&fullness) {
-        let (spare, added_fullness) = query_reach(gateway, inbound, CandidateScope::Spare).await;
+        let (spare, added_fullness) = query_scope(gateway, inbound, CandidateScope::Spare).await;
         candidates.extend(spare);
         fullness.extend(added_fullness);
         gateway.pool.borrow_mut().grow_working_set(&inbound.service);
     }
     if are_all_busy(&fullness) {
         let (others, added_fullness) =
-            query_reach(gateway, inbound, CandidateScope::OtherZones).await;
+            query_scope(gateway, inbound, CandidateScope::OtherZones).await;
         candidates.extend(others);
         let added_fullness = added_fullness.into_iter();
         fullness.extend(added_fullness.map(|reported| Some(reported? + OTHER_ZONE_PENALTY)));
@@ -131,21 +131,21 @@
     work: Option<&Work>,
 ) -> (Vec<Backend>, Vec<Option<f64>>) {
     let Some(work) = work else {
-        return query_reach(gateway, inbound, CandidateScope::Home).await;
+        return query_scope(gateway, inbound, CandidateScope::Home).await;
     };
     let candidates = {
         let pool = gateway.pool.borrow();
         let (service, now) = (&inbound.service, gateway.now());
-        pool.candidates_by_finish(service, inbound.draw, work, CANDIDATES_PER_REACH, now)
+        pool.candidates_by_finish(service, inbound.draw, work, CANDIDATES_PER_SCOPE, now)
     };
     query_all(gateway, candidates).await
 }
 
-/// Queries the candidates within a reach. Returns them with their fullness.
-async fn query_reach(
+/// Queries the candidates within a scope. Returns them with their fullness.
+async fn query_scope(
     gateway: &Gateway,
     inbound: &InboundRequest,
-    reach: CandidateScope,
+    scope: CandidateScope,
 ) -> (Vec<Backend>, Vec<Option<f64>>) {
     let candidates = {
         let pool = gateway.pool.borrow();
@@ -153,8 +153,8 @@
         pool.candidates(
             service,
             inbound.draw,
-            reach,
-            CANDIDATES_PER_REACH,
+            scope,
+            CANDIDATES_PER_SCOPE,
             gateway.now(),
         )
     };
--- a/crates/gateway-server/src/quota.rs
+++ b/crates/gateway-server/src/quota.rs
@@ -52,13 +52,15 @@
         return Ok(());
     };
     let began = Instant::now();
-    let ask = token_request(inbound, tenant, quota, purpose);
-    let verdict = request_token(gateway, inbound, &ask).await;
+    let request = token_request(inbound, tenant, quota, purpose);
+    let verdict = request_token(gateway, inbound, &request).await;
     let seconds = began.elapsed().as_secs_f64();
     gateway.metrics.quota_seconds.observe(seconds);
     match verdict {
         Verdict::Granted => Ok(()),
-        Verdict::Denied { retry_delay } => Err(limit_reached(gateway, inbound, &ask, retry_delay)),
+        Verdict::Denied { retry_delay } => {
+            Err(limit_reached(gateway, inbound, &request, retry_delay))
+        }
         Verdict::Unknown => {
             tracing::warn!(
                 id = inbound.id,
@@ -76,15 +78,19 @@
 
 /// Asks the owners for a token. A request of a running program retries while a token is expected
 /// within its maximum wait.
-async fn request_token(gateway: &Gateway, inbound: &InboundRequest, ask: &QuotaRequest) -> Verdict {
-    let max_wait = match ask.purpose {
+async fn request_token(
+    gateway: &Gateway,
+    inbound: &InboundRequest,
+    request: &QuotaRequest,
+) -> Verdict {
+    let max_wait = match request.purpose {
         Purpose::Begins => Duration::ZERO,
         Purpose::Continues => MAX_TOKEN_WAIT.min(inbound.remaining() / 4),
     };
     let deadline = Instant::now() + max_wait;
     loop {
         let timeout = OWNERS_TIMEOUT.min(inbound.remaining());
-        let verdict = actix_rt::time::timeout(timeout, ask_owners(gateway, ask));
+        let verdict = actix_rt::time::timeout(timeout, request_from_owners(gateway, request));
         let verdict = verdict.await.unwrap_or(Verdict::Unknown);
         match verdict {
             Verdict::Denied { retry_delay } if Instant::now() + retry_delay < deadline => {
@@ -115,16 +121,16 @@
 fn limit_reached(
     gateway: &Gateway,
     inbound: &InboundRequest,
-    ask: &QuotaRequest,
+    request: &QuotaRequest,
     retry_delay: Duration,
 ) -> Refusal {
     tracing::info!(
         id = inbound.id,
-        tenant = %ask.tenant,
+        tenant = %request.tenant,
         route = inbound.route.name,
-        purpose = ?ask.purpose,
-        rate_per_s = ask.limit.rate_per_s,
-        burst = ask.limit.burst,
+        purpose = ?request.purpose,
+        rate_per_s = request.limit.rate_per_s,
+        burst = request.limit.burst,
         version = inbound.version,
         come_back_ms = milliseconds(retry_delay),
         "request refused: the tenant's limit is reached"
@@ -138,15 +144,15 @@
 
 /// Asks the owners in turn until one grants a token. The next owner is asked when one has no token,
 /// or in parallel when one is slow to answer.
-async fn ask_owners(gateway: &Gateway, ask: &QuotaRequest) -> Verdict {
-    let mut owners = gateway.turns.quota_owners(&ask.tenant).into_iter();
+async fn request_from_owners(gateway: &Gateway, request: &QuotaRequest) -> Verdict {
+    let mut owners = gateway.turns.quota_owners(&request.tenant).into_iter();
     let mut pending = FuturesUnordered::new();
     let mut retry_delay = None;
     loop {
         let next = owners.next();
         let is_last = next.is_none();
         if let Some(owner) = next {
-            pending.push(gateway.turns.request_quota(&owner, ask));
+            pending.push(gateway.turns.request_quota(&owner, request));
         }
         loop {
             let answer = tokio::select! {
--- a/crates/gateway-server/src/turn_client.rs
+++ b/crates/gateway-server/src/turn_client.rs
@@ -364,9 +364,9 @@
     pub(crate) fn request_quota(
         &self,
         owner: &StoreName,
-        ask: &QuotaRequest,
+        request: &QuotaRequest,
     ) -> impl Future<Output = Option<QuotaResponse>> + use<> {
-        let reply = self.send(owner, &StoreRequest::Quota(ask.clone()));
+        let reply = self.send(owner, &StoreRequest::Quota(request.clone()));
         async move {
             match reply.await {
                 (_, Some(StoreResponse::Quota(answer))) => Some(answer),
--- a/crates/gateway-server/tests/gateway/expected_finish.rs
+++ b/crates/gateway-server/tests/gateway/expected_finish.rs
@@ -23,7 +23,7 @@
 }
 
 async fn turn(fleet: &Fleet, program: &str, id: &str) -> TestResponse {
-    let ask = TestRequest::post("/resumable/x", id, "input")
+    let request = TestRequest::post("/resumable/x", id, "input")
         .with("luglink-program", program)
         .with("luglink-token-usage", "1460,50")
         .with(
@@ -31,7 +31,7 @@
             "5c1e07a2:800,91bd3f06:410,e4402b7d:250",
         )
         .with("luglink-token-budget", "500");
-    ask.send(fleet.gateway_address).await
+    request.send(fleet.gateway_address).await
 }
 
 /// Returns the number of turns for which the gateway has recorded an expected time.
@@ -56,10 +56,10 @@
             assert_eq!(turn(&fleet, &program, &id).await.status, 200);
         }
         let counts = replicas.iter().zip(&before);
-        let got: Vec<usize> = counts
+        let new_requests: Vec<usize> = counts
             .map(|(replica, before)| replica.requests() - before)
             .collect();
-        assert_eq!(got.iter().max(), Some(&3), "{got:?}");
+        assert_eq!(new_requests.iter().max(), Some(&3), "{new_requests:?}");
     }
 }
 
@@ -73,7 +73,7 @@
 #[actix_rt::test]
 async fn a_turn_without_declared_prompt_tokens_is_served() {
     let (fleet, _) = fleet(true).await;
-    let ask = TestRequest::post("/resumable/x", "t", "input").with("luglink-program", "p");
-    assert_eq!(ask.send(fleet.gateway_address).await.status, 200);
+    let request = TestRequest::post("/resumable/x", "t", "input").with("luglink-program", "p");
+    assert_eq!(request.send(fleet.gateway_address).await.status, 200);
     assert_eq!(expected_count(&fleet).await, 0);
 }
--- a/crates/gateway-server/tests/gateway/overload.rs
+++ b/crates/gateway-server/tests/gateway/overload.rs
@@ -28,8 +28,8 @@
     for round in 0..ROUNDS {
         let turns = (0..TURNS).map(|number| {
             let name = format!("late-{round}-{number}");
-            let ask = turn("late", &name).with("luglink-token-usage", usage);
-            ask.with("luglink-deadline-ms", 300).send(to)
+            let request = turn("late", &name).with("luglink-token-usage", usage);
+            request.with("luglink-deadline-ms", 300).send(to)
         });
         join_all(turns).await;
     }
@@ -50,15 +50,15 @@
     let mut refused: Vec<(String, TestResponse)> = Vec::new();
     for number in 0..NEW_PROGRAMS {
         let name = format!("new-{number}");
-        let got = turn(&name, &name).send(gateway).await;
-        if got.status == 503 {
-            refused.push((name, got));
+        let response = turn(&name, &name).send(gateway).await;
+        if response.status == 503 {
+            refused.push((name, response));
         }
     }
     assert!(!refused.is_empty(), "all new programs were admitted");
     assert!(refused.len() < NEW_PROGRAMS, "no new program was admitted");
-    for (name, got) in &refused {
-        assert!(got.header("retry-after").is_some(), "{got:?}");
+    for (name, response) in &refused {
+        assert!(response.header("retry-after").is_some(), "{response:?}");
         let ran = replica.seen.borrow().iter().any(|seen| seen.id() == name);
         assert!(!ran, "{name} was refused but has run");
     }
@@ -97,7 +97,7 @@
     fleet.configure(&configuration(1)).await;
     let gateway = fleet.gateway_address;
     let first = large_turn("begun", "begun-1").with("luglink-deadline-ms", 1_500);
-    let under_way = actix_rt::spawn(first.send(gateway));
+    let running = actix_rt::spawn(first.send(gateway));
     wait_until("the first turn is running", || async {
         replica.requests() == 1
     })
@@ -119,7 +119,7 @@
     let sub = large_turn("begun", "begun-2").send(gateway).await;
     assert_eq!(sub.status, 200);
     assert_eq!(turn("small", "small-1").send(gateway).await.status, 200);
-    under_way.await.unwrap();
+    running.await.unwrap();
 
     // After the running program has ended, the refused one is admitted.
     wait_until("there is room again", || async {
@@ -137,13 +137,13 @@
     replica.set(Script::Stream);
     // The turns that timed out have ended; no program is running.
     wait_until("there is room again", || async {
-        let got = small_turn("after").send(fleet.gateway_address).await;
-        got.status == 200
+        let response = small_turn("after").send(fleet.gateway_address).await;
+        response.status == 200
     })
     .await;
     for number in 0..NEW_PROGRAMS {
         let name = format!("new-{number}");
-        let got = small_turn(&name).send(fleet.gateway_address).await;
-        assert_eq!(got.status, 200, "{name}: {got:?}");
+        let response = small_turn(&name).send(fleet.gateway_address).await;
+        assert_eq!(response.status, 200, "{name}: {response:?}");
     }
 }
--- a/crates/gateway-server/tests/gateway/placement.rs
+++ b/crates/gateway-server/tests/gateway/placement.rs
@@ -14,11 +14,11 @@
 
 /// Sends a turn on a route that does not keep the history of programs.
 async fn turn(fleet: &Fleet, program: &str, id: &str) -> TestResponse {
-    let ask = TestRequest::post("/resumable/x", id, "input")
+    let request = TestRequest::post("/resumable/x", id, "input")
         .with("luglink-program", program)
         .with("luglink-token-usage", "100,50")
         .with("luglink-token-budget", "500");
-    ask.send(fleet.gateway_address).await
+    request.send(fleet.gateway_address).await
 }
 
 #[actix_rt::test]
@@ -27,15 +27,15 @@
     full.running.set(Some(2));
     empty.running.set(Some(1));
     for number in 0..6 {
-        let got = turn(&fleet, &format!("p{number}"), &format!("t{number}")).await;
-        assert_eq!(got.status, 200);
+        let response = turn(&fleet, &format!("p{number}"), &format!("t{number}")).await;
+        assert_eq!(response.status, 200);
     }
     assert_eq!((full.requests(), empty.requests()), (0, 6));
     // Later turns stay there, whichever replica is less loaded by then or is the home replica.
     full.running.set(Some(0));
     for number in 0..6 {
-        let got = turn(&fleet, &format!("p{number}"), &format!("u{number}")).await;
-        assert_eq!(got.status, 200);
+        let response = turn(&fleet, &format!("p{number}"), &format!("u{number}")).await;
+        assert_eq!(response.status, 200);
     }
     assert_eq!((full.requests(), empty.requests()), (0, 12));
 }
--- a/crates/gateway-server/tests/gateway/programs.rs
+++ b/crates/gateway-server/tests/gateway/programs.rs
@@ -24,8 +24,8 @@
     numbers.map(event).collect()
 }
 
-async fn send(fleet: &Fleet, ask: TestRequest) -> TestResponse {
-    ask.send(fleet.gateway_address).await
+async fn send(fleet: &Fleet, request: TestRequest) -> TestResponse {
+    request.send(fleet.gateway_address).await
 }
 
 #[actix_rt::test]
@@ -51,8 +51,8 @@
 #[actix_rt::test]
 async fn a_turn_that_continues_an_unknown_turn_is_refused() {
     let (fleet, replica) = fleet(Script::Stream).await;
-    let ask = turn("/kept/x", "t1", "x").with("luglink-previous-turn", "never");
-    assert_eq!(send(&fleet, ask).await.status, 404);
+    let request = turn("/kept/x", "t1", "x").with("luglink-previous-turn", "never");
+    assert_eq!(send(&fleet, request).await.status, 404);
     assert_eq!(replica.requests(), 0);
 }
 
@@ -93,32 +93,32 @@
         }
         *script.borrow_mut() = Script::Stream;
     });
-    let got = send(&fleet, turn("/resumable/x", "t1", "x")).await;
-    assert!(got.is_whole);
-    assert_eq!(got.body, events(0..5));
-    assert_eq!(got.header("luglink-signature"), Some("of-t1-by-r0"));
+    let response = send(&fleet, turn("/resumable/x", "t1", "x")).await;
+    assert!(response.is_whole);
+    assert_eq!(response.body, events(0..5));
+    assert_eq!(response.header("luglink-signature"), Some("of-t1-by-r0"));
     assert_eq!(replica.last().headers["last-event-id"], "2");
 }
 
 #[actix_rt::test]
 async fn a_turn_beyond_the_budget_does_not_run() {
     let (fleet, replica) = fleet(Script::Stream).await;
-    let ask = |id: &str| turn("/resumable/x", id, "x").with("luglink-token-budget", 120);
+    let request = |id: &str| turn("/resumable/x", id, "x").with("luglink-token-budget", 120);
     // Each turn generates 5 events of 10 tokens; its ceiling is 50 tokens.
-    assert_eq!(send(&fleet, ask("t1")).await.status, 200);
-    assert_eq!(send(&fleet, ask("t2")).await.status, 200);
-    assert_eq!(send(&fleet, ask("t3")).await.status, 402);
+    assert_eq!(send(&fleet, request("t1")).await.status, 200);
+    assert_eq!(send(&fleet, request("t2")).await.status, 200);
+    assert_eq!(send(&fleet, request("t3")).await.status, 402);
     assert_eq!(replica.requests(), 2);
 }
 
 #[actix_rt::test]
 async fn an_incomplete_turn_releases_its_unused_tokens() {
     let (fleet, replica) = fleet(Script::StreamBroken(1)).await;
-    let ask = |id: &str| turn("/kept/x", id, "x").with("luglink-token-budget", 70);
-    assert!(!send(&fleet, ask("t1")).await.is_whole);
+    let request = |id: &str| turn("/kept/x", id, "x").with("luglink-token-budget", 70);
+    assert!(!send(&fleet, request("t1")).await.is_whole);
     replica.set(Script::Stream);
     wait_until("the first turn counts 10 tokens instead of 50", || async {
-        send(&fleet, ask("t2")).await.status == 200
+        send(&fleet, request("t2")).await.status == 200
     })
     .await;
 }
@@ -126,15 +126,22 @@
 #[actix_rt::test]
 async fn concurrent_turns_never_exceed_the_budget() {
     let (fleet, replica) = fleet(Script::Stream).await;
-    let asks = (0..8).map(|number| {
-        let ask = turn("/resumable/x", &format!("t{number}"), "x");
-        send(&fleet, ask.with("luglink-token-budget", 150))
+    let requests = (0..8).map(|number| {
+        let request = turn("/resumable/x", &format!("t{number}"), "x");
+        send(&fleet, request.with("luglink-token-budget", 150))
     });
-    let got = futures_util::future::join_all(asks).await;
-    let served = got.iter().filter(|got| got.status == 200).count();
+    let responses = futures_util::future::join_all(requests).await;
+    let served = responses
+        .iter()
+        .filter(|response| response.status == 200)
+        .count();
     assert!(served <= 3, "{served} turns of 50 tokens");
     assert_eq!(replica.requests(), served);
-    assert!(got.iter().all(|got| matches!(got.status, 200 | 402)));
+    assert!(
+        responses
+            .iter()
+            .all(|response| matches!(response.status, 200 | 402))
+    );
 }
 
 #[actix_rt::test]
@@ -142,7 +149,7 @@
     let (fleet, replica) = fleet(Script::StreamEndless).await;
     let slow = turn("/resumable/x", "t1", "x").with("luglink-deadline-ms", "1500");
     let address = fleet.gateway_address;
-    let under_way = actix_rt::spawn(async move { slow.send(address).await });
+    let in_flight = actix_rt::spawn(async move { slow.send(address).await });
     wait_until("the request is in flight", || async {
         replica.requests() == 1
     })
@@ -154,10 +161,10 @@
     })
     .await;
     assert!(stopping.await.unwrap(), "not all requests ended in time");
-    let got = under_way.await.unwrap();
-    assert_eq!(got.status, 200);
+    let response = in_flight.await.unwrap();
+    assert_eq!(response.status, 200);
     assert!(
-        got.body.len() > events(0..10).len(),
+        response.body.len() > events(0..10).len(),
         "the stream ended when the stop began"
     );
 }
@@ -166,8 +173,8 @@
 async fn a_running_gateway_is_resolved_and_a_stopped_one_is_not() {
     let (fleet, _) = fleet(Script::Answer).await;
     wait_until("the gateway is resolved", || async {
-        let got = get(fleet.resolution_address, "/v1/gateways?zone=here").await;
-        got.status == 200 && got.body.contains(&fleet.gateway_address.to_string())
+        let response = get(fleet.resolution_address, "/v1/gateways?zone=here").await;
+        response.status == 200 && response.body.contains(&fleet.gateway_address.to_string())
     })
     .await;
     fleet.gateway.stop().await;
@@ -184,13 +191,17 @@
     let mut broken = configuration(9);
     broken.routes[0].timeout_ms = 0;
     let body = serde_json::to_vec(&broken).unwrap();
-    let got = put(to, "/v1/configuration", body.clone()).await;
-    assert_eq!(got.status, 400);
-    assert!(got.body.contains("routes[0].timeout_ms"), "{}", got.body);
+    let response = put(to, "/v1/configuration", body.clone()).await;
+    assert_eq!(response.status, 400);
+    assert!(
+        response.body.contains("routes[0].timeout_ms"),
+        "{}",
+        response.body
+    );
     let cut = put(to, "/v1/configuration", body[..body.len() / 2].to_vec()).await;
     assert_eq!(cut.status, 400);
-    let ask = TestRequest::get("/safe/x", "one");
-    assert_eq!(send(&fleet, ask).await.status, 200);
+    let request = TestRequest::get("/safe/x", "one");
+    assert_eq!(send(&fleet, request).await.status, 200);
 }
 
 #[actix_rt::test]
@@ -224,8 +235,8 @@
     let replica = Replica::start("r0", Script::Answer).await;
     let fleet = Fleet::start_in(folder, vec![replica]).await;
     // The other two members serve; the first one reports that it is unavailable.
-    let got = get(fleet.operator_address, "/v1/configuration").await;
-    assert_eq!(got.status, 503);
+    let response = get(fleet.operator_address, "/v1/configuration").await;
+    assert_eq!(response.status, 503);
     std::fs::remove_file(&taken).unwrap();
     fleet.configure(&configuration(1)).await;
     assert_eq!(
--- a/crates/gateway-server/tests/gateway/tenants.rs
+++ b/crates/gateway-server/tests/gateway/tenants.rs
@@ -31,19 +31,19 @@
     (fleet, replica)
 }
 
-fn keyed(ask: TestRequest, key: &str) -> TestRequest {
-    ask.with("authorization", format!("Bearer {key}"))
+fn keyed(request: TestRequest, key: &str) -> TestRequest {
+    request.with("authorization", format!("Bearer {key}"))
 }
 
-async fn send(fleet: &Fleet, ask: TestRequest) -> TestResponse {
-    ask.send(fleet.gateway_address).await
+async fn send(fleet: &Fleet, request: TestRequest) -> TestResponse {
+    request.send(fleet.gateway_address).await
 }
 
 fn turn(id: &str, key: &str) -> TestRequest {
-    let ask = TestRequest::post("/kept/x", id, "input ")
+    let request = TestRequest::post("/kept/x", id, "input ")
         .with("luglink-program", "program")
         .with("luglink-token-usage", "100,50");
-    keyed(ask, key)
+    keyed(request, key)
 }
 
 #[actix_rt::test]
@@ -70,11 +70,11 @@
     let (fleet, replica) = fleet(vec![ranked, tenant("two", "k2")]).await;
     replica.set(Script::Answer);
     for (name, key, priority) in [("one", "k1", "6"), ("two", "k2", "1")] {
-        let ask = keyed(TestRequest::get("/safe/x", name), key)
+        let request = keyed(TestRequest::get("/safe/x", name), key)
             .with("luglink-tenant", "forged")
             .with("luglink-priority", "0")
             .with("luglink-expected-replica", "forged");
-        assert_eq!(send(&fleet, ask).await.status, 200);
+        assert_eq!(send(&fleet, request).await.status, 200);
         let seen = replica.last().headers;
         assert_eq!(seen["luglink-tenant"], name);
         assert_eq!(seen["luglink-priority"], priority);
@@ -92,8 +92,8 @@
 async fn without_tenants_the_credential_is_forwarded() {
     let (fleet, replica) = fleet(Vec::new()).await;
     replica.set(Script::Answer);
-    let ask = keyed(TestRequest::get("/safe/x", "a1"), "k1").with("luglink-tenant", "forged");
-    assert_eq!(send(&fleet, ask).await.status, 200);
+    let request = keyed(TestRequest::get("/safe/x", "a1"), "k1").with("luglink-tenant", "forged");
+    assert_eq!(send(&fleet, request).await.status, 200);
     let seen = replica.last().headers;
     assert_eq!(seen["authorization"], "Bearer k1");
     assert!(!seen.contains_key("luglink-tenant"));
@@ -112,8 +112,8 @@
     assert_eq!(stolen.body, invented.body);
     // Guessing the internal identifier of the stored turn does not give access either.
     for spelt in ["one/t1", "one:t1"] {
-        let ask = turn("t4", "k2").with("luglink-previous-turn", spelt);
-        assert_eq!(send(&fleet, ask).await.status, 404);
+        let request = turn("t4", "k2").with("luglink-previous-turn", spelt);
+        assert_eq!(send(&fleet, request).await.status, 404);
     }
     assert_eq!(replica.requests(), runs);
     let own = turn("t5", "k1").with("luglink-previous-turn", "t1");
@@ -123,25 +123,25 @@
 #[actix_rt::test]
 async fn programs_of_the_same_name_have_separate_budgets_per_tenant() {
     let (fleet, _) = fleet(vec![tenant("one", "k1"), tenant("two", "k2")]).await;
-    let ask = |id: &str, key: &str| turn(id, key).with("luglink-token-budget", 60);
-    assert_eq!(send(&fleet, ask("t1", "k1")).await.status, 200);
-    assert_eq!(send(&fleet, ask("t2", "k1")).await.status, 402);
-    assert_eq!(send(&fleet, ask("t3", "k2")).await.status, 200);
+    let request = |id: &str, key: &str| turn(id, key).with("luglink-token-budget", 60);
+    assert_eq!(send(&fleet, request("t1", "k1")).await.status, 200);
+    assert_eq!(send(&fleet, request("t2", "k1")).await.status, 402);
+    assert_eq!(send(&fleet, request("t3", "k2")).await.status, 200);
 }
 
 #[actix_rt::test]
 async fn revoked_and_added_keys_take_effect_with_the_next_version() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
     replica.set(Script::Answer);
-    let asks = |key: &'static str| keyed(TestRequest::get("/safe/x", "a1"), key);
-    assert_eq!(send(&fleet, asks("k1")).await.status, 200);
+    let request = |key: &'static str| keyed(TestRequest::get("/safe/x", "a1"), key);
+    assert_eq!(send(&fleet, request("k1")).await.status, 200);
     let next = with_tenants(2, vec![tenant("one", "k2")]);
     fleet.configure(&next).await;
     wait_until("the new key is accepted", || async {
-        send(&fleet, asks("k2")).await.status == 200
+        send(&fleet, request("k2")).await.status == 200
     })
     .await;
-    assert_eq!(send(&fleet, asks("k1")).await.status, 401);
+    assert_eq!(send(&fleet, request("k1")).await.status, 401);
 }
 
 #[actix_rt::test]
@@ -156,12 +156,12 @@
     replica.set(Script::Answer);
     let mut served = 0;
     let refused = loop {
-        let got = send(&fleet, keyed(TestRequest::get("/safe/x", "a1"), "k1")).await;
-        match got.status {
+        let response = send(&fleet, keyed(TestRequest::get("/safe/x", "a1"), "k1")).await;
+        match response.status {
             200 => served += 1,
             // The stores have not heard from a leader yet, or the buckets are still empty.
             503 => actix_rt::time::sleep(std::time::Duration::from_millis(50)).await,
-            _ => break got,
+            _ => break response,
         }
         assert!(
             served <= 6,
@@ -180,13 +180,13 @@
 async fn keys_expire_without_contact_to_the_members() {
     let (mut fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
     replica.set(Script::Answer);
-    let keyed_ask = || keyed(TestRequest::get("/safe/x", "a1"), "k1");
-    assert_eq!(send(&fleet, keyed_ask()).await.status, 200);
+    let keyed_request = || keyed(TestRequest::get("/safe/x", "a1"), "k1");
+    assert_eq!(send(&fleet, keyed_request()).await.status, 200);
     for member in std::mem::take(&mut fleet.members) {
         member.stop().await;
     }
     wait_until("the key is no longer accepted", || async {
-        send(&fleet, keyed_ask()).await.status == 503
+        send(&fleet, keyed_request()).await.status == 503
     })
     .await;
     // Public routes do not depend on keys.
