--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -57,9 +57,9 @@
     /// Estimates what the running programs of all gateways of the zone need.
     fn estimate_demand(&mut self, service: &str, gateways: f64, now: Timestamp) -> FleetDemand {
         let own = self.programs.demand(service, now);
-        let usual = self.programs.average_demand(service);
+        let average = self.programs.average_demand(service);
         let zone = self.zone_requests(service, now);
-        FleetDemand::estimate(own, usual, gateways, zone)
+        FleetDemand::estimate(own, average, gateways, zone)
     }
 
     fn zone_requests(&self, service: &str, now: Timestamp) -> Option<ZoneRequests> {
@@ -72,7 +72,7 @@
 pub(crate) struct TurnGuard {
     gateway: Rc<Gateway>,
     program: u64,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl std::fmt::Debug for TurnGuard {
@@ -88,7 +88,7 @@
     fn drop(&mut self) {
         let now = self.gateway.now();
         let mut state = self.gateway.admission.borrow_mut();
-        let duration = self.began.elapsed();
+        let duration = self.started_at.elapsed();
         state.programs.end_turn(self.program, duration, now);
     }
 }
@@ -122,7 +122,7 @@
     Some(TurnGuard {
         gateway: Rc::clone(gateway),
         program: turn.program,
-        began: Instant::now(),
+        started_at: Instant::now(),
     })
 }
 
@@ -160,7 +160,7 @@
         demand,
         decision,
     };
-    record.record_metrics(gateway);
+    record.update_metrics(gateway);
     if decision.refused_for.is_none() {
         return Ok(());
     }
@@ -180,7 +180,7 @@
 }
 
 impl DecisionRecord<'_> {
-    fn record_metrics(&self, gateway: &Gateway) {
+    fn update_metrics(&self, gateway: &Gateway) {
         let metrics = &gateway.metrics;
         let outcome = self.decision.refused_for.map_or("let_in", Shortage::as_str);
         metrics.programs.with_label_values(&[outcome]).inc();
--- a/crates/gateway-server/src/gateway.rs
+++ b/crates/gateway-server/src/gateway.rs
@@ -36,7 +36,7 @@
     /// Before that, the known configuration may have been replaced before this process started.
     pub(crate) is_current: Cell<bool>,
     /// Time at which such a member last answered, with or without a configuration.
-    pub(crate) last_fresh_news: Cell<Option<Instant>>,
+    pub(crate) last_fresh_update: Cell<Option<Instant>>,
     /// Traffic split of routes that have several services.
     pub(crate) splits: RefCell<SplitDraws>,
     /// Admission of new programs where it is based on the lateness of their route.
@@ -103,7 +103,7 @@
             metrics,
             in_force: RefCell::default(),
             is_current: Cell::new(false),
-            last_fresh_news: Cell::new(None),
+            last_fresh_update: Cell::new(None),
             gateways: Cell::new(0),
             is_stopping: Cell::new(false),
             in_flight: Cell::new(0),
@@ -144,7 +144,7 @@
     /// Returns true if the last contact with an up-to-date control member is so long ago that keys
     /// may have been revoked since.
     pub(crate) fn keys_are_expired(&self) -> bool {
-        let age = self.last_fresh_news.get().map(|time| time.elapsed());
+        let age = self.last_fresh_update.get().map(|time| time.elapsed());
         self.config
             .keys_expire_after
             .is_some_and(|limit| age.is_none_or(|age| age > limit))
--- a/crates/gateway-server/src/list.rs
+++ b/crates/gateway-server/src/list.rs
@@ -40,21 +40,21 @@
 }
 
 async fn read(gateway: &Gateway, client: &mut ListClient, schedule: &mut ListReadSchedule) {
-    let began = gateway.now();
+    let started_at = gateway.now();
     gateway.metrics.list_reads.inc();
     let fetched = client.fetch(&*gateway.dialect, READ_TIMEOUT, RateLimitPolicy::GiveUp);
     match fetched.await {
         Ok(fetched) => {
-            schedule.succeeded(fetched.pages, began, gateway.draw());
+            schedule.succeeded(fetched.pages, started_at, gateway.draw());
             let skipped_entries = u64::from(fetched.skipped_entries);
             gateway
                 .metrics
                 .list_entries_passed_over
                 .inc_by(skipped_entries);
-            gateway.apply_list(fetched.list, began);
+            gateway.apply_list(fetched.list, started_at);
         }
         Err(error) => {
-            schedule.failed(error.is_rate_limited(), began, gateway.draw());
+            schedule.failed(error.is_rate_limited(), started_at, gateway.draw());
             tracing::warn!(%error, age = ?gateway.list_age(), "cannot read the list of replicas");
         }
     }
--- a/crates/gateway-server/src/load_view.rs
+++ b/crates/gateway-server/src/load_view.rs
@@ -80,7 +80,7 @@
         let was_fresh =
             std::mem::replace(&mut is_fresh, age.is_some_and(|age| age < VIEW_STALE_AFTER));
         match (was_fresh, is_fresh) {
-            (false, true) => tracing::info!(replicas, "load view of the zone is fresh again"),
+            (false, true) => tracing::info!(replicas, "load view of the zone is fresh"),
             (true, false) => {
                 let age_ms = age.map(milliseconds);
                 let is_shared = gateway.shares_load_view();
--- a/crates/gateway-server/src/news.rs
+++ b/crates/gateway-server/src/news.rs
@@ -38,7 +38,7 @@
         KnownVersions {
             document_version: in_force.as_ref().map_or(0, |in_force| in_force.version),
             is_current: self.is_current.get()
-                || in_force.is_none() && self.last_fresh_news.get().is_some(),
+                || in_force.is_none() && self.last_fresh_update.get().is_some(),
             store_epoch: self.turns.epoch(),
             backends: self.known_list(source),
             ..KnownVersions::default()
@@ -66,7 +66,7 @@
             self.apply_configuration(member, document);
         }
         if update.fresh {
-            self.last_fresh_news.set(Some(Instant::now()));
+            self.last_fresh_update.set(Some(Instant::now()));
         }
         if update.fresh && !self.is_current.get() && self.in_force.borrow().is_some() {
             tracing::info!(%member, "configuration confirmed as current");
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -126,8 +126,8 @@
     }
 }
 
-fn purpose_of(begins: bool) -> Purpose {
-    if begins {
+fn purpose_of(is_first_turn: bool) -> Purpose {
+    if is_first_turn {
         Purpose::Begins
     } else {
         Purpose::Continues
@@ -156,9 +156,9 @@
         .as_ref()
         .filter(|_| inbound.route.keeps_history);
     let cached_chain = previous.and_then(|previous| gateway.turn_cache.borrow().chain(previous));
-    let wanted = previous.filter(|_| cached_chain.is_none());
-    let reserved = if program.budget.is_some() || wanted.is_some() {
-        reserve(gateway, inbound, program, wanted).await?
+    let missing = previous.filter(|_| cached_chain.is_none());
+    let reserved = if program.budget.is_some() || missing.is_some() {
+        reserve(gateway, inbound, program, missing).await?
     } else {
         ReservedTurn::without_stores(program)
     };
@@ -193,7 +193,7 @@
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
     program: &ProgramFields,
-    wanted: Option<&TurnId>,
+    missing: Option<&TurnId>,
 ) -> Result<ReservedTurn, Refusal> {
     let turn = inbound.turn();
     let retention_ms = inbound.route.retention_ms;
@@ -206,13 +206,13 @@
         is_settled: Cell::new(false),
         served_by: RefCell::default(),
     };
-    let began = Instant::now();
-    let beginning =
+    let started_at = Instant::now();
+    let response =
         gateway
             .turns
-            .begin(&program.name, &turn, program.ceiling, retention_ms, wanted);
-    let begun = match actix_rt::time::timeout(inbound.remaining(), beginning).await {
-        Ok(Ok(begun)) => begun,
+            .begin(&program.name, &turn, program.ceiling, retention_ms, missing);
+    let response = match actix_rt::time::timeout(inbound.remaining(), response).await {
+        Ok(Ok(response)) => response,
         Ok(Err(error)) => {
             tracing::warn!(id = inbound.id, %error, "cannot reserve tokens for a turn");
             return Err(Refusal::recovering("the turn stores do not answer"));
@@ -223,22 +223,22 @@
             ));
         }
     };
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     gateway.metrics.reserve_seconds.observe(seconds);
-    let begins = program.previous.is_none() && begun.account.is_begun_by(&turn);
-    if begins {
+    let is_first_turn = program.previous.is_none() && response.account.is_begun_by(&turn);
+    if is_first_turn {
         admit(gateway, inbound, program)?;
     }
     let reserved = ReservedTurn {
         reservation: Some(reservation),
-        chain: begun.chain,
-        served_by: begun.served_by,
-        purpose: purpose_of(begins),
+        chain: response.chain,
+        served_by: response.served_by,
+        purpose: purpose_of(is_first_turn),
     };
     let Some(budget) = program.budget else {
         return Ok(reserved);
     };
-    let mut spent = begun.account.total();
+    let mut spent = response.account.total();
     let mut admission = Admission::at_first_look(spent, program.ceiling, budget);
     if admission == Admission::LookAgain {
         let account = gateway.turns.account(&program.name).await;
@@ -274,12 +274,12 @@
         return admission::admit(gateway, inbound, program, program_hash);
     }
     let mut shedder = gateway.shedder.borrow_mut();
-    let intake = shedder.admit(&inbound.route, program_hash, gateway.now());
+    let decision = shedder.admit(&inbound.route, program_hash, gateway.now());
     let ShedDecision::Refuse {
         retry_delay,
         share,
         late,
-    } = intake
+    } = decision
     else {
         return Ok(());
     };
@@ -334,8 +334,8 @@
         .map(|turn| turn.input.len() + turn.output.len())
         .sum();
     let length = history + inbound.body.len();
-    let room = inbound.held.add_prompt(length as u64);
-    room.map_err(|_| Refusal::memory_exhausted())?;
+    let added = inbound.held.add_prompt(length as u64);
+    added.map_err(|_| Refusal::memory_exhausted())?;
     let mut prompt = BytesMut::with_capacity(length);
     for turn in chain {
         prompt.extend_from_slice(&turn.input);
--- a/crates/gateway-server/src/quota.rs
+++ b/crates/gateway-server/src/quota.rs
@@ -51,10 +51,10 @@
     let Some(quota) = tenant.quota else {
         return Ok(());
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let request = token_request(inbound, tenant, quota, purpose);
     let verdict = request_token(gateway, inbound, &request).await;
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     gateway.metrics.quota_seconds.observe(seconds);
     match verdict {
         Verdict::Granted => Ok(()),
--- a/crates/gateway-server/src/server.rs
+++ b/crates/gateway-server/src/server.rs
@@ -149,7 +149,7 @@
     /// Stops accepting callers and waits for requests in flight. Returns true if all of them ended
     /// in time.
     pub async fn stop(&self) -> bool {
-        let began = Instant::now();
+        let started_at = Instant::now();
         self.gateway.is_stopping.set(true);
         tracing::info!(
             in_flight = self.gateway.in_flight.get(),
@@ -158,9 +158,9 @@
         );
         actix_rt::time::sleep(STOP_GRACE_PERIOD).await;
         self.stopper.stop();
-        while began.elapsed() < self.gateway.config.stop_timeout {
+        while started_at.elapsed() < self.gateway.config.stop_timeout {
             if self.gateway.in_flight.get() == 0 && self.signal.open_connections() == 0 {
-                tracing::info!(ms = milliseconds(began.elapsed()), "gateway stopped");
+                tracing::info!(ms = milliseconds(started_at.elapsed()), "gateway stopped");
                 return true;
             }
             actix_rt::time::sleep(STOP_CHECK_INTERVAL).await;
--- a/crates/gateway-server/src/store_link.rs
+++ b/crates/gateway-server/src/store_link.rs
@@ -64,10 +64,10 @@
     ) -> impl Future<Output = Option<StoreResponse>> + use<> {
         let body = encode_body(request).ok();
         async move {
-            let began = Instant::now();
+            let started_at = Instant::now();
             let answer = self.client.request(body?, REQUEST_TIMEOUT).await.ok();
             let response = answer.and_then(|answer| decode_body(&answer).ok());
-            self.record_response(began.elapsed(), response.is_some());
+            self.record_response(started_at.elapsed(), response.is_some());
             response
         }
     }
--- a/crates/gateway-server/src/turn_client.rs
+++ b/crates/gateway-server/src/turn_client.rs
@@ -43,7 +43,7 @@
 
 /// Combined response of the stores to the beginning of a turn.
 #[derive(Clone, Debug)]
-pub(crate) struct Begun {
+pub(crate) struct BeginResponse {
     pub(crate) account: Account,
     pub(crate) chain: Option<ChainLookup>,
     /// Replica that served the program's latest turn.
@@ -156,7 +156,7 @@
         ceiling: u64,
         retention_ms: u64,
         previous: Option<&TurnId>,
-    ) -> Result<Begun, StoresUnavailable> {
+    ) -> Result<BeginResponse, StoresUnavailable> {
         let deadline = Instant::now() + BEGIN_TIMEOUT;
         let attempt = || self.begin_once(program, turn, ceiling, retention_ms, previous);
         retry_until(deadline, BEGIN_RETRY_DELAY, attempt).await
@@ -171,7 +171,7 @@
         ceiling: u64,
         retention_ms: u64,
         previous: Option<&TurnId>,
-    ) -> Result<Begun, StoresUnavailable> {
+    ) -> Result<BeginResponse, StoresUnavailable> {
         let owners = self.owners(program);
         let fastest = self.fastest(&owners);
         let wish = previous.map(|turn| ChainWish { turn: turn.clone() });
@@ -221,7 +221,7 @@
             None => None,
             Some(wish) => Some(self.search(wish, search, fastest, pending).await),
         };
-        Ok(Begun {
+        Ok(BeginResponse {
             account,
             chain,
             served_by: latest_replica,
--- a/crates/gateway-server/tests/gateway/overload.rs
+++ b/crates/gateway-server/tests/gateway/overload.rs
@@ -122,7 +122,7 @@
     running.await.unwrap();
 
     // After the running program has ended, the refused one is admitted.
-    wait_until("there is room again", || async {
+    wait_until("the refused program is admitted", || async {
         large_turn("new", "new-1").send(gateway).await.status == 200
     })
     .await;
@@ -136,7 +136,7 @@
     send_turns_that_time_out(fleet.gateway_address, SMALL_USAGE).await;
     replica.set(Script::Stream);
     // The turns that timed out have ended; no program is running.
-    wait_until("there is room again", || async {
+    wait_until("a new program is admitted", || async {
         let response = small_turn("after").send(fleet.gateway_address).await;
         response.status == 200
     })
