--- a/crates/gateway-server/src/list.rs
+++ b/crates/gateway-server/src/list.rs
@@ -10,7 +10,7 @@
 /// Interval at which the age of the list is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Timeout of schedule the whole list once.
+/// Timeout of reading the whole list once.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Watches the age of the list and reads it when it is stale; never returns. [`ListReadSchedule`]
--- a/crates/gateway-server/src/news.rs
+++ b/crates/gateway-server/src/news.rs
@@ -131,7 +131,11 @@
             }
             // Unexpected: the control members validate documents before they accept them.
             Err(error) => {
-                tracing::error!(version = document.version, %error, "cannot parse the configuration");
+                tracing::error!(
+                    version = document.version,
+                    %error,
+                    "cannot parse the configuration"
+                );
             }
         }
     }
--- a/crates/gateway-server/src/store_link.rs
+++ b/crates/gateway-server/src/store_link.rs
@@ -51,7 +51,7 @@
         self.is_unresponsive.get()
     }
 
-    /// Returns the average response time in microseconds; 0 before the first response.
+    /// Returns the average response time in microseconds; 0 before the first request ends.
     pub(crate) fn response_micros(&self) -> u64 {
         (self.response_ms.get() * 1_000.0) as u64
     }
--- a/crates/gateway-server/src/work.rs
+++ b/crates/gateway-server/src/work.rs
@@ -6,8 +6,8 @@
 use crate::program::PreparedTurn;
 use luglink_scheduling::Work;
 
-/// Estimates the work of a program's first turn; `None` if replicas are not chosen by expected
-/// finish at the moment, or the service has no engines.
+/// Estimates the work of a program's first turn; `None` if the caller has not declared the prompt,
+/// replicas are not chosen by expected finish at the moment, or the service has no engines.
 pub(crate) fn estimate_first_turn(gateway: &Gateway, inbound: &InboundRequest) -> Option<Work> {
     let prompt = inbound
         .prompt
