--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -135,7 +135,7 @@
     program_hash: u64,
 ) -> Result<(), Refusal> {
     let mut state = gateway.admission.borrow_mut();
-    if state.programs.knows(inbound.draw) {
+    if state.programs.knows(inbound.affinity_hash) {
         return Ok(());
     }
     let now = gateway.now();
--- a/crates/gateway-server/tests/gateway/programs.rs
+++ b/crates/gateway-server/tests/gateway/programs.rs
@@ -66,7 +66,7 @@
         Script::StreamEndsInside(2),
     ];
     for (number, script) in scripts.into_iter().enumerate() {
-        replica.set(script.clone());
+        replica.set_script(script.clone());
         let before = replica.requests();
         let id = format!("t{number}");
         let broken = send(&fleet, turn("/kept/x", &id, "x")).await;
