--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -111,7 +111,7 @@
         return None;
     }
     let turn = TurnStarted {
-        program: inbound.draw,
+        program: inbound.affinity_hash,
         route: &inbound.route,
         service: &inbound.service,
         prompt_tokens: prompt_tokens(inbound),
@@ -143,7 +143,7 @@
     let zone_share = ZoneShare::of(gateway, service);
     let demand = state.estimate_demand(service, zone_share.gateways, now);
     let new_program = NewProgram {
-        place: program_hash,
+        hash_fraction: program_hash,
         route: &inbound.route,
         tenant: inbound.caller.tenant().map(|tenant| &tenant.name),
         prompt_tokens: prompt_tokens(inbound),
@@ -230,7 +230,7 @@
 impl ZoneShare {
     fn of(gateway: &Gateway, service: &str) -> Self {
         let service_size = gateway.pool.borrow().service_size(service);
-        let all_gateways = f64::from(gateway.gateways.get().max(1));
+        let all_gateways = f64::from(gateway.gateway_count.get().max(1));
         let zones = (service_size.zones.max(1) as f64).min(all_gateways);
         let replicas = service_size.usable as f64 / zones;
         let capacity = gateway.with_service(service, |service| {
--- a/crates/gateway-server/src/gateway.rs
+++ b/crates/gateway-server/src/gateway.rs
@@ -52,7 +52,7 @@
     pub(crate) list: RefCell<ListCopy>,
     /// Number of gateways that share the connections to replicas and the platform's rate limit;
     /// 0 until a control member has reported it.
-    pub(crate) gateways: Cell<u32>,
+    pub(crate) gateway_count: Cell<u32>,
     pub(crate) turns: TurnClient,
     pub(crate) turn_cache: RefCell<TurnCache>,
     pub(crate) upstream: Upstream,
@@ -104,7 +104,7 @@
             in_force: RefCell::default(),
             is_current: Cell::new(false),
             last_fresh_update: Cell::new(None),
-            gateways: Cell::new(0),
+            gateway_count: Cell::new(0),
             is_stopping: Cell::new(false),
             in_flight: Cell::new(0),
             load_meter: RefCell::default(),
--- a/crates/gateway-server/src/list.rs
+++ b/crates/gateway-server/src/list.rs
@@ -31,7 +31,7 @@
             was_stale = is_stale;
             tracing::info!(is_stale, ?age, "staleness of the list of replicas changed");
         }
-        let reader = ListReader::Gateway(gateway.gateways.get());
+        let reader = ListReader::Gateway(gateway.gateway_count.get());
         schedule.expect_replicas(gateway.list.borrow().list().len());
         if schedule.is_due(reader, age, gateway.now(), gateway.draw()) {
             read(&gateway, &mut client, &mut schedule).await;
--- a/crates/gateway-server/src/news.rs
+++ b/crates/gateway-server/src/news.rs
@@ -73,7 +73,7 @@
             self.is_current.set(true);
         }
         if update.gateways > 0 {
-            self.gateways.set(update.gateways);
+            self.gateway_count.set(update.gateways);
         }
         if let Some(view) = update.stores {
             tracing::info!(%member, epoch = view.epoch, stores = view.len(), "store view updated");
--- a/crates/gateway-server/src/placement.rs
+++ b/crates/gateway-server/src/placement.rs
@@ -136,7 +136,13 @@
     let candidates = {
         let pool = gateway.pool.borrow();
         let (service, now) = (&inbound.service, gateway.now());
-        pool.candidates_by_finish(service, inbound.draw, work, CANDIDATES_PER_SCOPE, now)
+        pool.candidates_by_finish(
+            service,
+            inbound.affinity_hash,
+            work,
+            CANDIDATES_PER_SCOPE,
+            now,
+        )
     };
     query_all(gateway, candidates).await
 }
@@ -152,7 +158,7 @@
         let service = &inbound.service;
         pool.candidates(
             service,
-            inbound.draw,
+            inbound.affinity_hash,
             scope,
             CANDIDATES_PER_SCOPE,
             gateway.now(),
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -31,7 +31,7 @@
     /// Ancestors of the turn, oldest first.
     pub(crate) chain: Vec<Rc<TurnRecord>>,
     /// Replica that holds the prompt's prefix in cache, or at which the program starts.
-    pub(crate) place: Option<BackendId>,
+    pub(crate) preferred_replica: Option<BackendId>,
     /// True if the turn is not the first of its program.
     pub(crate) is_continuation: bool,
     /// The whole prompt, if it differs from what the caller sent.
@@ -64,12 +64,12 @@
 
 impl Reservation {
     /// Adds tokens that are delivered to the caller.
-    pub(crate) fn give(&self, tokens: u64) {
+    pub(crate) fn add_delivered(&self, tokens: u64) {
         self.delivered.set(self.delivered.get() + tokens);
     }
 
     /// Returns the number of tokens delivered to the caller.
-    pub(crate) fn given(&self) -> u64 {
+    pub(crate) fn delivered(&self) -> u64 {
         self.delivered.get()
     }
 
@@ -136,16 +136,16 @@
 
 /// Prepares a turn: reserves its tokens, loads its ancestors, chooses a replica, and takes a token
 /// from its tenant's quota.
-pub(crate) async fn begin(
+pub(crate) async fn prepare_turn(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
 ) -> Result<PreparedTurn, Refusal> {
     let Some(program) = &inbound.program else {
-        quota::take(gateway, inbound, Purpose::Continues).await?;
+        quota::take_token(gateway, inbound, Purpose::Continues).await?;
         return Ok(PreparedTurn {
             reservation: None,
             chain: Vec::new(),
-            place: None,
+            preferred_replica: None,
             is_continuation: false,
             prompt: None,
             _guard: None,
@@ -167,21 +167,21 @@
         (None, Some(lookup)) => resolve_chain(gateway, inbound, lookup)?,
         (None, None) => Vec::new(),
     };
-    let place = match (chain.last(), reserved.purpose) {
+    let preferred_replica = match (chain.last(), reserved.purpose) {
         (Some(turn), _) => turn.served_by.clone(),
         (None, Purpose::Begins) => placement::choose_first_replica(gateway, inbound).await?,
         (None, Purpose::Continues) => reserved.served_by,
     };
     // Taken after the checks above, so that a turn with an unknown ancestor or without budget takes
     // no token.
-    quota::take(gateway, inbound, reserved.purpose).await?;
+    quota::take_token(gateway, inbound, reserved.purpose).await?;
     let prompt = match chain.is_empty() {
         true => None,
         false => Some(build_prompt(&chain, inbound)?),
     };
     Ok(PreparedTurn {
         reservation: reserved.reservation,
-        place,
+        preferred_replica,
         is_continuation: reserved.purpose == Purpose::Continues,
         chain,
         prompt,
--- a/crates/gateway-server/src/quota.rs
+++ b/crates/gateway-server/src/quota.rs
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// The tenant's limit is reached, or no owner can tell. The request has not run.
-pub(crate) async fn take(
+pub(crate) async fn take_token(
     gateway: &Gateway,
     inbound: &InboundRequest,
     purpose: Purpose,
--- a/crates/gateway-server/src/work.rs
+++ b/crates/gateway-server/src/work.rs
@@ -37,12 +37,12 @@
 pub(crate) fn estimate_turn(
     gateway: &Gateway,
     inbound: &InboundRequest,
-    start: &PreparedTurn,
+    turn: &PreparedTurn,
 ) -> Option<Work> {
     let mut work = estimate_first_turn(gateway, inbound)?;
-    let Some(whole_prompt) = &start.prompt else {
+    let Some(whole_prompt) = &turn.prompt else {
         // The program's own part of the prompt was mostly read already for the previous turn.
-        work.new_tokens = if start.is_continuation {
+        work.new_tokens = if turn.is_continuation {
             0
         } else {
             work.new_tokens
--- a/crates/gateway-server/tests/gateway/overload.rs
+++ b/crates/gateway-server/tests/gateway/overload.rs
@@ -115,7 +115,7 @@
     );
 
     // A sub-agent of the running program is not subject to admission, and a small program fits.
-    replica.set(Script::Stream);
+    replica.set_script(Script::Stream);
     let sub = large_turn("begun", "begun-2").send(gateway).await;
     assert_eq!(sub.status, 200);
     assert_eq!(turn("small", "small-1").send(gateway).await.status, 200);
@@ -134,7 +134,7 @@
     let fleet = Fleet::start_with_features(vec![replica.clone()], working_set_features()).await;
     fleet.configure(&configuration(1)).await;
     send_turns_that_time_out(fleet.gateway_address, SMALL_USAGE).await;
-    replica.set(Script::Stream);
+    replica.set_script(Script::Stream);
     // The turns that timed out have ended; no program is running.
     wait_until("a new program is admitted", || async {
         let response = small_turn("after").send(fleet.gateway_address).await;
--- a/crates/gateway-server/tests/gateway/programs.rs
+++ b/crates/gateway-server/tests/gateway/programs.rs
@@ -116,7 +116,7 @@
     let (fleet, replica) = fleet(Script::StreamBroken(1)).await;
     let request = |id: &str| turn("/kept/x", id, "x").with("luglink-token-budget", 70);
     assert!(!send(&fleet, request("t1")).await.is_whole);
-    replica.set(Script::Stream);
+    replica.set_script(Script::Stream);
     wait_until("the first turn counts 10 tokens instead of 50", || async {
         send(&fleet, request("t2")).await.status == 200
     })
--- a/crates/gateway-server/tests/gateway/tenants.rs
+++ b/crates/gateway-server/tests/gateway/tenants.rs
@@ -49,7 +49,7 @@
 #[actix_rt::test]
 async fn requests_without_a_known_key_do_not_run() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     let safe = |id: &str| TestRequest::get("/safe/x", id);
     assert_eq!(send(&fleet, safe("a1")).await.status, 401);
     assert_eq!(send(&fleet, keyed(safe("a2"), "other")).await.status, 401);
@@ -91,7 +91,7 @@
 #[actix_rt::test]
 async fn without_tenants_the_credential_is_forwarded() {
     let (fleet, replica) = fleet(Vec::new()).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     let request = keyed(TestRequest::get("/safe/x", "a1"), "k1").with("luglink-tenant", "forged");
     assert_eq!(send(&fleet, request).await.status, 200);
     let seen = replica.last().headers;
@@ -132,7 +132,7 @@
 #[actix_rt::test]
 async fn revoked_and_added_keys_take_effect_with_the_next_version() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     let request = |key: &'static str| keyed(TestRequest::get("/safe/x", "a1"), key);
     assert_eq!(send(&fleet, request("k1")).await.status, 200);
     let next = with_tenants(2, vec![tenant("one", "k2")]);
@@ -179,7 +179,7 @@
 #[actix_rt::test]
 async fn keys_expire_without_contact_to_the_members() {
     let (mut fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     let keyed_request = || keyed(TestRequest::get("/safe/x", "a1"), "k1");
     assert_eq!(send(&fleet, keyed_request()).await.status, 200);
     for member in std::mem::take(&mut fleet.members) {
