--- a/crates/gateway-server/src/config.rs
+++ b/crates/gateway-server/src/config.rs
@@ -31,7 +31,7 @@
     pub replication: Replication,
     /// Maximum duration of a planned stop.
     pub stop_timeout: Duration,
-    /// Overload decisions that are enabled.
+    /// Scheduling features that are enabled.
     pub features: Features,
     /// Fullness from which a replica gets no new programs; 0 starts programs without querying
     /// replicas.
--- a/crates/gateway-server/tests/gateway/expected_finish.rs
+++ b/crates/gateway-server/tests/gateway/expected_finish.rs
@@ -5,7 +5,7 @@
 use crate::support::{Fleet, configuration};
 
 /// Starts a fleet of three replicas. With `allow_second_replica`, streams may be sent to a second
-/// replica, which enables the expected finish.
+/// replica, which enables selection by expected finish.
 async fn fleet(allow_second_replica: bool) -> (Fleet, Vec<Replica>) {
     let mut replicas = Vec::new();
     for name in ["r0", "r1", "r2"] {
--- a/crates/gateway-server/tests/gateway/load_view.rs
+++ b/crates/gateway-server/tests/gateway/load_view.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Several times the delay with which an observation of one gateway reaches another.
+/// Several times the delay with which statistics of one gateway reach another.
 const SEVERAL_DELAYS: Duration = Duration::from_secs(2);
 
 /// Returns a configuration with a stream that may go to a second replica, which enables the view.
@@ -35,7 +35,7 @@
 }
 
 #[actix_rt::test]
-async fn observations_of_one_gateway_reach_the_other_gateway_of_its_zone() {
+async fn statistics_of_one_gateway_reach_the_other_gateway_of_its_zone() {
     let replica = Replica::start("r0", Script::Mute).await;
     let fleet = Fleet::start(vec![replica]).await;
     fleet.configure(&sharing_configuration()).await;
@@ -49,7 +49,7 @@
 }
 
 #[actix_rt::test]
-async fn no_observations_are_shared_unless_the_configuration_needs_them() {
+async fn no_statistics_are_shared_unless_the_configuration_needs_them() {
     let replica = Replica::start("r0", Script::Mute).await;
     let fleet = Fleet::start(vec![replica]).await;
     fleet.configure(&configuration(1)).await;
