--- a/crates/gateway-server/src/list.rs
+++ b/crates/gateway-server/src/list.rs
@@ -14,7 +14,7 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Watches the age of the list and reads it when it is stale; never returns. [`ListReadSchedule`]
-/// limits how often this gateway reads.
+/// decides when it is this gateway's turn to read.
 pub(crate) async fn keep_current(gateway: Rc<Gateway>) {
     let mut client = ListClient::new(gateway.config.list_address);
     let mut schedule = ListReadSchedule::new(ListReadLimits {
--- a/crates/gateway-server/src/metrics.rs
+++ b/crates/gateway-server/src/metrics.rs
@@ -18,7 +18,7 @@
     pub(crate) connects: IntCounter,
     /// Reads of the platform's list of replicas by this gateway.
     pub(crate) list_reads: IntCounter,
-    /// Entries of that list that could not be parsed.
+    /// Entries of that list that were skipped because they are invalid.
     pub(crate) list_entries_passed_over: IntCounter,
     /// Replicas that restarted under the same identifier.
     pub(crate) replica_restarts: IntCounter,
@@ -38,9 +38,9 @@
     pub(crate) keep_seconds: Histogram,
     /// Version of the configuration in force.
     pub(crate) version: Gauge,
-    /// Requests without a known key, by what they presented instead.
+    /// Requests without a known key, by whether they had no key or an unknown one.
     pub(crate) unknown_keys: IntCounterVec,
-    /// Requests refused by their tenants' quotas, by reason.
+    /// Requests refused because a quota was reached or could not be checked, by reason.
     quota_refusals: IntCounterVec,
     /// Streams that moved to another replica because the first one was slow, by route.
     pub(crate) moved: IntCounterVec,
@@ -60,7 +60,7 @@
     pub(crate) held_bytes: Gauge,
     /// Requests aborted because of the bytes buffered for them, by reason.
     pub(crate) held_cuts: IntCounterVec,
-    /// Requests refused because their body exceeded a limit on buffered bytes, by limit.
+    /// Requests refused because buffering their bodies would exceed a limit, by limit.
     pub(crate) held_refusals: IntCounterVec,
     /// Time to get a decision from the owners of a quota.
     pub(crate) quota_seconds: Histogram,
--- a/crates/gateway-server/src/placement.rs
+++ b/crates/gateway-server/src/placement.rs
@@ -44,7 +44,7 @@
 /// has no engines or no candidates.
 ///
 /// # Errors
-/// All candidates are full. The request has not run.
+/// All candidates that have reported are full. The request has not run.
 pub(crate) async fn choose_first_replica(
     gateway: &Gateway,
     inbound: &InboundRequest,
--- a/crates/gateway-server/src/turn_client.rs
+++ b/crates/gateway-server/src/turn_client.rs
@@ -375,7 +375,8 @@
         }
     }
 
-    /// Returns the fastest of the owners, preferring stores that are fully synchronized.
+    /// Returns the fastest of the owners, preferring active stores, which hold all data that they
+    /// should.
     fn fastest(&self, owners: &[StoreName]) -> Option<StoreName> {
         let view = self.view.borrow();
         let rank = |name: &&StoreName| {
--- a/crates/gateway-server/tests/gateway/mixed_builds.rs
+++ b/crates/gateway-server/tests/gateway/mixed_builds.rs
@@ -22,8 +22,8 @@
     RequestClient::open(address, hello)
 }
 
-/// Guards against a member closing the connection on an unknown request, which would fail the other
-/// requests in flight on it.
+/// The member answers the unknown request, and also those sent before and after it on the same
+/// connection. Closing the connection would fail all requests in flight on it.
 #[actix_rt::test]
 async fn a_member_rejects_an_unknown_request_and_keeps_the_connection() {
     let fleet = Fleet::start(Vec::new()).await;
--- a/crates/gateway-server/tests/gateway/placement.rs
+++ b/crates/gateway-server/tests/gateway/placement.rs
@@ -12,7 +12,7 @@
     (fleet, [first, second])
 }
 
-/// Sends a turn on a route that does not keep the history of programs.
+/// Sends a turn on a route that does not keep the history, so that the caller sends the whole prompt.
 async fn turn(fleet: &Fleet, program: &str, id: &str) -> TestResponse {
     let request = TestRequest::post("/resumable/x", id, "input")
         .with("luglink-program", program)
