--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -1,6 +1,6 @@
 //! Admission of new programs by working set: a program is admitted only if the engines have memory
-//! for it besides what the running programs need until they end. Also records which programs are
-//! running.
+//! for it in addition to what the running programs need until they end. Also records which programs
+//! are running.
 //!
 //! By then the turn stores have confirmed that the program is new; only they know about its turns
 //! at other gateways. Replicas are queried after this check: [`crate::placement`] refuses the
@@ -126,13 +126,13 @@
     })
 }
 
-/// Refuses a new program if the engines lack capacity for it. `program_hash` identifies the program
-/// and is the same for every retry and at every gateway.
+/// Refuses a new program if the engines lack capacity for it. `admission_hash` identifies the
+/// program and is the same for every retry and at every gateway.
 pub(crate) fn admit(
     gateway: &Gateway,
     inbound: &InboundRequest,
     program: &ProgramFields,
-    program_hash: u64,
+    admission_hash: u64,
 ) -> Result<(), Refusal> {
     let mut state = gateway.admission.borrow_mut();
     if state.programs.knows(inbound.affinity_hash) {
@@ -143,7 +143,7 @@
     let zone_share = ZoneShare::of(gateway, service);
     let demand = state.estimate_demand(service, zone_share.gateways, now);
     let new_program = NewProgram {
-        hash_fraction: program_hash,
+        hash_fraction: admission_hash,
         route: &inbound.route,
         tenant: inbound.caller.tenant().map(|tenant| &tenant.name),
         prompt_tokens: prompt_tokens(inbound),
--- a/crates/gateway-server/src/config.rs
+++ b/crates/gateway-server/src/config.rs
@@ -36,8 +36,8 @@
     /// Fullness from which a replica gets no new programs; 0 starts programs without querying
     /// replicas.
     pub full_at: f64,
-    /// Time since a control member that hears its leader last answered, after which callers with
-    /// keys are refused; `None` to keep accepting the known keys.
+    /// Maximum time without an answer from a control member in contact with its leader. After it,
+    /// callers with keys are refused; `None` to keep accepting the known keys.
     pub keys_expire_after: Option<Duration>,
     /// Maximum number of bytes buffered for callers and replicas that read slowly.
     pub held_bytes_limit: u64,
--- a/crates/gateway-server/src/news.rs
+++ b/crates/gateway-server/src/control_updates.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time after its start for which a gateway without a list of replicas asks only one member for it.
-/// The list is large, and asking a second member at once would transfer it twice.
+/// Time after startup during which a gateway without a list of replicas asks only one member for
+/// it. The list is large, and asking a second member at once would transfer it twice.
 const SECOND_LIST_SOURCE_DELAY: Duration = Duration::from_secs(2);
 
 impl ObserverDelegate for Gateway {
@@ -166,8 +166,8 @@
         self.apply_list_changes(changes);
     }
 
-    /// Records the incarnation that a replica reports itself, which it does before the list shows
-    /// its restart.
+    /// Records the incarnation from a replica's own report, which shows a restart earlier than the
+    /// list does.
     pub(crate) fn record_incarnation(&self, replica: &BackendId, incarnation: Incarnation) {
         self.record_incarnations(&[ReplicaIncarnation {
             replica: replica.clone(),
--- a/crates/gateway-server/src/gateway.rs
+++ b/crates/gateway-server/src/gateway.rs
@@ -32,8 +32,9 @@
     pub(crate) dialect: Rc<dyn Dialect>,
     pub(crate) metrics: GatewayMetrics,
     pub(crate) in_force: RefCell<Option<Rc<ActiveConfiguration>>>,
-    /// True once a control member that hears its leader has confirmed the configuration in force.
-    /// Before that, the known configuration may have been replaced before this process started.
+    /// True once a control member in contact with its leader has confirmed the configuration in
+    /// force. Until then, the configuration may be one that was replaced before this process
+    /// started.
     pub(crate) is_current: Cell<bool>,
     /// Time at which such a member last answered, with or without a configuration.
     pub(crate) last_fresh_update: Cell<Option<Instant>>,
@@ -141,8 +142,8 @@
         Some(read(service))
     }
 
-    /// Returns true if the last contact with an up-to-date control member is so long ago that keys
-    /// may have been revoked since.
+    /// Returns true if no control member in contact with its leader has answered for so long that
+    /// keys may have been revoked since.
     pub(crate) fn keys_are_expired(&self) -> bool {
         let age = self.last_fresh_update.get().map(|time| time.elapsed());
         self.config
--- a/crates/gateway-server/src/metrics.rs
+++ b/crates/gateway-server/src/metrics.rs
@@ -85,16 +85,24 @@
             sends: registry.labelled_counter("sends_total", "Sends to replicas", "end")?,
             streams: registry.labelled_counter("streams_total", "Streams by end", "end")?,
             connects: registry.counter("connects_total", "New connections to replicas")?,
-            list_reads: registry.counter("list_reads_total", "Looks at the platform's list")?,
+            list_reads: registry.counter(
+                "list_reads_total",
+                "Reads of the platform's list of replicas",
+            )?,
             list_entries_passed_over: registry.counter(
                 "list_entries_passed_over_total",
                 "Entries of the platform's list that cannot be read",
             )?,
-            replica_restarts: registry
-                .counter("replica_restarts_total", "Replicas seen in another life")?,
-            load_view_age: registry.gauge("load_view_age_seconds", "Age of the zone's view")?,
+            replica_restarts: registry.counter(
+                "replica_restarts_total",
+                "Replicas that restarted under the same identifier",
+            )?,
+            load_view_age: registry.gauge(
+                "load_view_age_seconds",
+                "Mean age of the statistics in the zone's load view",
+            )?,
             load_view_replicas: registry
-                .gauge("load_view_replicas", "Replicas in the zone's view")?,
+                .gauge("load_view_replicas", "Replicas in the zone's load view")?,
             answer_seconds: registry.seconds("answer_seconds", "Time to an answer")?,
             expectation_error_seconds: registry.seconds(
                 "expectation_error_seconds",
@@ -103,7 +111,7 @@
             expected_seconds: registry
                 .seconds("expected_seconds", "Expected time to a first event")?,
             reserve_seconds: registry.seconds("reserve_seconds", "Time to reserve tokens")?,
-            keep_seconds: registry.seconds("keep_seconds", "Time to keep a turn")?,
+            keep_seconds: registry.seconds("keep_seconds", "Time to store a turn")?,
             unknown_keys: registry.labelled_counter(
                 "unknown_keys_total",
                 "Requests without a known key",
@@ -114,7 +122,8 @@
                 "Requests refused by their tenants' quotas",
                 "reason",
             )?,
-            quota_seconds: registry.seconds("quota_seconds", "Time to look a quota up")?,
+            quota_seconds: registry
+                .seconds("quota_seconds", "Time to get a decision on a quota")?,
             moved: registry.labelled_counter("moves_total", "Streams moved", "route")?,
             kept: registry.labelled_counter("moves_kept_total", "Slow streams kept", "route")?,
             too_late_to_move: registry.labelled_counter(
@@ -124,30 +133,34 @@
             )?,
             hopeless: registry.labelled_counter(
                 "hopeless_total",
-                "Streams refused for want of time",
+                "Streams refused because no replica could answer in time",
                 "route",
             )?,
             move_seconds: registry.seconds("move_seconds", "Time waited before a move")?,
-            hedges: registry.labelled_counter("hedges_total", "Second sends", "when")?,
+            hedges: registry.labelled_counter(
+                "hedges_total",
+                "Requests hedged to a second replica",
+                "when",
+            )?,
             callers_gone: registry.labelled_counter(
                 "callers_gone_total",
-                "Callers that left before their answer",
+                "Callers that disconnected before their answer",
                 "awaited",
             )?,
-            held_bytes: registry.gauge("held_bytes", "Bytes held for callers and replicas")?,
+            held_bytes: registry.gauge("held_bytes", "Bytes buffered for callers and replicas")?,
             held_cuts: registry.labelled_counter(
                 "held_cuts_total",
-                "Requests cut for what they held",
+                "Requests aborted because of the bytes buffered for them",
                 "reason",
             )?,
             held_refusals: registry.labelled_counter(
                 "held_refusals_total",
-                "Requests whose bodies there was no room for",
+                "Requests refused because of a limit on buffered bytes",
                 "reason",
             )?,
             programs: registry.labelled_counter(
                 "programs_total",
-                "New programs by what became of them",
+                "New programs by outcome of their admission",
                 "end",
             )?,
             tenant_classes: registry.labelled_counter(
@@ -157,12 +170,12 @@
             )?,
             working_set: registry.gauge(
                 "working_set_tokens",
-                "Tokens that programs under way need until they end",
+                "Tokens of memory that running programs need until they end",
             )?,
-            room: registry.gauge("room_tokens", "Tokens of memory for programs under way")?,
+            room: registry.gauge("room_tokens", "Tokens of memory for running programs")?,
             program_seconds: registry.gauge(
                 "program_lifetime_seconds",
-                "Estimated life of the last new program",
+                "Estimated lifetime of the latest new program",
             )?,
             version: registry.gauge("configuration_version", "Configuration in force")?,
             registry,
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -18,9 +18,9 @@
 use std::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Seed of the hash that ranks programs for admission. It keeps this hash independent of the one
-/// that chooses the service and the replica: otherwise some of these would lose all their programs
-/// first.
+/// Seed of the hash that ranks programs for admission. It makes this hash independent of the one
+/// that chooses the service and the replica. Otherwise, all programs of some services and replicas
+/// would be refused before any of the others.
 const ADMISSION_SEED: u64 = 1;
 
 /// A turn that has been admitted and may be sent.
@@ -207,11 +207,11 @@
         served_by: RefCell::default(),
     };
     let started_at = Instant::now();
-    let response =
+    let reserving =
         gateway
             .turns
             .begin(&program.name, &turn, program.ceiling, retention_ms, missing);
-    let response = match actix_rt::time::timeout(inbound.remaining(), response).await {
+    let response = match actix_rt::time::timeout(inbound.remaining(), reserving).await {
         Ok(Ok(response)) => response,
         Ok(Err(error)) => {
             tracing::warn!(id = inbound.id, %error, "cannot reserve tokens for a turn");
@@ -269,12 +269,12 @@
     inbound: &InboundRequest,
     program: &ProgramFields,
 ) -> Result<(), Refusal> {
-    let program_hash = xxh3_64_with_seed(program.name.0.as_bytes(), ADMISSION_SEED);
+    let admission_hash = xxh3_64_with_seed(program.name.0.as_bytes(), ADMISSION_SEED);
     if admission::uses_working_set(gateway, inbound) {
-        return admission::admit(gateway, inbound, program, program_hash);
+        return admission::admit(gateway, inbound, program, admission_hash);
     }
     let mut shedder = gateway.shedder.borrow_mut();
-    let decision = shedder.admit(&inbound.route, program_hash, gateway.now());
+    let decision = shedder.admit(&inbound.route, admission_hash, gateway.now());
     let ShedDecision::Refuse {
         retry_delay,
         share,
@@ -312,13 +312,16 @@
             Ok(chain)
         }
         ChainLookup::Absent => {
-            tracing::info!(id = inbound.id, "the previous turn does not exist");
+            tracing::info!(
+                id = inbound.id,
+                "turn refused: the previous turn does not exist"
+            );
             Err(Refusal::new(StatusCode::NOT_FOUND, "no such turn"))
         }
         ChainLookup::Unknown => {
             tracing::warn!(
                 id = inbound.id,
-                "cannot determine whether the previous turn exists"
+                "turn refused: cannot determine whether the previous turn exists"
             );
             Err(Refusal::recovering(
                 "the previous turn cannot be looked up at the moment",
--- a/crates/gateway-server/src/quota.rs
+++ b/crates/gateway-server/src/quota.rs
@@ -39,7 +39,7 @@
 /// or the tenant has no quota.
 ///
 /// # Errors
-/// The tenant's limit is reached, or no owner can tell. The request has not run.
+/// The tenant's limit is reached, or no owner gave a decision. The request has not run.
 pub(crate) async fn take_token(
     gateway: &Gateway,
     inbound: &InboundRequest,
@@ -52,8 +52,8 @@
         return Ok(());
     };
     let started_at = Instant::now();
-    let request = token_request(inbound, tenant, quota, purpose);
-    let verdict = request_token(gateway, inbound, &request).await;
+    let request = build_request(inbound, tenant, quota, purpose);
+    let verdict = request_with_retries(gateway, inbound, &request).await;
     let seconds = started_at.elapsed().as_secs_f64();
     gateway.metrics.quota_seconds.observe(seconds);
     match verdict {
@@ -78,7 +78,7 @@
 
 /// Asks the owners for a token. A request of a running program retries while a token is expected
 /// within its maximum wait.
-async fn request_token(
+async fn request_with_retries(
     gateway: &Gateway,
     inbound: &InboundRequest,
     request: &QuotaRequest,
@@ -90,8 +90,8 @@
     let deadline = Instant::now() + max_wait;
     loop {
         let timeout = OWNERS_TIMEOUT.min(inbound.remaining());
-        let verdict = actix_rt::time::timeout(timeout, request_from_owners(gateway, request));
-        let verdict = verdict.await.unwrap_or(Verdict::Unknown);
+        let requesting = actix_rt::time::timeout(timeout, request_from_owners(gateway, request));
+        let verdict = requesting.await.unwrap_or(Verdict::Unknown);
         match verdict {
             Verdict::Denied { retry_delay } if Instant::now() + retry_delay < deadline => {
                 actix_rt::time::sleep(retry_delay.max(MIN_TOKEN_WAIT)).await;
@@ -101,7 +101,7 @@
     }
 }
 
-fn token_request(
+fn build_request(
     inbound: &InboundRequest,
     tenant: &Tenant,
     quota: Quota,
--- a/crates/gateway-server/src/server.rs
+++ b/crates/gateway-server/src/server.rs
@@ -25,7 +25,7 @@
 
 /// Time after which a connection is aborted if its caller reads nothing of the pending data.
 /// Streams are aborted earlier and for a reason of their own; this limit frees the data that their
-/// connections still buffer, and complete answers.
+/// connections still buffer. It also frees unread non-streaming answers.
 const UNREAD_CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Interval at which a stopping gateway checks for remaining requests and connections.
--- a/crates/gateway-server/src/turn_client.rs
+++ b/crates/gateway-server/src/turn_client.rs
@@ -107,11 +107,11 @@
         request: &StoreRequest,
     ) -> impl Future<Output = Reply> + use<> {
         let link = self.links.borrow().get(name).cloned();
-        let response = link.map(|link| link.send(request));
+        let sending = link.map(|link| link.send(request));
         let name = name.clone();
         async move {
-            let response = match response {
-                Some(response) => response.await,
+            let response = match sending {
+                Some(sending) => sending.await,
                 None => None,
             };
             (name, response)
@@ -366,9 +366,9 @@
         owner: &StoreName,
         request: &QuotaRequest,
     ) -> impl Future<Output = Option<QuotaResponse>> + use<> {
-        let reply = self.send(owner, &StoreRequest::Quota(request.clone()));
+        let sending = self.send(owner, &StoreRequest::Quota(request.clone()));
         async move {
-            match reply.await {
+            match sending.await {
                 (_, Some(StoreResponse::Quota(answer))) => Some(answer),
                 _ => None,
             }
--- a/crates/gateway-server/tests/gateway/load_view.rs
+++ b/crates/gateway-server/tests/gateway/load_view.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Several times the delay with which statistics of one gateway reach another.
-const SEVERAL_DELAYS: Duration = Duration::from_secs(2);
+/// Wait of several times the delay with which statistics of one gateway reach another.
+const PROPAGATION_WAIT: Duration = Duration::from_secs(2);
 
 /// Returns a configuration with a stream that may go to a second replica, which enables the view.
 fn sharing_configuration() -> Configuration {
@@ -55,7 +55,7 @@
     fleet.configure(&configuration(1)).await;
     let (second, _) = fleet.start_second_gateway().await;
     start_unanswered_request(fleet.gateway_address);
-    actix_rt::time::sleep(SEVERAL_DELAYS).await;
+    actix_rt::time::sleep(PROPAGATION_WAIT).await;
     assert_eq!(replicas_in_view(second.metrics_address).await, 0.0);
     assert_eq!(replicas_in_view(fleet.gateway.metrics_address).await, 0.0);
 }
--- a/crates/gateway-server/tests/gateway/tenants.rs
+++ b/crates/gateway-server/tests/gateway/tenants.rs
@@ -159,7 +159,7 @@
         let response = send(&fleet, keyed(TestRequest::get("/safe/x", "a1"), "k1")).await;
         match response.status {
             200 => served += 1,
-            // The stores have not heard from a leader yet, or the buckets are still empty.
+            // The stores have no contact with a leader yet, or the buckets are still empty.
             503 => actix_rt::time::sleep(std::time::Duration::from_millis(50)).await,
             _ => break response,
         }
