--- a/crates/control-server/src/actor.rs
+++ b/crates/control-server/src/actor.rs
@@ -20,7 +20,7 @@
 use tokio::sync::oneshot;
 
 /// The client number of requests that come from this process itself.
-const OWN_CLIENT: u64 = 0;
+const LOCAL_CLIENT: u64 = 0;
 
 /// Time between looks at timers.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
@@ -29,15 +29,15 @@
 const MAILBOX_CAPACITY: usize = 65_536;
 
 /// Release orders that are under way at once.
-const MAX_ORDERS_UNDER_WAY: usize = 256;
+const MAX_RELEASES_IN_FLIGHT: usize = 256;
 
 /// Where this process's clock begins: the time of day, and the steady clock's at that moment.
-static ORIGIN: OnceLock<(Duration, Instant)> = OnceLock::new();
+static CLOCK_ORIGIN: OnceLock<(Duration, Instant)> = OnceLock::new();
 
 /// The time in microseconds since the Unix epoch, as it was at the process's start and counted
 /// steadily from there: a step of the time of day must not run into leases and elections.
 pub(crate) fn now() -> Timestamp {
-    let (at_start, start) = ORIGIN.get_or_init(|| {
+    let (at_start, start) = CLOCK_ORIGIN.get_or_init(|| {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         (wall.unwrap_or_default(), Instant::now())
     });
@@ -56,13 +56,13 @@
     /// The member; `None` while its disk cannot be used.
     node: Option<ControlNode<FileDisk>>,
     reopen: Option<Reopen>,
-    reopen_due: Timestamp,
+    reopen_at: Timestamp,
     peers: Peers,
     clients: BTreeMap<u64, FrameSender>,
-    own_requests: BTreeMap<u64, oneshot::Sender<Response>>,
-    last_own_request: u64,
+    local_requests: BTreeMap<u64, oneshot::Sender<Response>>,
+    last_local_request: u64,
     http: awc::Client,
-    orders_under_way: BTreeSet<(ProgramId, EngineId)>,
+    releases_in_flight: BTreeSet<(ProgramId, EngineId)>,
     flush_queued: bool,
     /// The leadership that was last written to the log.
     logged_leadership: Leadership,
@@ -76,16 +76,16 @@
         peers: Peers,
         failed: oneshot::Sender<ControlError>,
     ) -> Self {
-        Self::with(Some(node), peers, Some(failed), None)
+        Self::build(Some(node), peers, Some(failed), None)
     }
 
     /// An actor that reads its member anew from its disk when that fails, and until then answers
     /// that it is not available. It may start without one.
-    pub(crate) fn reopening(peers: Peers, reopen: Reopen) -> Self {
-        Self::with(None, peers, None, Some(reopen))
+    pub(crate) fn with_reopen(peers: Peers, reopen: Reopen) -> Self {
+        Self::build(None, peers, None, Some(reopen))
     }
 
-    fn with(
+    fn build(
         node: Option<ControlNode<FileDisk>>,
         peers: Peers,
         failed: Option<oneshot::Sender<ControlError>>,
@@ -94,13 +94,13 @@
         Self {
             node,
             reopen,
-            reopen_due: now(),
+            reopen_at: now(),
             peers,
             clients: BTreeMap::new(),
-            own_requests: BTreeMap::new(),
-            last_own_request: 0,
+            local_requests: BTreeMap::new(),
+            last_local_request: 0,
             http: awc::Client::default(),
-            orders_under_way: BTreeSet::new(),
+            releases_in_flight: BTreeSet::new(),
             flush_queued: false,
             logged_leadership: Leadership::default(),
             failed,
@@ -114,18 +114,18 @@
 
     /// Gives the node an input. What it leads to comes out of the flush that is queued behind
     /// everything that waits in the mailbox now.
-    fn take(&mut self, input: Input, context: &mut Context<Self>) {
+    fn handle_input(&mut self, input: Input, context: &mut Context<Self>) {
         let Some(node) = self.node.as_mut() else {
-            self.refuse(input);
+            self.reject(input);
             return;
         };
         let result = node.handle(input, now());
-        self.check(result, context);
+        self.check_result(result, context);
         self.queue_flush(context);
     }
 
     /// Without its disk the member knows nothing for certain.
-    fn refuse(&mut self, input: Input) {
+    fn reject(&mut self, input: Input) {
         if let Input::Request { token, .. } | Input::ExtendedRequest { token, .. } = input {
             let reason = "this member's disk cannot be used".to_owned();
             let response = Response::Unavailable { reason };
@@ -138,10 +138,10 @@
         let Some(reopen) = self.reopen.as_ref() else {
             return;
         };
-        if self.node.is_some() || now() < self.reopen_due {
+        if self.node.is_some() || now() < self.reopen_at {
             return;
         }
-        self.reopen_due = now().plus(REOPEN_INTERVAL);
+        self.reopen_at = now().plus(REOPEN_INTERVAL);
         match reopen() {
             Ok(node) => {
                 tracing::info!(peer = %node.peer(), "the control member has read its disk");
@@ -160,7 +160,7 @@
 
     /// After a disk failure nobody can tell what is durable: the member stops, or forgets what
     /// it holds in memory and goes on with what its disk gives back.
-    fn check<T>(
+    fn check_result<T>(
         &mut self,
         result: Result<T, ControlError>,
         context: &mut Context<Self>,
@@ -170,9 +170,9 @@
             Err(error) if self.reopen.is_some() => {
                 tracing::error!(%error, "the control member lost its disk");
                 self.node = None;
-                self.reopen_due = now().plus(REOPEN_INTERVAL);
+                self.reopen_at = now().plus(REOPEN_INTERVAL);
                 // Those who wait for an answer of the lost state must not wait for ever.
-                self.own_requests.clear();
+                self.local_requests.clear();
                 None
             }
             Err(error) => {
@@ -204,7 +204,7 @@
         );
     }
 
-    fn carry_out(&mut self, output: Output, context: &mut Context<Self>) {
+    fn execute_output(&mut self, output: Output, context: &mut Context<Self>) {
         match output {
             Output::Peer { group, envelope } => self.peers.send(group, &envelope),
             Output::Reply {
@@ -217,8 +217,8 @@
     }
 
     fn reply(&mut self, token: RequestToken, response: Response, parts: &ResponseParts) {
-        if token.client == OWN_CLIENT {
-            if let Some(waiting) = self.own_requests.remove(&token.request) {
+        if token.client == LOCAL_CLIENT {
+            if let Some(waiting) = self.local_requests.remove(&token.request) {
                 let _ = waiting.send(response);
             }
             return;
@@ -237,32 +237,32 @@
 
     fn start_release(&mut self, order: ReleaseOrder, context: &mut Context<Self>) {
         let subject = (order.program, order.engine);
-        let full = self.orders_under_way.len() >= MAX_ORDERS_UNDER_WAY;
-        if full || !self.orders_under_way.insert(subject) {
+        let full = self.releases_in_flight.len() >= MAX_RELEASES_IN_FLIGHT;
+        if full || !self.releases_in_flight.insert(subject) {
             return;
         }
         let work = releases::order(self.http.clone(), order).into_actor(self);
         context.spawn(work.map(move |confirmed, actor, context| {
-            actor.orders_under_way.remove(&subject);
+            actor.releases_in_flight.remove(&subject);
             if let Some(request) = confirmed {
-                let token = actor.own_token();
+                let token = actor.local_token();
                 let request = Box::new(request);
-                actor.take(Input::Request { token, request }, context);
+                actor.handle_input(Input::Request { token, request }, context);
             }
         }));
     }
 
-    fn own_token(&mut self) -> RequestToken {
-        self.last_own_request += 1;
+    fn local_token(&mut self) -> RequestToken {
+        self.last_local_request += 1;
         RequestToken {
-            client: OWN_CLIENT,
-            request: self.last_own_request,
+            client: LOCAL_CLIENT,
+            request: self.last_local_request,
         }
     }
 
     /// Answers a request that a newer build may have sent: its sender asks another member at once
     /// instead of waiting for an answer that never comes.
-    fn decline_unknown(&mut self, token: RequestToken, error: &WireError) {
+    fn reject_undecodable(&mut self, token: RequestToken, error: &WireError) {
         tracing::warn!(connection = token.client, %error, "a request cannot be understood");
         let reason = format!("this build does not know the request: {error}");
         self.reply(
@@ -278,7 +278,7 @@
                 Ok(envelope) => {
                     let group = GroupId(group);
                     let envelope = Box::new(envelope);
-                    self.take(Input::Peer { group, envelope }, context);
+                    self.handle_input(Input::Peer { group, envelope }, context);
                 }
                 Err(error) => tracing::warn!(%error, "malformed consensus message"),
             },
@@ -292,15 +292,15 @@
                 match decode_with_parts(&body) {
                     Ok((request, parts)) => {
                         let request = Box::new(request);
-                        let parts = Box::new(read_parts(&parts));
+                        let parts = Box::new(decode_parts(&parts));
                         let input = Input::ExtendedRequest {
                             token,
                             request,
                             parts,
                         };
-                        self.take(input, context);
+                        self.handle_input(input, context);
                     }
-                    Err(error) => self.decline_unknown(token, &error),
+                    Err(error) => self.reject_undecodable(token, &error),
                 }
             }
             Frame::Hello(_) | Frame::Response { .. } => {
@@ -311,7 +311,7 @@
 }
 
 /// What follows a request. A part that cannot be read is passed over: the request stands without.
-fn read_parts(parts: &Parts) -> RequestParts {
+fn decode_parts(parts: &Parts) -> RequestParts {
     RequestParts::decode(parts).unwrap_or_else(|error| {
         tracing::warn!(%error, "the parts behind a request cannot be read");
         RequestParts::default()
@@ -332,7 +332,7 @@
                 .as_mut()
                 .filter(|node| time >= node.next_deadline());
             if let Some(result) = due.map(|node| node.tick(time)) {
-                actor.check(result, context);
+                actor.check_result(result, context);
                 actor.queue_flush(context);
             }
         });
@@ -352,11 +352,11 @@
         let Some(result) = self.node.as_mut().map(ControlNode::flush) else {
             return;
         };
-        let Some(outputs) = self.check(result, context) else {
+        let Some(outputs) = self.check_result(result, context) else {
             return;
         };
         for output in outputs {
-            self.carry_out(output, context);
+            self.execute_output(output, context);
         }
         self.log_leadership();
     }
@@ -384,7 +384,7 @@
             Accepted::Frame { connection, frame } => self.on_frame(connection, frame, context),
             Accepted::Closed { connection } => {
                 self.clients.remove(&connection);
-                self.take(Input::ClientGone { client: connection }, context);
+                self.handle_input(Input::ClientGone { client: connection }, context);
             }
         }
     }
@@ -393,19 +393,19 @@
 /// A request from this process.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct OwnRequest {
+pub(crate) struct LocalRequest {
     pub(crate) request: Request,
     pub(crate) answer: oneshot::Sender<Response>,
 }
 
-impl Handler<OwnRequest> for ControlActor {
+impl Handler<LocalRequest> for ControlActor {
     type Result = ();
 
-    fn handle(&mut self, own: OwnRequest, context: &mut Self::Context) {
-        let token = self.own_token();
-        self.own_requests.insert(token.request, own.answer);
+    fn handle(&mut self, own: LocalRequest, context: &mut Self::Context) {
+        let token = self.local_token();
+        self.local_requests.insert(token.request, own.answer);
         let request = Box::new(own.request);
-        self.take(Input::Request { token, request }, context);
+        self.handle_input(Input::Request { token, request }, context);
     }
 }
 
@@ -425,24 +425,24 @@
 /// What the leader told.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct TakeLeaderNews {
+pub(crate) struct ApplyLeaderNews {
     pub(crate) report: Option<BackendReport>,
     pub(crate) gateways: u32,
     pub(crate) incarnations: Vec<ReplicaIncarnation>,
 }
 
-impl Handler<TakeLeaderNews> for ControlActor {
+impl Handler<ApplyLeaderNews> for ControlActor {
     type Result = ();
 
-    fn handle(&mut self, news: TakeLeaderNews, context: &mut Self::Context) {
-        let TakeLeaderNews {
+    fn handle(&mut self, news: ApplyLeaderNews, context: &mut Self::Context) {
+        let ApplyLeaderNews {
             report,
             gateways,
             incarnations,
         } = news;
-        self.take(Input::LeaderNews { report, gateways }, context);
+        self.handle_input(Input::LeaderNews { report, gateways }, context);
         if !incarnations.is_empty() {
-            self.take(Input::LeaderIncarnations(incarnations), context);
+            self.handle_input(Input::LeaderIncarnations(incarnations), context);
         }
     }
 }
@@ -450,17 +450,17 @@
 /// The platform's list as it was just read.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct TakeBackends {
+pub(crate) struct ApplyBackendList {
     pub(crate) list: BackendList,
     /// Time since the reading began.
     pub(crate) age: Duration,
 }
 
-impl Handler<TakeBackends> for ControlActor {
+impl Handler<ApplyBackendList> for ControlActor {
     type Result = ();
 
-    fn handle(&mut self, taken: TakeBackends, context: &mut Self::Context) {
-        let TakeBackends { list, age } = taken;
-        self.take(Input::Backends { list, age }, context);
+    fn handle(&mut self, taken: ApplyBackendList, context: &mut Self::Context) {
+        let ApplyBackendList { list, age } = taken;
+        self.handle_input(Input::Backends { list, age }, context);
     }
 }
--- a/crates/control-server/src/admin.rs
+++ b/crates/control-server/src/admin.rs
@@ -1,6 +1,6 @@
 //! The administration API over gRPC.
 
-use crate::actor::{ControlActor, OwnRequest};
+use crate::actor::{ControlActor, LocalRequest};
 use actix::Addr;
 use luglink_admin_api::v1::admin_server::Admin;
 use luglink_admin_api::{
@@ -44,7 +44,7 @@
 ) -> Result<ControlResponse, Status> {
     let (answer, waiting) = oneshot::channel();
     control
-        .try_send(OwnRequest { request, answer })
+        .try_send(LocalRequest { request, answer })
         .map_err(|_| Status::resource_exhausted("this member is overloaded; nothing ran"))?;
     let response = tokio::time::timeout(REQUEST_TIMEOUT, waiting)
         .await
--- a/crates/control-server/src/joining.rs
+++ b/crates/control-server/src/joining.rs
@@ -1,7 +1,7 @@
 //! Asks the members of a running fleet to let this one in.
 
 use crate::actor::ControlActor;
-use crate::looks::LookAtFleet;
+use crate::looks::GetFleetStatus;
 use actix::Addr;
 use luglink_control::{Request, Response};
 use luglink_net::RequestClient;
@@ -14,10 +14,10 @@
 use std::time::Duration;
 
 /// Time between rounds of questions.
-const INTERVAL: Duration = Duration::from_millis(250);
+const JOIN_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Longest wait for one member.
-const ANSWER_LIMIT: Duration = Duration::from_millis(400);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Where to ask.
 #[derive(Clone, Debug)]
@@ -30,13 +30,13 @@
 
 /// Asks whenever this member hears no leader. Members that are asked in vain name the one that
 /// leads, as far as they know.
-pub(crate) async fn ask_when_alone(control: Addr<ControlActor>, config: JoinConfig) {
+pub(crate) async fn join_when_leaderless(control: Addr<ControlActor>, config: JoinConfig) {
     let mut links: BTreeMap<SocketAddr, RequestClient> = BTreeMap::new();
     let mut leader: Option<SocketAddr> = None;
     loop {
-        actix_rt::time::sleep(INTERVAL).await;
-        let look = control.send(LookAtFleet).await;
-        let Some(peer) = look.ok().and_then(|look| look.wants_to_join) else {
+        actix_rt::time::sleep(JOIN_INTERVAL).await;
+        let status = control.send(GetFleetStatus).await;
+        let Some(peer) = status.ok().and_then(|status| status.wants_to_join) else {
             links.clear();
             continue;
         };
@@ -64,7 +64,7 @@
 /// Asks one member. Returns the leader that it names.
 async fn ask(link: &RequestClient, peer: Peer) -> Option<Ipv4Addr> {
     let body = encode_body(&Request::Join(peer)).ok()?;
-    let answer = link.request(body, ANSWER_LIMIT).await.ok()?;
+    let answer = link.request(body, REQUEST_TIMEOUT).await.ok()?;
     match decode_body(&answer).ok()? {
         Response::NotLeader { leader, .. } => leader.map(|leader| Ipv4Addr::from(leader.0)),
         _ => None,
--- a/crates/control-server/src/list.rs
+++ b/crates/control-server/src/list.rs
@@ -1,8 +1,8 @@
 //! Reads the platform's list of replicas, at the member that leads, or at each of them in turn
 //! while none hears a leader.
 
-use crate::actor::{ControlActor, TakeBackends, now};
-use crate::looks::{FleetLook, LookAtFleet};
+use crate::actor::{ApplyBackendList, ControlActor, now};
+use crate::looks::{FleetStatus, GetFleetStatus};
 use crate::metrics::MemberMetrics;
 use actix::Addr;
 use luglink_edge::Dialect;
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// Longest time for one reading of a page; a list may have many.
-const READ_LIMIT: Duration = Duration::from_secs(5);
+const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Time between looks whether to read.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -40,19 +40,19 @@
 pub(crate) async fn poll(poller: Poller) {
     let mut client = ListClient::new(poller.config.address);
     let mut reading = ListReading::new(poller.config.rates);
-    let mut is_lost = false;
+    let mut is_failing = false;
     loop {
         actix_rt::time::sleep(CHECK_INTERVAL).await;
-        let Ok(look) = poller.control.send(LookAtFleet).await else {
+        let Ok(status) = poller.control.send(GetFleetStatus).await else {
             return;
         };
-        poller.show_state(&look);
-        let reader = match look.leads_configuration {
+        poller.update_gauges(&status);
+        let reader = match status.leads_configuration {
             true => ListReader::Leader,
-            false => ListReader::Member(look.members),
+            false => ListReader::Member(status.members),
         };
-        reading.expect_replicas(look.replicas);
-        if !reading.is_due(reader, look.list_age, now(), rand::random()) {
+        reading.expect_replicas(status.replicas);
+        if !reading.is_due(reader, status.list_age, now(), rand::random()) {
             continue;
         }
         let at_refusal = match reader {
@@ -61,19 +61,19 @@
         };
         let began = now();
         let started = Instant::now();
-        let fetched = client.fetch(&*poller.dialect, READ_LIMIT, at_refusal);
+        let fetched = client.fetch(&*poller.dialect, PAGE_TIMEOUT, at_refusal);
         match fetched.await {
             Ok(fetched) => {
                 reading.succeeded(fetched.pages, began, rand::random());
-                if is_lost {
+                if is_failing {
                     let replicas = fetched.list.len();
                     tracing::info!(replicas, "list of replicas regained");
                 }
-                is_lost = false;
+                is_failing = false;
                 poller.count("read");
                 let passed_over = u64::from(fetched.passed_over);
                 poller.metrics.passed_over.inc_by(passed_over);
-                poller.control.do_send(TakeBackends {
+                poller.control.do_send(ApplyBackendList {
                     list: fetched.list,
                     age: started.elapsed(),
                 });
@@ -81,10 +81,10 @@
             Err(error) => {
                 reading.failed(error.is_refusal(), began, rand::random());
                 poller.count("failed");
-                if !is_lost {
+                if !is_failing {
                     tracing::warn!(%error, ?reader, "list of replicas lost");
                 }
-                is_lost = true;
+                is_failing = true;
             }
         }
     }
@@ -95,12 +95,12 @@
         self.metrics.list_reads.with_label_values(&[end]).inc();
     }
 
-    fn show_state(&self, look: &FleetLook) {
-        self.metrics.leads.set(f64::from(u8::from(look.leads)));
-        if let Some(age) = look.list_age {
+    fn update_gauges(&self, status: &FleetStatus) {
+        self.metrics.leads.set(f64::from(u8::from(status.leads)));
+        if let Some(age) = status.list_age {
             self.metrics.list_age.set(age.as_secs_f64());
         }
-        self.metrics.version.set(look.document_version as f64);
-        self.metrics.gateways.set(f64::from(look.ready_gateways));
+        self.metrics.version.set(status.document_version as f64);
+        self.metrics.gateways.set(f64::from(status.ready_gateways));
     }
 }
--- a/crates/control-server/src/looks.rs
+++ b/crates/control-server/src/looks.rs
@@ -13,12 +13,12 @@
 
 /// Asks how this member sees the fleet; it changes nothing and waits for nobody.
 #[derive(Message)]
-#[rtype(result = "FleetLook")]
-pub(crate) struct LookAtFleet;
+#[rtype(result = "FleetStatus")]
+pub(crate) struct GetFleetStatus;
 
 /// How this member sees the fleet.
 #[derive(Clone, Debug, Default, actix::MessageResponse)]
-pub(crate) struct FleetLook {
+pub(crate) struct FleetStatus {
     /// Number of gateways that take callers.
     pub(crate) ready_gateways: u32,
     /// Gateways that count on this member to say that they take callers.
@@ -41,15 +41,15 @@
     pub(crate) leads: bool,
 }
 
-impl Handler<LookAtFleet> for ControlActor {
-    type Result = FleetLook;
+impl Handler<GetFleetStatus> for ControlActor {
+    type Result = FleetStatus;
 
-    fn handle(&mut self, _: LookAtFleet, _: &mut Self::Context) -> FleetLook {
+    fn handle(&mut self, _: GetFleetStatus, _: &mut Self::Context) -> FleetStatus {
         let Some(node) = self.node() else {
-            return FleetLook::default();
+            return FleetStatus::default();
         };
         let list = node.list();
-        FleetLook {
+        FleetStatus {
             ready_gateways: node.ready_gateway_count(),
             own_gateways: node.own_gateways(),
             leads_configuration: node.leads(CONFIGURATION_GROUP),
@@ -67,7 +67,7 @@
 /// Asks which gateways take callers.
 #[derive(Message)]
 #[rtype(result = "Directory")]
-pub(crate) struct LookAtGateways {
+pub(crate) struct GetGatewayDirectory {
     /// The caller's zone.
     pub(crate) zone: Option<String>,
 }
@@ -83,47 +83,47 @@
     pub(crate) valid_for: Duration,
 }
 
-impl Handler<LookAtGateways> for ControlActor {
+impl Handler<GetGatewayDirectory> for ControlActor {
     type Result = Directory;
 
-    fn handle(&mut self, look: LookAtGateways, _: &mut Self::Context) -> Directory {
+    fn handle(&mut self, query: GetGatewayDirectory, _: &mut Self::Context) -> Directory {
         let node = self.node();
         node.map_or_else(Directory::default, |node| Directory {
             gateways: node.ready_gateways(),
-            named: node.named_gateways(look.zone.as_deref()),
-            valid_for: node.resolution_time(),
+            named: node.named_gateways(query.zone.as_deref()),
+            valid_for: node.resolution_validity(),
         })
     }
 }
 
 /// Asks for the words of gateways that other members of the zone should hear.
 #[derive(Message)]
-#[rtype(result = "WordsForNeighbours")]
-pub(crate) struct TakeWords;
+#[rtype(result = "NeighbourReports")]
+pub(crate) struct GetNeighbourReports;
 
 /// Words of gateways, and the members that should hear them.
 #[derive(Clone, Debug, Default, actix::MessageResponse)]
-pub(crate) struct WordsForNeighbours {
+pub(crate) struct NeighbourReports {
     pub(crate) neighbours: Vec<Ipv4Addr>,
     pub(crate) words: Vec<HeardGateway>,
     /// What the gateways see that this member counts.
     pub(crate) sights: Option<MemberSights>,
 }
 
-impl Handler<TakeWords> for ControlActor {
-    type Result = WordsForNeighbours;
+impl Handler<GetNeighbourReports> for ControlActor {
+    type Result = NeighbourReports;
 
-    fn handle(&mut self, _: TakeWords, _: &mut Self::Context) -> WordsForNeighbours {
+    fn handle(&mut self, _: GetNeighbourReports, _: &mut Self::Context) -> NeighbourReports {
         let Some(node) = self.node() else {
-            return WordsForNeighbours::default();
+            return NeighbourReports::default();
         };
         let neighbours = node.neighbours();
         if neighbours.is_empty() {
-            return WordsForNeighbours::default();
+            return NeighbourReports::default();
         }
-        WordsForNeighbours {
+        NeighbourReports {
             neighbours,
-            words: node.words_for_neighbours(),
+            words: node.gateway_reports_for_neighbours(),
             sights: node.sights_for_neighbours(),
         }
     }
@@ -131,24 +131,24 @@
 
 /// Asks what this member would say of its list to the leader.
 #[derive(Message)]
-#[rtype(result = "ListWord")]
-pub(crate) struct DescribeList;
+#[rtype(result = "ListState")]
+pub(crate) struct GetListState;
 
 /// What a member says of its list.
 #[derive(Clone, Debug, actix::MessageResponse)]
-pub(crate) struct ListWord {
+pub(crate) struct ListState {
     /// What it has of the list; `None` while it has no disk.
     pub(crate) list: Option<KnownList>,
     /// What it has of the incarnations.
     pub(crate) incarnations: Option<KnownIncarnations>,
 }
 
-impl Handler<DescribeList> for ControlActor {
-    type Result = ListWord;
+impl Handler<GetListState> for ControlActor {
+    type Result = ListState;
 
-    fn handle(&mut self, _: DescribeList, _: &mut Self::Context) -> ListWord {
+    fn handle(&mut self, _: GetListState, _: &mut Self::Context) -> ListState {
         let list = self.node().map(|node| node.list());
-        ListWord {
+        ListState {
             list: list.map(|list| list.known(now())),
             incarnations: list.map(|list| list.known_incarnations()),
         }
--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -4,9 +4,9 @@
 //! it. At the fleet's first start the seeds form the configuration group; everyone else, and
 //! every empty disk later, asks to be let in.
 
-use crate::actor::{ControlActor, Halt, OwnRequest, Reopen, SocketEvent, now};
+use crate::actor::{ControlActor, Halt, LocalRequest, Reopen, SocketEvent, now};
 use crate::errors::{ControlServerError, ListenSnafu};
-use crate::joining::{JoinConfig, ask_when_alone};
+use crate::joining::{JoinConfig, join_when_leaderless};
 use crate::list::{self, PollConfig, Poller};
 use crate::metrics::MemberMetrics;
 use crate::operator::OperatorService;
@@ -16,7 +16,7 @@
 use actix::{Actor, Addr};
 use http::Request;
 use hyper::body::Incoming;
-use luglink_control::{ControlConfig, ControlNode, ManagedConfig, Request as Ask};
+use luglink_control::{ControlConfig, ControlNode, ManagedConfig, Request as ControlRequest};
 use luglink_edge::Dialect;
 use luglink_fleet::ReadingRates;
 use luglink_http::{ServeOptions, serve, stopper};
@@ -33,10 +33,10 @@
 use tokio::sync::oneshot;
 
 /// Longest rest of a connection of an operator or of a caller that asks where to go.
-const CONNECTION_IDLE: Duration = Duration::from_secs(30);
+const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Time that a hand-over of leadership needs: a round trip and an election.
-const HAND_OVER_TIME: Duration = Duration::from_millis(400);
+const LEADERSHIP_TRANSFER_TIME: Duration = Duration::from_millis(400);
 
 /// Bytes of the log's segments.
 const SEGMENT_BYTES: u64 = 8 << 20;
@@ -80,7 +80,7 @@
         luglink_metrics_server::start(config.member.metrics_listen, &metrics.registry).await;
     tracing::info!(name = fleet.name, %address, "control member started");
     let peers = Peers::by_address(member, fleet.member_port());
-    let actor = ControlActor::reopening(peers, reopen(config.clone(), member)).start();
+    let actor = ControlActor::with_reopen(peers, reopen(config.clone(), member)).start();
     actix_rt::spawn(luglink_net::serve(listener, {
         let actor = actor.clone();
         move |event| actor.do_send(SocketEvent(event))
@@ -108,13 +108,13 @@
         member_port: fleet.member_port(),
     };
     actix_rt::spawn(relay::follow_leader(actor.clone(), relay.clone()));
-    actix_rt::spawn(relay::tell_neighbours(actor.clone(), relay));
+    actix_rt::spawn(relay::report_to_neighbours(actor.clone(), relay));
     let seeds = Rc::new(RefCell::new(fleet.member_seeds()));
     let join = JoinConfig {
         own: address,
         seeds: Rc::clone(&seeds),
     };
-    actix_rt::spawn(ask_when_alone(actor.clone(), join));
+    actix_rt::spawn(join_when_leaderless(actor.clone(), join));
     Ok(ManagedServer {
         address,
         metrics_address,
@@ -163,10 +163,10 @@
         voters: copies,
         store_copies: copies,
         // A third each for the change's own way, for those who tell first, and for the others.
-        document_patience: Duration::from_millis(fleet.change_ms / 3),
-        freshness: Duration::from_millis(fleet.change_ms / 3),
+        document_fallback_delay: Duration::from_millis(fleet.change_ms / 3),
+        max_staleness: Duration::from_millis(fleet.change_ms / 3),
         // A list is told at the latest one reading and one hold after the platform showed it.
-        longest_observe_hold: fleet.list_stale_after() / 4,
+        max_observe_hold: fleet.list_stale_after() / 4,
         ..ManagedConfig::default()
     });
     control
@@ -175,7 +175,7 @@
 fn serve_options() -> ServeOptions {
     ServeOptions {
         header_bytes: 16 << 10,
-        idle: CONNECTION_IDLE,
+        idle: CONNECTION_IDLE_TIMEOUT,
         unread: None,
     }
 }
@@ -227,11 +227,11 @@
     /// Hands over leadership, lets that settle, and stops.
     pub async fn stop(self) {
         let (answer, waiting) = oneshot::channel();
-        let request = Ask::HandOver;
-        self.actor.do_send(OwnRequest { request, answer });
+        let request = ControlRequest::HandOver;
+        self.actor.do_send(LocalRequest { request, answer });
         // A member that cannot hand over stops all the same; the others elect a leader.
-        let _ = actix_rt::time::timeout(HAND_OVER_TIME, waiting).await;
-        actix_rt::time::sleep(HAND_OVER_TIME).await;
+        let _ = actix_rt::time::timeout(LEADERSHIP_TRANSFER_TIME, waiting).await;
+        actix_rt::time::sleep(LEADERSHIP_TRANSFER_TIME).await;
         self.actor.do_send(Halt);
     }
 }
--- a/crates/control-server/src/operator.rs
+++ b/crates/control-server/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's calls: the configuration as one document, and turn stores that are to go.
 
-use crate::actor::{ControlActor, OwnRequest};
-use crate::looks::LookAtFleet;
+use crate::actor::{ControlActor, LocalRequest};
+use crate::looks::GetFleetStatus;
 use crate::metrics::MemberMetrics;
 use crate::resolution::json;
 use actix::Addr;
@@ -22,7 +22,7 @@
 const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Time after which a call that consensus has not decided gets an unclear answer.
-const DECISION_LIMIT: Duration = Duration::from_millis(1_500);
+const DECISION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Answers operators.
 #[derive(Clone, Debug)]
@@ -35,9 +35,9 @@
 }
 
 /// Why a call has no result here.
-enum Elsewhere {
-    Leader(MemberId),
-    Nobody(&'static str),
+enum CallFailure {
+    NotLeader(MemberId),
+    Unavailable(&'static str),
 }
 
 impl OperatorService {
@@ -74,12 +74,14 @@
         };
         match result {
             Ok(response) => response,
-            Err(Elsewhere::Leader(leader)) => self.redirect(leader, path),
-            Err(Elsewhere::Nobody(detail)) => self.problem(StatusCode::SERVICE_UNAVAILABLE, detail),
+            Err(CallFailure::NotLeader(leader)) => self.redirect(leader, path),
+            Err(CallFailure::Unavailable(detail)) => {
+                self.problem(StatusCode::SERVICE_UNAVAILABLE, detail)
+            }
         }
     }
 
-    async fn put(&self, incoming: Incoming) -> Result<Response<Body>, Elsewhere> {
+    async fn put(&self, incoming: Incoming) -> Result<Response<Body>, CallFailure> {
         let Ok(body) = Limited::new(incoming, MAX_BODY_BYTES).collect().await else {
             return Ok(self.problem(StatusCode::BAD_REQUEST, "the body is not whole"));
         };
@@ -94,10 +96,11 @@
             return Ok(self.invalid(&lines.join("; ")));
         }
         let version = configuration.version;
-        let look = self.control.send(LookAtFleet).await;
+        let status = self.control.send(GetFleetStatus).await;
         // What a member has applied was committed, so an overtaken document needs no entry.
-        let is_overtaken = look.is_ok_and(|look| look.leads && look.document_version >= version);
-        if !is_overtaken {
+        let is_superseded =
+            status.is_ok_and(|status| status.leads && status.document_version >= version);
+        if !is_superseded {
             let document = VersionedDocument {
                 version,
                 content: content.to_vec(),
@@ -106,20 +109,24 @@
                 ControlResponse::DocumentHeld { version: held } => {
                     tracing::info!(version, held, "configuration taken");
                 }
-                _ => return Err(Elsewhere::Nobody("the answer does not belong to the call")),
+                _ => {
+                    return Err(CallFailure::Unavailable(
+                        "the answer does not belong to the call",
+                    ));
+                }
             }
         }
         Ok(json(StatusCode::OK, b"{}".to_vec()))
     }
 
-    async fn get(&self) -> Result<Response<Body>, Elsewhere> {
+    async fn get(&self) -> Result<Response<Body>, CallFailure> {
         match self.ask(ControlRequest::ReadDocument).await? {
             ControlResponse::Document(Some(document)) => Ok(json(StatusCode::OK, document.content)),
-            _ => Err(Elsewhere::Nobody("there is no configuration yet")),
+            _ => Err(CallFailure::Unavailable("there is no configuration yet")),
         }
     }
 
-    async fn retire(&self, name: StoreName) -> Result<Response<Body>, Elsewhere> {
+    async fn retire(&self, name: StoreName) -> Result<Response<Body>, CallFailure> {
         let answer = self.ask(ControlRequest::Retire(name)).await?;
         Ok(match answer {
             ControlResponse::Retirement(RetireAnswer::State(state)) => self.state(state),
@@ -130,7 +137,7 @@
         })
     }
 
-    async fn retirement(&self, name: StoreName) -> Result<Response<Body>, Elsewhere> {
+    async fn retirement(&self, name: StoreName) -> Result<Response<Body>, CallFailure> {
         let answer = self.ask(ControlRequest::ReadRetirement(name)).await?;
         Ok(match answer {
             ControlResponse::Retirement(RetireAnswer::State(state)) => self.state(state),
@@ -138,22 +145,26 @@
         })
     }
 
-    async fn ask(&self, request: ControlRequest) -> Result<ControlResponse, Elsewhere> {
+    async fn ask(&self, request: ControlRequest) -> Result<ControlResponse, CallFailure> {
         let (answer, waiting) = oneshot::channel();
         self.control
-            .try_send(OwnRequest { request, answer })
-            .map_err(|_| Elsewhere::Nobody("this member is overloaded"))?;
-        let response = actix_rt::time::timeout(DECISION_LIMIT, waiting)
+            .try_send(LocalRequest { request, answer })
+            .map_err(|_| CallFailure::Unavailable("this member is overloaded"))?;
+        let response = actix_rt::time::timeout(DECISION_TIMEOUT, waiting)
             .await
-            .map_err(|_| Elsewhere::Nobody("no quorum answered in time"))?
-            .map_err(|_| Elsewhere::Nobody("this member is stopping"))?;
+            .map_err(|_| CallFailure::Unavailable("no quorum answered in time"))?
+            .map_err(|_| CallFailure::Unavailable("this member is stopping"))?;
         match response {
             ControlResponse::NotLeader {
                 leader: Some(leader),
                 ..
-            } => Err(Elsewhere::Leader(leader)),
-            ControlResponse::NotLeader { .. } => Err(Elsewhere::Nobody("no leader is known")),
-            ControlResponse::Unavailable { .. } => Err(Elsewhere::Nobody("not available now")),
+            } => Err(CallFailure::NotLeader(leader)),
+            ControlResponse::NotLeader { .. } => {
+                Err(CallFailure::Unavailable("no leader is known"))
+            }
+            ControlResponse::Unavailable { .. } => {
+                Err(CallFailure::Unavailable("not available now"))
+            }
             answer => Ok(answer),
         }
     }
--- a/crates/control-server/src/peers.rs
+++ b/crates/control-server/src/peers.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Time after which a link that was opened when it was needed is closed when it is not.
-const UNUSED_LIMIT: Duration = Duration::from_secs(10);
+const UNUSED_LINK_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A link and when it was last used.
 struct PeerLink {
@@ -70,7 +70,7 @@
     pub(crate) fn close_unused(&mut self) {
         if self.port.is_some() {
             self.links
-                .retain(|_, peer| peer.used.elapsed() < UNUSED_LIMIT);
+                .retain(|_, peer| peer.used.elapsed() < UNUSED_LINK_TIMEOUT);
         }
     }
 
--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -4,8 +4,8 @@
 //! So gateways need ask only a few members near them, and the leader hears the members and not the
 //! gateways.
 
-use crate::actor::{ControlActor, TakeLeaderNews};
-use crate::looks::{DescribeList, ListWord, LookAtFleet, TakeWords};
+use crate::actor::{ApplyLeaderNews, ControlActor};
+use crate::looks::{GetFleetStatus, GetListState, GetNeighbourReports, ListState};
 use actix::Addr;
 use luglink_control::{Request, RequestParts, Response, ResponseParts};
 use luglink_fleet::{Known, MemberPresence, MembersStamp, News, Observation, Presence, Role};
@@ -17,17 +17,17 @@
 use std::time::Duration;
 
 /// Time after which the leader counts as silent: half as much again as it ever waits for news.
-const ANSWER_LIMIT: Duration = Duration::from_millis(900);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Pause after a question that failed, or while there is no leader to ask.
-const FAILURE_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Shortest time between two questions to the leader.
-const QUESTION_INTERVAL: Duration = Duration::from_millis(30);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(30);
 
 /// Time between two tellings of gateways' words. A gateway that falls silent is so noticed by the
 /// members that do not hear it themselves a quarter of a second later than by those that do.
-const WORDS_INTERVAL: Duration = Duration::from_millis(250);
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Who a member is, for those it asks.
 #[derive(Clone, Debug)]
@@ -54,14 +54,14 @@
 /// Follows whoever leads, for ever.
 pub(crate) async fn follow_leader(control: Addr<ControlActor>, config: RelayConfig) {
     let mut followed: Option<(Ipv4Addr, RequestClient)> = None;
-    let mut is_heard = false;
+    let mut is_following = false;
     loop {
-        let Ok(look) = control.send(LookAtFleet).await else {
+        let Ok(status) = control.send(GetFleetStatus).await else {
             return;
         };
-        let Some(leader) = look.followed_leader else {
+        let Some(leader) = status.followed_leader else {
             followed = None;
-            actix_rt::time::sleep(FAILURE_PAUSE).await;
+            actix_rt::time::sleep(RETRY_INTERVAL).await;
             continue;
         };
         let (_, link) = match followed.take() {
@@ -69,27 +69,27 @@
             _ => followed.insert((leader, config.link(leader))),
         };
         let presence = MemberPresence {
-            gateways: look.own_gateways,
+            gateways: status.own_gateways,
         };
         let news = ask_leader(&control, &config, link, presence).await;
-        if is_heard != news.is_some() {
-            is_heard = news.is_some();
-            let list_age_ms = look.list_age.map(milliseconds);
-            match is_heard {
+        if is_following != news.is_some() {
+            is_following = news.is_some();
+            let list_age_ms = status.list_age.map(milliseconds);
+            match is_following {
                 true => tracing::info!(%leader, list_age_ms, "following the leader's list"),
                 false => tracing::warn!(%leader, list_age_ms, "the leader's list is not heard"),
             }
         }
         match news {
             Some((news, parts)) => {
-                control.do_send(TakeLeaderNews {
+                control.do_send(ApplyLeaderNews {
                     report: news.backends,
                     gateways: news.gateways,
                     incarnations: parts.incarnations,
                 });
-                actix_rt::time::sleep(QUESTION_INTERVAL).await;
+                actix_rt::time::sleep(REQUEST_INTERVAL).await;
             }
-            None => actix_rt::time::sleep(FAILURE_PAUSE).await,
+            None => actix_rt::time::sleep(RETRY_INTERVAL).await,
         }
     }
 }
@@ -100,7 +100,7 @@
     link: &RequestClient,
     presence: MemberPresence,
 ) -> Option<(News, ResponseParts)> {
-    let ListWord { list, incarnations } = control.send(DescribeList).await.ok()?;
+    let ListState { list, incarnations } = control.send(GetListState).await.ok()?;
     let request = Request::Observe(Box::new(Observation {
         presence: Presence {
             name: config.name.clone(),
@@ -123,7 +123,7 @@
         ..RequestParts::default()
     };
     let body = encode_with_parts(&request, &parts.encode().ok()?).ok()?;
-    let answer = link.request(body, ANSWER_LIMIT).await.ok()?;
+    let answer = link.request(body, REQUEST_TIMEOUT).await.ok()?;
     let (response, parts) = decode_with_parts(&answer).ok()?;
     match response {
         Response::News(news) => Some((*news, ResponseParts::decode(&parts).ok()?)),
@@ -132,11 +132,11 @@
 }
 
 /// Tells the other members of the zone which gateways this one hears, for ever.
-pub(crate) async fn tell_neighbours(control: Addr<ControlActor>, config: RelayConfig) {
+pub(crate) async fn report_to_neighbours(control: Addr<ControlActor>, config: RelayConfig) {
     let mut links: BTreeMap<Ipv4Addr, RequestClient> = BTreeMap::new();
     loop {
-        actix_rt::time::sleep(WORDS_INTERVAL).await;
-        let Ok(taken) = control.send(TakeWords).await else {
+        actix_rt::time::sleep(REPORT_INTERVAL).await;
+        let Ok(taken) = control.send(GetNeighbourReports).await else {
             return;
         };
         links.retain(|member, _| taken.neighbours.contains(member));
@@ -147,7 +147,7 @@
             member_sights: taken.sights,
             ..RequestParts::default()
         };
-        let words = Request::HearGateways(taken.words);
+        let words = Request::RelayGatewayReports(taken.words);
         let encoded = parts.encode();
         let body = match encoded.and_then(|parts| encode_with_parts(&words, &parts)) {
             Ok(body) => body,
--- a/crates/control-server/src/resolution.rs
+++ b/crates/control-server/src/resolution.rs
@@ -1,7 +1,7 @@
 //! Tells callers which gateways to go to.
 
 use crate::actor::ControlActor;
-use crate::looks::{Directory, LookAtGateways};
+use crate::looks::{Directory, GetGatewayDirectory};
 use crate::metrics::MemberMetrics;
 use actix::Addr;
 use http::{HeaderValue, Request, Response, StatusCode, Uri, header};
@@ -40,7 +40,9 @@
             return json(StatusCode::NOT_FOUND, self.dialect.problem("no such call"));
         };
         let zone = query.zone;
-        let asked = self.control.send(LookAtGateways { zone: zone.clone() });
+        let asked = self
+            .control
+            .send(GetGatewayDirectory { zone: zone.clone() });
         let directory = asked.await.unwrap_or_default();
         let Directory {
             gateways, named, ..
--- a/crates/control-server/src/server.rs
+++ b/crates/control-server/src/server.rs
@@ -1,6 +1,6 @@
 //! Start and stop of a control member.
 
-use crate::actor::{ControlActor, Halt, OwnRequest, SocketEvent, now};
+use crate::actor::{ControlActor, Halt, LocalRequest, SocketEvent, now};
 use crate::admin::AdminService;
 use crate::errors::{ControlServerError, ListenSnafu, StoppedSnafu};
 use crate::peers::Peers;
@@ -113,7 +113,7 @@
     /// The member has stopped.
     pub async fn request(&self, request: Request) -> Result<Response, ControlServerError> {
         let (answer, waiting) = oneshot::channel();
-        self.actor.do_send(OwnRequest { request, answer });
+        self.actor.do_send(LocalRequest { request, answer });
         waiting.await.ok().context(StoppedSnafu)
     }
 
@@ -136,10 +136,10 @@
     pub async fn stop(self) {
         // A member that cannot hand over stops all the same; the others elect a leader.
         let _ = self.request(Request::HandOver).await;
-        actix_rt::time::sleep(HAND_OVER_TIME).await;
+        actix_rt::time::sleep(LEADERSHIP_TRANSFER_TIME).await;
         self.halt();
     }
 }
 
 /// Time that a hand-over needs: a round trip and an election.
-const HAND_OVER_TIME: Duration = Duration::from_millis(300);
+const LEADERSHIP_TRANSFER_TIME: Duration = Duration::from_millis(300);
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -14,15 +14,15 @@
     /// Voters that the configuration group should have.
     pub voters: usize,
     /// Silence after which a voter is replaced, when another member can take its place.
-    pub member_silence: Duration,
+    pub member_timeout: Duration,
     /// Time without a leader after which a member asks to be let in.
-    pub join_after: Duration,
+    pub join_timeout: Duration,
     /// Copies of each turn and account; a store is passed over only while more are there.
     pub store_copies: usize,
     /// Silence after which a turn store is passed over.
-    pub store_silence: Duration,
+    pub store_timeout: Duration,
     /// Silence after which what is known of a process is forgotten.
-    pub forget_after: Duration,
+    pub forget_timeout: Duration,
     /// Longest time that an observer waits for news, in a small fleet. It says its word again
     /// with its next question.
     pub observe_hold: Duration,
@@ -31,12 +31,12 @@
     pub observe_hold_per_process: Duration,
     /// Longest time that an observer waits for news, in any fleet. News that nothing has changed
     /// tell the list's age too, and gateways read a list themselves that seems too old.
-    pub longest_observe_hold: Duration,
+    pub max_observe_hold: Duration,
     /// Time for which a member leaves it to others to tell an observer of a new document, when it
     /// is not among those that do so first.
-    pub document_patience: Duration,
+    pub document_fallback_delay: Duration,
     /// Silence of the leader after which this member's word may be out of date.
-    pub freshness: Duration,
+    pub max_staleness: Duration,
 }
 
 impl ManagedConfig {
@@ -51,16 +51,16 @@
     fn default() -> Self {
         Self {
             voters: 3,
-            member_silence: Duration::from_millis(1_500),
-            join_after: Duration::from_millis(1_000),
+            member_timeout: Duration::from_millis(1_500),
+            join_timeout: Duration::from_millis(1_000),
             store_copies: 3,
-            store_silence: Duration::from_millis(2_000),
-            forget_after: Duration::from_secs(10),
+            store_timeout: Duration::from_millis(2_000),
+            forget_timeout: Duration::from_secs(10),
             observe_hold: Duration::from_millis(160),
             observe_hold_per_process: Duration::from_millis(2),
-            longest_observe_hold: Duration::from_millis(500),
-            document_patience: Duration::from_millis(700),
-            freshness: Duration::from_millis(800),
+            max_observe_hold: Duration::from_millis(500),
+            document_fallback_delay: Duration::from_millis(700),
+            max_staleness: Duration::from_millis(800),
         }
     }
 }
@@ -94,7 +94,7 @@
     /// Longest time that a configuration watch is held open.
     pub watch_hold: Duration,
     /// Silence of the configuration leader after which this member serves no configuration.
-    pub configuration_freshness: Duration,
+    pub max_configuration_staleness: Duration,
     /// Time between checks for expired programs, and between repeats of release orders.
     pub housekeeping_interval: Duration,
 }
@@ -116,7 +116,7 @@
             snapshot_entries: 20_000,
             refund: RefundRule::UnusedPart,
             watch_hold: Duration::from_millis(2_500),
-            configuration_freshness: Duration::from_secs(3),
+            max_configuration_staleness: Duration::from_secs(3),
             housekeeping_interval: Duration::from_secs(1),
         }
     }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::config::ManagedConfig;
 use crate::errors::ControlError;
 use crate::machine::{CONFIGURATION_GROUP, LoggedCommand, encode};
-use crate::member_plan::{MemberPlan, MemberStep};
+use crate::member_plan::{MembershipPlanner, MembershipStep};
 use crate::node::ControlNode;
 use crate::observer_table::ObserverTable;
 use crate::protocol::Response;
@@ -21,7 +21,7 @@
 
 /// Soft state about the fleet. A restart loses it, and the processes' next words restore it.
 #[derive(Debug, Default)]
-pub(crate) struct FleetDesk {
+pub(crate) struct FleetState {
     pub(crate) presence: PresenceTable,
     /// What gateways see of the replicas.
     pub(crate) sights: SightTable,
@@ -34,7 +34,7 @@
     candidates: BTreeMap<Peer, Timestamp>,
     /// Version of the document that this member applied last, and when it did.
     document_version: u64,
-    pub(crate) document_since: Timestamp,
+    pub(crate) document_applied_at: Timestamp,
 }
 
 /// What this member knows of a zone.
@@ -44,8 +44,8 @@
     pub(crate) named: NamedGateways,
 }
 
-impl FleetDesk {
-    fn follow_zones(&mut self, now: Timestamp, limit: Duration) {
+impl FleetState {
+    fn update_zone_loads(&mut self, now: Timestamp, limit: Duration) {
         let loads = self.presence.zone_loads(now, limit);
         self.zones.retain(|zone, _| loads.contains_key(zone));
         for (zone, load) in loads {
@@ -55,10 +55,10 @@
         }
     }
 
-    pub(crate) fn note_document(&mut self, version: u64, now: Timestamp) {
+    pub(crate) fn record_document_version(&mut self, version: u64, now: Timestamp) {
         if self.document_version != version {
             self.document_version = version;
-            self.document_since = now;
+            self.document_applied_at = now;
         }
     }
 }
@@ -68,14 +68,14 @@
     #[must_use]
     pub fn wants_to_join(&self) -> Option<Peer> {
         let managed = self.config.managed.as_ref()?;
-        let unheard = self.now.since(self.configuration_heard_at) >= managed.join_after;
+        let unheard = self.now.since(self.configuration_confirmed_at) >= managed.join_timeout;
         (unheard && !self.leads(CONFIGURATION_GROUP)).then_some(self.identity.peer)
     }
 
     pub(crate) fn on_join(&mut self, peer: Peer) -> Response {
         let leads = self.leads(CONFIGURATION_GROUP);
         if leads {
-            self.desk.candidates.insert(peer, self.now);
+            self.fleet.candidates.insert(peer, self.now);
             return Response::Done;
         }
         self.configuration()
@@ -83,41 +83,41 @@
     }
 
     /// What the leader does about members and stores that come and go.
-    pub(crate) fn keep_fleet(&mut self) -> Result<(), ControlError> {
+    pub(crate) fn maintain_fleet(&mut self) -> Result<(), ControlError> {
         let Some(managed) = self.config.managed.clone() else {
             return Ok(());
         };
-        self.desk.presence.expire(self.now, managed.forget_after);
-        self.count_gateways();
-        let limit = self.resolution_time();
-        self.desk.follow_zones(self.now, limit);
+        self.fleet.presence.expire(self.now, managed.forget_timeout);
+        self.update_gateway_count();
+        let limit = self.resolution_validity();
+        self.fleet.update_zone_loads(self.now, limit);
         let has_neighbours = !self.neighbours().is_empty();
-        self.desk.sights.set_has_neighbours(has_neighbours);
-        let sights_limit = self.sights_limit();
-        self.desk.sights.expire(self.now, sights_limit);
+        self.fleet.sights.set_has_neighbours(has_neighbours);
+        let sights_timeout = self.sights_timeout();
+        self.fleet.sights.expire(self.now, sights_timeout);
         let now = self.now;
-        self.desk
+        self.fleet
             .candidates
-            .retain(|_, asked| now.since(*asked) < managed.forget_after);
+            .retain(|_, asked| now.since(*asked) < managed.forget_timeout);
         if !self.leads(CONFIGURATION_GROUP) {
             return Ok(());
         }
-        self.keep_members(&managed);
-        for command in self.next_store_commands(&managed) {
+        self.maintain_members(&managed);
+        for command in self.due_store_commands(&managed) {
             let command = encode("a store command", &LoggedCommand::Store(command))?;
             self.propose(CONFIGURATION_GROUP, command, None);
         }
         Ok(())
     }
 
-    fn keep_members(&mut self, managed: &ManagedConfig) {
+    fn maintain_members(&mut self, managed: &ManagedConfig) {
         let now = self.now;
-        let candidates: Vec<Peer> = self.desk.candidates.keys().copied().collect();
+        let candidates: Vec<Peer> = self.fleet.candidates.keys().copied().collect();
         let leaving = self.leaving_members();
         let Some(group) = self.groups.get_mut(&CONFIGURATION_GROUP) else {
             return;
         };
-        let plan = MemberPlan {
+        let plan = MembershipPlanner {
             raft: &group.raft,
             candidates: &candidates,
             leaving: &leaving,
@@ -125,18 +125,18 @@
         };
         match plan.next_step() {
             None => {}
-            Some(MemberStep::HandOver(successor)) => {
+            Some(MembershipStep::HandOver(successor)) => {
                 // A refusal means that leadership is already being handed over.
                 let _ = group.raft.transfer_leadership(successor, now);
             }
-            Some(MemberStep::Change(change)) => {
+            Some(MembershipStep::Change(change)) => {
                 // Refused while an earlier change is under way; the next round tries again.
                 let admitted = match &change {
                     MembershipChange::AddLearners(peers) => peers.clone(),
                     _ => BTreeSet::new(),
                 };
                 if group.raft.propose_membership(change, now).is_ok() {
-                    self.desk
+                    self.fleet
                         .candidates
                         .retain(|peer, _| !admitted.contains(peer));
                 }
@@ -146,7 +146,10 @@
 
     /// Members on machines whose turn store was told to go: the whole machine goes with it.
     pub(crate) fn leaving_members(&self) -> BTreeSet<MemberId> {
-        let Some(state) = self.configuration().and_then(|group| group.machine.state()) else {
+        let Some(state) = self
+            .configuration()
+            .and_then(|group| group.state_machine.state())
+        else {
             return BTreeSet::new();
         };
         let registry = &state.stores;
@@ -158,7 +161,7 @@
             .map(|(_, member)| member.address);
         // A store that has gone from the view says its word until its machine is taken away.
         let gone = self
-            .desk
+            .fleet
             .presence
             .stores(self.now)
             .filter(|heard| {
@@ -186,23 +189,26 @@
     /// Stores that have come are all let in at once: one after the other, a large fleet would be
     /// without most of them for longer than its start may take. Everything else is done one step
     /// at a time.
-    fn next_store_commands(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
-        let joins = self.joining_stores(managed);
+    fn due_store_commands(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
+        let joins = self.join_commands(managed);
         if !joins.is_empty() {
             return joins;
         }
         self.next_store_command(managed).into_iter().collect()
     }
 
-    fn joining_stores(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
-        let Some(state) = self.configuration().and_then(|group| group.machine.state()) else {
+    fn join_commands(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
+        let Some(state) = self
+            .configuration()
+            .and_then(|group| group.state_machine.state())
+        else {
             return Vec::new();
         };
         let view = state.stores.view();
-        let joins = self.desk.presence.stores(self.now).filter_map(|heard| {
+        let joins = self.fleet.presence.stores(self.now).filter_map(|heard| {
             let HeardStore { zone, store, .. } = heard;
             let name = StoreName(heard.name.to_owned());
-            if heard.silence >= managed.store_silence
+            if heard.silence >= managed.store_timeout
                 || state.stores.retirement(&name) == Some(RetireState::Completed)
             {
                 return None;
@@ -225,17 +231,17 @@
     }
 
     fn next_store_command(&self, managed: &ManagedConfig) -> Option<StoreCommand> {
-        let view = self.configuration()?.machine.state()?.stores.view();
-        self.filled_store(view)
-            .or_else(|| self.emptied_store(view))
-            .or_else(|| self.silent_store(view, managed))
-            .or_else(|| self.forgotten_store(view))
+        let view = self.configuration()?.state_machine.state()?.stores.view();
+        self.next_activation(view)
+            .or_else(|| self.next_retired_removal(view))
+            .or_else(|| self.next_silent_store(view, managed))
+            .or_else(|| self.next_lost_removal(view))
     }
 
     /// The last word of a store. One that this member never heard counts as silent since the
     /// member leads.
-    fn store_word(&self, name: &StoreName) -> Option<HeardStore<'_>> {
-        let mut stores = self.desk.presence.stores(self.now);
+    fn last_store_report(&self, name: &StoreName) -> Option<HeardStore<'_>> {
+        let mut stores = self.fleet.presence.stores(self.now);
         stores.find(|heard| heard.name == name.0)
     }
 
@@ -246,7 +252,7 @@
             .iter()
             .filter(|(name, member)| *name != except && holds(member.state))
             .all(|(name, _)| {
-                self.store_word(name)
+                self.last_store_report(name)
                     .is_some_and(|heard| heard.store.handed_over_epoch >= epoch)
             })
     }
@@ -254,19 +260,19 @@
     /// A store that was passed over, that nobody has heard since, and whose share the others have
     /// taken over: as long as it stays in the view, nobody can be sure that a turn is nowhere.
     /// Should it come back, it joins anew.
-    fn forgotten_store(&self, view: &StoreView) -> Option<StoreCommand> {
+    fn next_lost_removal(&self, view: &StoreView) -> Option<StoreCommand> {
         if view.members.values().any(is_joining) {
             return None;
         }
         view.members
             .iter()
             .filter(|(_, member)| member.state == StoreState::Lost)
-            .filter(|(name, _)| self.store_word(name).is_none())
+            .filter(|(name, _)| self.last_store_report(name).is_none())
             .find(|(name, member)| self.all_handed_over(view, member.since_epoch, name))
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
 
-    fn filled_store(&self, view: &StoreView) -> Option<StoreCommand> {
+    fn next_activation(&self, view: &StoreView) -> Option<StoreCommand> {
         view.members
             .iter()
             .filter(|(_, member)| is_joining(member))
@@ -279,7 +285,7 @@
 
     /// A store that is to go, whose share the others have taken over and whose machine holds no
     /// member any more: once it is said to be empty, the machine and its disk are taken away.
-    fn emptied_store(&self, view: &StoreView) -> Option<StoreCommand> {
+    fn next_retired_removal(&self, view: &StoreView) -> Option<StoreCommand> {
         if view.members.values().any(is_joining) {
             return None;
         }
@@ -296,7 +302,7 @@
     /// more of them at once than may be lost. Where more are silent, the leader is cut off from
     /// them rather than they are gone: gateways may still reach them, and others could take over
     /// nothing from them.
-    fn silent_store(&self, view: &StoreView, managed: &ManagedConfig) -> Option<StoreCommand> {
+    fn next_silent_store(&self, view: &StoreView, managed: &ManagedConfig) -> Option<StoreCommand> {
         let members = view.members.values();
         let lost = members.filter(|member| member.state == StoreState::Lost);
         let may_lose = lost.count() < managed.tolerated_losses();
@@ -305,10 +311,10 @@
         }
         let leading_long = self
             .leads_since
-            .is_some_and(|since| self.now.since(since) >= managed.store_silence);
+            .is_some_and(|since| self.now.since(since) >= managed.store_timeout);
         view.writable()
-            .find(|(name, _)| match self.store_word(name) {
-                Some(heard) => heard.silence >= managed.store_silence,
+            .find(|(name, _)| match self.last_store_report(name) {
+                Some(heard) => heard.silence >= managed.store_timeout,
                 None => leading_long,
             })
             .map(|(name, _)| StoreCommand::Lose { name: name.clone() })
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -1,7 +1,7 @@
 //! One replication group at one member.
 
 use crate::errors::ControlError;
-use crate::machine::{Applied, LoggedCommand, Machine, decode};
+use crate::machine::{Applied, LoggedCommand, StateMachine, decode};
 use crate::protocol::{GroupStatus, Request, RequestToken, Response};
 use luglink_fleet::RetireAnswer;
 use luglink_program::Release;
@@ -21,7 +21,7 @@
 pub(crate) struct Group {
     pub(crate) id: GroupId,
     pub(crate) raft: RaftNode,
-    pub(crate) machine: Machine,
+    pub(crate) state_machine: StateMachine,
     commands: BTreeMap<LogIndex, PendingCommand>,
     reads: BTreeMap<ReadId, (RequestToken, Request)>,
     /// Term in which this member last noticed that it leads, for numbering orders.
@@ -30,11 +30,11 @@
 }
 
 impl Group {
-    pub(crate) fn new(id: GroupId, raft: RaftNode, machine: Machine) -> Self {
+    pub(crate) fn new(id: GroupId, raft: RaftNode, state_machine: StateMachine) -> Self {
         Self {
             id,
             raft,
-            machine,
+            state_machine,
             commands: BTreeMap::new(),
             reads: BTreeMap::new(),
             order_term: 0,
@@ -100,7 +100,7 @@
                 continue;
             };
             let command: LoggedCommand = decode("a logged command", bytes)?;
-            let applied = self.machine.apply(entry.at, &command);
+            let applied = self.state_machine.apply(entry.at, &command);
             if let Some(pending) = waiting {
                 let response = if pending.term == entry.term {
                     response_of(applied)
@@ -138,20 +138,20 @@
     }
 
     fn answer_read(&self, request: &Request) -> Response {
-        match (request, &self.machine) {
-            (Request::View(program), Machine::Programs(store)) => {
+        match (request, &self.state_machine) {
+            (Request::View(program), StateMachine::Programs(store)) => {
                 let view = store
                     .program(*program)
                     .map(|program| Box::new(program.view()));
                 Response::View(view)
             }
-            (Request::ReadConfiguration { known }, Machine::Configuration(state)) => {
+            (Request::ReadConfiguration { known }, StateMachine::Configuration(state)) => {
                 Response::Configuration(state.resources.catch_up(*known))
             }
-            (Request::ReadDocument, Machine::Configuration(state)) => {
+            (Request::ReadDocument, StateMachine::Configuration(state)) => {
                 Response::Document(state.document.held().cloned())
             }
-            (Request::ReadRetirement(name), Machine::Configuration(state)) => {
+            (Request::ReadRetirement(name), StateMachine::Configuration(state)) => {
                 let state = state.stores.retirement(name);
                 Response::Retirement(state.map_or(RetireAnswer::Unknown, RetireAnswer::State))
             }
@@ -176,13 +176,13 @@
     /// Replaces the state by a received snapshot.
     pub(crate) fn install(&mut self, snapshot: &Snapshot) -> Result<(), ControlError> {
         if !snapshot.state.is_empty() {
-            self.machine = decode("a snapshot's state", &snapshot.state)?;
+            self.state_machine = decode("a snapshot's state", &snapshot.state)?;
         }
         Ok(())
     }
 
     pub(crate) fn releases(&self) -> Vec<Release> {
-        self.machine
+        self.state_machine
             .programs()
             .map(|store| store.releases().collect())
             .unwrap_or_default()
@@ -206,7 +206,7 @@
         Applied::Change(answer) => Response::Change(answer),
         Applied::Document(version) => Response::DocumentHeld { version },
         Applied::Store(answer) => Response::Retirement(answer),
-        Applied::Misplaced => Response::Unavailable {
+        Applied::WrongGroup => Response::Unavailable {
             reason: "the command does not belong to this group".to_owned(),
         },
     }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -36,7 +36,7 @@
     /// Of the registry of turn stores.
     Store(RetireAnswer),
     /// The command is not for this kind of group; only a defect can log such a one.
-    Misplaced,
+    WrongGroup,
 }
 
 /// The state of the configuration group.
@@ -52,14 +52,14 @@
 
 /// Configuration or programs.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) enum Machine {
+pub(crate) enum StateMachine {
     /// The configuration.
     Configuration(Box<ConfigurationState>),
     /// A share of the programs.
     Programs(ProgramStore),
 }
 
-impl Machine {
+impl StateMachine {
     pub(crate) fn new(group: GroupId, refund: RefundRule) -> Self {
         if group == CONFIGURATION_GROUP {
             Self::Configuration(Box::default())
@@ -83,7 +83,7 @@
             (Self::Programs(store), LoggedCommand::Program(command)) => {
                 Applied::Program(store.apply(at, command))
             }
-            _ => Applied::Misplaced,
+            _ => Applied::WrongGroup,
         }
     }
 
--- a/crates/control/src/member_plan.rs
+++ b/crates/control/src/member_plan.rs
@@ -11,7 +11,7 @@
 
 /// What the leader does next about the members.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum MemberStep {
+pub(crate) enum MembershipStep {
     /// Change who belongs to the group.
     Change(MembershipChange),
     /// Let another member lead, because the leader's own machine is to be taken away.
@@ -19,7 +19,7 @@
 }
 
 /// What the leader knows about the members.
-pub(crate) struct MemberPlan<'leader> {
+pub(crate) struct MembershipPlanner<'leader> {
     pub(crate) raft: &'leader RaftNode,
     /// Peers that ask to be let in.
     pub(crate) candidates: &'leader [Peer],
@@ -28,15 +28,15 @@
     pub(crate) managed: &'leader ManagedConfig,
 }
 
-impl MemberPlan<'_> {
+impl MembershipPlanner<'_> {
     /// The next step; `None` when the group is as it should be.
-    pub(crate) fn next_step(&self) -> Option<MemberStep> {
+    pub(crate) fn next_step(&self) -> Option<MembershipStep> {
         let change = self.admission().or_else(|| self.leaving_learner());
         if let Some(change) = change {
-            return Some(MemberStep::Change(change));
+            return Some(MembershipStep::Change(change));
         }
-        self.step_of_voters()
-            .or_else(|| self.gone_learner().map(MemberStep::Change))
+        self.voter_step()
+            .or_else(|| self.silent_learner().map(MembershipStep::Change))
     }
 
     fn is_leaving(&self, peer: Peer) -> bool {
@@ -48,7 +48,7 @@
             && self
                 .raft
                 .silence_of(peer)
-                .is_none_or(|silence| silence >= self.managed.member_silence)
+                .is_none_or(|silence| silence >= self.managed.member_timeout)
     }
 
     /// Lets all candidates in. An earlier incarnation of one never comes back, so that goes first.
@@ -80,26 +80,26 @@
             .map(MembershipChange::Remove)
     }
 
-    fn step_of_voters(&self) -> Option<MemberStep> {
+    fn voter_step(&self) -> Option<MembershipStep> {
         let membership = self.raft.membership();
         let mut voters = membership.voters.iter().copied();
         let outgoing = voters.find(|peer| self.is_silent(*peer) || self.is_leaving(*peer));
         let too_few = membership.voters.len() < self.managed.voters;
         let too_many = membership.voters.len() > self.managed.voters;
-        match (outgoing, self.spare()) {
-            (Some(voter), _) if too_many => self.dismissal(voter),
-            (_, Some(spare)) if too_few => {
-                Some(MemberStep::Change(MembershipChange::Promote(spare)))
-            }
-            (Some(_), Some(spare)) if !too_many => {
-                Some(MemberStep::Change(MembershipChange::Promote(spare)))
-            }
+        match (outgoing, self.promotable_learner()) {
+            (Some(voter), _) if too_many => self.voter_removal(voter),
+            (_, Some(promotable_learner)) if too_few => Some(MembershipStep::Change(
+                MembershipChange::Promote(promotable_learner),
+            )),
+            (Some(_), Some(promotable_learner)) if !too_many => Some(MembershipStep::Change(
+                MembershipChange::Promote(promotable_learner),
+            )),
             _ => None,
         }
     }
 
     /// A learner that may become a voter.
-    fn spare(&self) -> Option<Peer> {
+    fn promotable_learner(&self) -> Option<Peer> {
         let mut learners = self.raft.membership().learners.iter().copied();
         learners.find(|peer| {
             !self.is_silent(*peer) && !self.is_leaving(*peer) && self.raft.has_caught_up(*peer)
@@ -108,22 +108,22 @@
 
     /// Removes a voter that has been replaced. The leader does not remove itself: another voter
     /// leads first.
-    fn dismissal(&self, voter: Peer) -> Option<MemberStep> {
+    fn voter_removal(&self, voter: Peer) -> Option<MembershipStep> {
         if voter != self.raft.me() {
-            return Some(MemberStep::Change(MembershipChange::Remove(voter)));
+            return Some(MembershipStep::Change(MembershipChange::Remove(voter)));
         }
         self.raft
             .successor(|peer| !self.is_leaving(peer) && !self.is_silent(peer))
-            .map(MemberStep::HandOver)
+            .map(MembershipStep::HandOver)
     }
 
-    fn gone_learner(&self) -> Option<MembershipChange> {
+    fn silent_learner(&self) -> Option<MembershipChange> {
         let mut learners = self.raft.membership().learners.iter().copied();
         learners
             .find(|peer| {
                 self.raft
                     .silence_of(*peer)
-                    .is_some_and(|silence| silence >= self.managed.forget_after)
+                    .is_some_and(|silence| silence >= self.managed.forget_timeout)
             })
             .map(MembershipChange::Remove)
     }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -2,10 +2,10 @@
 
 use crate::config::ControlConfig;
 use crate::errors::ControlError;
-use crate::fleet::FleetDesk;
+use crate::fleet::FleetState;
 use crate::group::Group;
 use crate::identity::Identity;
-use crate::machine::{CONFIGURATION_GROUP, LoggedCommand, Machine, decode, encode};
+use crate::machine::{CONFIGURATION_GROUP, LoggedCommand, StateMachine, decode, encode};
 use crate::parts::{RequestParts, ResponseParts};
 use crate::placement::initial_membership;
 use crate::protocol::{Fence, MemberStatus, ReleaseOrder, Request, RequestToken, Response};
@@ -114,7 +114,7 @@
     pub(crate) config: ControlConfig,
     pub(crate) identity: Identity,
     pub(crate) groups: BTreeMap<GroupId, Group>,
-    pub(crate) desk: FleetDesk,
+    pub(crate) fleet: FleetState,
     /// When this member began to lead the configuration group, while it does.
     pub(crate) leads_since: Option<Timestamp>,
     pub(crate) store: MemberStore<D>,
@@ -122,7 +122,7 @@
     pub(crate) outputs: Vec<Output>,
     pub(crate) now: Timestamp,
     housekeeping_due: Timestamp,
-    pub(crate) configuration_heard_at: Timestamp,
+    pub(crate) configuration_confirmed_at: Timestamp,
 }
 
 impl<D: Disk> ControlNode<D> {
@@ -152,14 +152,14 @@
             config,
             identity,
             groups,
-            desk: FleetDesk::default(),
+            fleet: FleetState::default(),
             leads_since: None,
             store,
             watches: Vec::new(),
             outputs: Vec::new(),
             now,
             housekeeping_due: now,
-            configuration_heard_at: Timestamp::ZERO,
+            configuration_confirmed_at: Timestamp::ZERO,
         })
     }
 
@@ -198,25 +198,25 @@
             Input::Backends { list, age } => {
                 let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
                 let seen = Timestamp::from_micros(self.now.as_micros().saturating_sub(age));
-                self.desk.list.replace(list, seen);
+                self.fleet.list.replace(list, seen);
                 Ok(())
             }
             Input::LeaderNews { report, gateways } => {
                 if let Some(report) = report {
-                    self.desk.list.follow(report, self.now);
+                    self.fleet.list.follow(report, self.now);
                 }
                 if gateways > 0 {
-                    self.desk.gateways = gateways;
+                    self.fleet.gateways = gateways;
                 }
                 Ok(())
             }
             Input::LeaderIncarnations(incarnations) => {
-                self.desk.list.take_incarnations(&incarnations);
+                self.fleet.list.take_incarnations(&incarnations);
                 Ok(())
             }
             Input::ClientGone { client } => {
                 self.watches.retain(|watch| watch.token.client != client);
-                self.desk.observers.forget_client(client);
+                self.fleet.observers.forget_client(client);
                 Ok(())
             }
         }
@@ -236,8 +236,8 @@
         self.expire_watches();
         if self.now >= self.housekeeping_due {
             self.housekeeping_due = self.now.plus(self.config.housekeeping_interval);
-            self.keep_house()?;
-            self.keep_fleet()?;
+            self.run_housekeeping()?;
+            self.maintain_fleet()?;
         }
         Ok(())
     }
@@ -249,7 +249,7 @@
         let watches = self.watches.iter().map(|watch| watch.until);
         groups
             .chain(watches)
-            .chain(self.desk.observers.next_deadline())
+            .chain(self.fleet.observers.next_deadline())
             .chain([self.housekeeping_due])
             .min()
             .unwrap_or(self.now)
@@ -262,7 +262,7 @@
     pub fn flush(&mut self) -> Result<Vec<Output>, ControlError> {
         // Persisting may commit entries of a group with a single voter, which gives more work.
         while self.flush_once()? {}
-        self.note_leadership();
+        self.update_leads_since();
         self.answer_watches();
         self.answer_observers();
         Ok(std::mem::take(&mut self.outputs))
@@ -274,7 +274,7 @@
         let stores = || {
             self.groups
                 .values()
-                .filter_map(|group| group.machine.programs())
+                .filter_map(|group| group.state_machine.programs())
         };
         let led = self.groups.values().filter(|group| group.raft.is_leader());
         MemberStatus {
@@ -291,7 +291,7 @@
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.configuration()
-            .and_then(|group| group.machine.configuration())
+            .and_then(|group| group.state_machine.configuration())
             .map_or_else(
                 Revision::default,
                 luglink_resources::ResourceStore::revision,
@@ -301,7 +301,7 @@
     /// The programs of one group, for checks.
     #[must_use]
     pub fn programs(&self, group: GroupId) -> Option<&luglink_program::ProgramStore> {
-        self.groups.get(&group)?.machine.programs()
+        self.groups.get(&group)?.state_machine.programs()
     }
 
     /// The configuration after `known` as this member has applied it, for checks.
@@ -348,7 +348,7 @@
         self.store.into_disk()
     }
 
-    fn note_leadership(&mut self) {
+    fn update_leads_since(&mut self) {
         if !self.leads(CONFIGURATION_GROUP) {
             self.leads_since = None;
         } else if self.leads_since.is_none() {
@@ -374,7 +374,7 @@
         let is_current =
             leader_commit.is_some_and(|commit| member_group.raft.commit_index() >= commit);
         if group == CONFIGURATION_GROUP && is_current {
-            self.configuration_heard_at = now;
+            self.configuration_confirmed_at = now;
         }
     }
 
@@ -417,8 +417,8 @@
                 self.on_observe(token, *observation, parts);
                 None
             }
-            Request::HearGateways(words) => {
-                self.on_words(words, parts.member_sights);
+            Request::RelayGatewayReports(words) => {
+                self.on_gateway_reports(words, parts.member_sights);
                 Some(Response::Done)
             }
             Request::Join(peer) => Some(self.on_join(peer)),
@@ -511,14 +511,14 @@
         }
     }
 
-    fn keep_house(&mut self) -> Result<(), ControlError> {
+    fn run_housekeeping(&mut self) -> Result<(), ControlError> {
         let now = self.now;
         let overdue: Vec<GroupId> = self
             .groups
             .values()
             .filter(|group| group.raft.is_leader())
             .filter(|group| {
-                let programs = group.machine.programs();
+                let programs = group.state_machine.programs();
                 programs.is_some_and(|store| store.has_overdue(now))
             })
             .map(|group| group.id)
@@ -563,7 +563,7 @@
     fn engine_addresses(&self) -> BTreeMap<EngineId, String> {
         let resources = self
             .configuration()
-            .and_then(|group| group.machine.configuration())
+            .and_then(|group| group.state_machine.configuration())
             .map(|store| store.resources().values());
         let pools = resources
             .into_iter()
@@ -619,12 +619,12 @@
     if untouched && identity.bootstrapped {
         state.snapshot.membership = initial_membership(config, &identity.founders, id);
     }
-    let machine = if state.snapshot.state.is_empty() {
-        Machine::new(id, config.refund)
+    let state_machine = if state.snapshot.state.is_empty() {
+        StateMachine::new(id, config.refund)
     } else {
         decode("a snapshot's state", &state.snapshot.state)?
     };
     let group_seed = seed ^ u64::from(id.0 + 1).wrapping_mul(SEED_MIX);
     let raft = RaftNode::new(identity.peer, config.raft.clone(), state, group_seed, now);
-    Ok(Group::new(id, raft, machine))
+    Ok(Group::new(id, raft, state_machine))
 }
--- a/crates/control/src/observer_table.rs
+++ b/crates/control/src/observer_table.rs
@@ -11,7 +11,7 @@
 /// Whole lists of backends, or large parts of them, that may be on their way at once. Each may be
 /// as large as the deployment, and after a start every gateway wants one: a member's memory holds
 /// no more than these however slow the links are.
-pub(crate) const LISTS_ON_THEIR_WAY: usize = 4;
+pub(crate) const MAX_LISTS_IN_FLIGHT: usize = 4;
 
 /// An observer that waits for news.
 #[derive(Clone, Debug)]
@@ -21,11 +21,11 @@
     /// What it knows of incarnations, when it asks for them.
     pub(crate) known_incarnations: Option<KnownIncarnations>,
     /// Its zone, when it is to be told what the gateways of that zone see.
-    pub(crate) sights_of: Option<String>,
+    pub(crate) sights_zone: Option<String>,
     /// Whether it counts on this member to be told of a new document at once.
     pub(crate) tells_first: bool,
     /// Its zone, when this member counts it.
-    pub(crate) counted_in: Option<String>,
+    pub(crate) counted_zone: Option<String>,
     pub(crate) until: Timestamp,
 }
 
@@ -44,7 +44,7 @@
     pub(crate) members: MembersStamp,
     pub(crate) document_version: u64,
     /// Whether those who leave it to others to tell the document have waited long enough.
-    pub(crate) tells_document_to_all: bool,
+    pub(crate) sends_document_to_all: bool,
     pub(crate) store_epoch: u64,
     pub(crate) list_seen: Option<Timestamp>,
 }
@@ -57,9 +57,9 @@
     /// Those that have asked since the last look.
     arrived: BTreeSet<ObserverKey>,
     /// Those that lack a whole list, or much of it, and wait until one may be sent.
-    wants_list: BTreeSet<ObserverKey>,
+    waiting_for_list: BTreeSet<ObserverKey>,
     /// Those that were sent one and have not asked again.
-    lists_on_their_way: BTreeSet<ObserverKey>,
+    lists_in_flight: BTreeSet<ObserverKey>,
     stamp: NewsStamp,
 }
 
@@ -68,7 +68,7 @@
     /// sent before.
     pub(crate) fn insert(&mut self, key: ObserverKey, observer: Observer) {
         self.remove(&key);
-        self.lists_on_their_way.remove(&key);
+        self.lists_in_flight.remove(&key);
         self.deadlines.insert((observer.until, key.clone()));
         self.arrived.insert(key.clone());
         self.waiting.insert(key, observer);
@@ -82,7 +82,7 @@
         let observer = self.waiting.remove(key)?;
         self.deadlines.remove(&(observer.until, key.clone()));
         self.arrived.remove(key);
-        self.wants_list.remove(key);
+        self.waiting_for_list.remove(key);
         Some(observer)
     }
 
@@ -98,7 +98,7 @@
         for key in keys {
             self.remove(&key);
         }
-        self.lists_on_their_way.retain(|key| !is_its(key));
+        self.lists_in_flight.retain(|key| !is_its(key));
     }
 
     /// When the first observer has waited long enough.
@@ -124,25 +124,25 @@
     }
 
     /// Puts an observer off until a list may be sent to it.
-    pub(crate) fn wait_for_list(&mut self, key: ObserverKey) {
+    pub(crate) fn defer_until_list_slot(&mut self, key: ObserverKey) {
         if let Some(observer) = self.waiting.get(&key) {
             self.deadlines.remove(&(observer.until, key.clone()));
-            self.wants_list.insert(key);
+            self.waiting_for_list.insert(key);
         }
     }
 
     /// Observers to which lists may be sent now.
-    pub(crate) fn next_for_list(&self) -> Vec<ObserverKey> {
-        let free = LISTS_ON_THEIR_WAY.saturating_sub(self.lists_on_their_way.len());
-        self.wants_list.iter().take(free).cloned().collect()
+    pub(crate) fn next_list_recipients(&self) -> Vec<ObserverKey> {
+        let free = MAX_LISTS_IN_FLIGHT.saturating_sub(self.lists_in_flight.len());
+        self.waiting_for_list.iter().take(free).cloned().collect()
     }
 
     pub(crate) fn may_send_list(&self) -> bool {
-        self.lists_on_their_way.len() < LISTS_ON_THEIR_WAY
+        self.lists_in_flight.len() < MAX_LISTS_IN_FLIGHT
     }
 
     /// Notes that a list is on its way to an observer.
-    pub(crate) fn list_is_sent(&mut self, key: ObserverKey) {
-        self.lists_on_their_way.insert(key);
+    pub(crate) fn record_list_sent(&mut self, key: ObserverKey) {
+        self.lists_in_flight.insert(key);
     }
 }
--- a/crates/control/src/observers.rs
+++ b/crates/control/src/observers.rs
@@ -19,10 +19,10 @@
 /// Silence after which a process counts as gone for those who ask where to go, in times that an
 /// observer waits. One late word must not take a process out; a frozen one should be out soon,
 /// because callers go on to wait for it for as long as they are told of it.
-const SILENT_HOLDS: f64 = 2.5;
+const GATEWAY_TIMEOUT_HOLDS: f64 = 2.5;
 
 /// Shortest time for which what a gateway saw counts: a late word is better than none.
-const SHORTEST_SIGHTS_LIMIT: Duration = Duration::from_secs(1);
+const MIN_SIGHTS_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl<D: Disk> ControlNode<D> {
     /// The gateways that take callers, with their zones.
@@ -38,7 +38,7 @@
     /// How many gateways of a zone callers are told of.
     #[must_use]
     pub fn named_gateways(&self, zone: Option<&str>) -> NamedGateways {
-        let state = zone.and_then(|zone| self.desk.zones.get(zone));
+        let state = zone.and_then(|zone| self.fleet.zones.get(zone));
         state.map_or_else(NamedGateways::default, |zone| zone.named)
     }
 
@@ -49,14 +49,16 @@
     }
 
     fn heard_gateways(&self) -> impl Iterator<Item = (&str, &GatewayPresence)> {
-        let presence = &self.desk.presence;
-        presence.ready_gateways(self.now, self.resolution_time())
+        let presence = &self.fleet.presence;
+        presence.ready_gateways(self.now, self.resolution_validity())
     }
 
     /// Version of the configuration document that this member has applied; 0 for none.
     #[must_use]
     pub fn document_version(&self) -> u64 {
-        let state = self.configuration().and_then(|group| group.machine.state());
+        let state = self
+            .configuration()
+            .and_then(|group| group.state_machine.state());
         state.map_or(0, |state| state.document.version())
     }
 
@@ -72,35 +74,35 @@
         };
         let is_counted_here = observation.is_counted_here;
         let zone = &observation.presence.zone;
-        let counted_in = is_counted_here.then(|| zone.clone());
-        let sights_of = counted_in.clone().filter(|_| parts.sights.is_some());
+        let counted_zone = is_counted_here.then(|| zone.clone());
+        let sights_zone = counted_zone.clone().filter(|_| parts.sights.is_some());
         if let Some(sights) = parts.sights {
             let of = GatewaySights {
                 name: &observation.presence.name,
                 zone,
                 is_counted_here,
             };
-            self.desk.sights.note(of, sights, self.now);
+            self.fleet.sights.note(of, sights, self.now);
         }
-        let presence = &mut self.desk.presence;
+        let presence = &mut self.fleet.presence;
         presence.note(observation.presence, is_counted_here, self.now);
         let observer = Observer {
             token,
             known: observation.known,
             known_incarnations: parts.known_incarnations,
-            sights_of,
+            sights_zone,
             tells_first: observation.tells_first,
-            counted_in,
+            counted_zone,
             until: self.now.plus(self.observe_hold()),
         };
-        self.desk.observers.insert(key, observer);
+        self.fleet.observers.insert(key, observer);
     }
 
     /// Words of gateways for the other members of this one's zone, which hear others.
     #[must_use]
-    pub fn words_for_neighbours(&self) -> Vec<HeardGateway> {
-        let presence = &self.desk.presence;
-        presence.first_hand_gateways(self.now, self.resolution_time())
+    pub fn gateway_reports_for_neighbours(&self) -> Vec<HeardGateway> {
+        let presence = &self.fleet.presence;
+        presence.first_hand_gateways(self.now, self.resolution_validity())
     }
 
     /// Members to pass the words of gateways to.
@@ -110,92 +112,97 @@
         self.member_list(MembersStamp::default()).neighbours_of(own)
     }
 
-    pub(crate) fn on_words(&mut self, words: Vec<HeardGateway>, sights: Option<MemberSights>) {
+    pub(crate) fn on_gateway_reports(
+        &mut self,
+        words: Vec<HeardGateway>,
+        sights: Option<MemberSights>,
+    ) {
         if let Some(sights) = sights {
-            self.desk.sights.note_neighbour(sights, self.now);
+            self.fleet.sights.note_neighbour(sights, self.now);
         }
         for word in words {
-            self.desk.presence.note_relayed(word, self.now);
+            self.fleet.presence.note_relayed(word, self.now);
         }
     }
 
     /// Time for which callers may rely on an answer where to go: about as long as the silence of
     /// a gateway goes unnoticed anyway, so that questions do not grow with the fleet either.
     #[must_use]
-    pub fn resolution_time(&self) -> Duration {
-        self.observe_hold().mul_f64(SILENT_HOLDS)
+    pub fn resolution_validity(&self) -> Duration {
+        self.observe_hold().mul_f64(GATEWAY_TIMEOUT_HOLDS)
     }
 
     /// Longest time that an observer waits for news.
     fn observe_hold(&self) -> Duration {
         let managed = self.config.managed_or_default();
-        let processes = u32::try_from(self.desk.presence.len()).unwrap_or(u32::MAX);
+        let processes = u32::try_from(self.fleet.presence.len()).unwrap_or(u32::MAX);
         let shared = managed.observe_hold_per_process.saturating_mul(processes);
         let hold = managed.observe_hold.max(shared);
-        hold.min(managed.longest_observe_hold)
+        hold.min(managed.max_observe_hold)
     }
 
     /// Answers observers that have news or have waited long enough.
     pub(crate) fn answer_observers(&mut self) {
         let now = self.now;
-        self.desk.note_document(self.document_version(), now);
+        self.fleet
+            .record_document_version(self.document_version(), now);
         // The same for all observers, and dear: the log is searched for it.
         let stamp = self.news_stamp();
-        let mut ready = self.desk.observers.take_candidates(stamp);
+        let mut ready = self.fleet.observers.take_candidates(stamp);
         ready.retain(|key| self.has_news(key, stamp.members));
-        ready.extend(self.desk.observers.due(now));
+        ready.extend(self.fleet.observers.due(now));
         for key in ready {
             self.answer(key, stamp.members);
         }
-        for key in self.desk.observers.next_for_list() {
+        for key in self.fleet.observers.next_list_recipients() {
             self.answer(key, stamp.members);
         }
     }
 
     fn answer(&mut self, key: ObserverKey, members: MembersStamp) {
-        let Some(observer) = self.desk.observers.get(&key) else {
+        let Some(observer) = self.fleet.observers.get(&key) else {
             return;
         };
         let lacks_list = self.lacks_much(observer.known.backends.as_ref());
-        if lacks_list && !self.desk.observers.may_send_list() {
-            self.desk.observers.wait_for_list(key);
+        if lacks_list && !self.fleet.observers.may_send_list() {
+            self.fleet.observers.defer_until_list_slot(key);
             return;
         }
-        let Some(observer) = self.desk.observers.remove(&key) else {
+        let Some(observer) = self.fleet.observers.remove(&key) else {
             return;
         };
         if lacks_list {
-            self.desk.observers.list_is_sent(key);
+            self.fleet.observers.record_list_sent(key);
         }
         let news = self.news_after(&observer, members);
-        let parts = self.parts_beside(&observer, &news);
+        let parts = self.response_parts(&observer, &news);
         self.reply_with_parts(observer.token, Response::News(Box::new(news)), parts);
     }
 
     /// What an observer of a newer build is told beside the news.
-    fn parts_beside(&mut self, observer: &Observer, news: &News) -> ResponseParts {
-        let list = &self.desk.list;
+    fn response_parts(&mut self, observer: &Observer, news: &News) -> ResponseParts {
+        let list = &self.fleet.list;
         let is_told_list = news.backends.is_some();
         let known = observer.known_incarnations;
         let incarnations = known.and_then(|known| list.incarnations_after(known, is_told_list));
         ResponseParts {
             incarnations: incarnations.unwrap_or_default(),
             zone_sights: observer
-                .sights_of
+                .sights_zone
                 .as_ref()
                 .map(|zone| self.zone_sights(zone)),
         }
     }
 
     /// Age from which what a gateway saw is left out.
-    pub(crate) fn sights_limit(&self) -> Duration {
-        self.resolution_time().max(SHORTEST_SIGHTS_LIMIT)
+    pub(crate) fn sights_timeout(&self) -> Duration {
+        self.resolution_validity().max(MIN_SIGHTS_TIMEOUT)
     }
 
     /// What the gateways of a zone see of the replicas, as far as this member hears.
     fn zone_sights(&mut self, zone: &str) -> ZoneSights {
-        let limit = self.sights_limit();
-        self.desk.sights.sum(zone, self.now, limit)
+        let limit = self.sights_timeout();
+        self.fleet.sights.sum(zone, self.now, limit)
     }
 
     /// What the gateways see that this member counts, for the other members of its zone; `None`
@@ -203,24 +210,26 @@
     #[must_use]
     pub fn sights_for_neighbours(&self) -> Option<MemberSights> {
         let own = self.peer().member.0;
-        let sights = &self.desk.sights;
-        let told = sights.counted(own, self.now, self.sights_limit());
+        let sights = &self.fleet.sights;
+        let told = sights.counted(own, self.now, self.sights_timeout());
         (!told.zones.is_empty()).then_some(told)
     }
 
     fn lacks_much(&self, known: Option<&KnownList>) -> bool {
-        known.is_some_and(|known| self.desk.list.lacks_much(known))
+        known.is_some_and(|known| self.fleet.list.lacks_much(known))
     }
 
     fn news_stamp(&self) -> NewsStamp {
-        let state = self.configuration().and_then(|group| group.machine.state());
+        let state = self
+            .configuration()
+            .and_then(|group| group.state_machine.state());
         NewsStamp {
             is_fresh: self.is_fresh(),
             members: self.members_stamp(),
             document_version: self.document_version(),
-            tells_document_to_all: self.tells_document_to_all(),
+            sends_document_to_all: self.sends_document_to_all(),
             store_epoch: state.map_or(0, |state| state.stores.view().epoch),
-            list_seen: self.desk.list.copy().seen(),
+            list_seen: self.fleet.list.copy().seen(),
         }
     }
 
@@ -235,29 +244,29 @@
             let committed = group.raft.log().term_at(group.raft.commit_index());
             return committed == Some(group.raft.term());
         }
-        let freshness = self.config.managed_or_default().freshness;
-        self.configuration_heard_at > Timestamp::ZERO
-            && self.now.since(self.configuration_heard_at) < freshness
+        let max_staleness = self.config.managed_or_default().max_staleness;
+        self.configuration_confirmed_at > Timestamp::ZERO
+            && self.now.since(self.configuration_confirmed_at) < max_staleness
     }
 
     /// Whether this member tells an observer of the document in force. The members that an
     /// observer names for it do so at once; the others wait until those have had time, in case
     /// that they can't. An observer that has just started is told by all.
-    fn tells_document(&self, observer: &Observer) -> bool {
+    fn sends_document(&self, observer: &Observer) -> bool {
         let has_started = observer.known.is_current && observer.known.document_version > 0;
-        !has_started || observer.tells_first || self.tells_document_to_all()
+        !has_started || observer.tells_first || self.sends_document_to_all()
     }
 
-    fn tells_document_to_all(&self) -> bool {
-        let patience = self.config.managed_or_default().document_patience;
-        self.now.since(self.desk.document_since) >= patience
+    fn sends_document_to_all(&self) -> bool {
+        let patience = self.config.managed_or_default().document_fallback_delay;
+        self.now.since(self.fleet.document_applied_at) >= patience
     }
 
     /// The document in force, when it is new for an observer and this member tells it.
     fn new_document(&self, observer: &Observer) -> Option<&VersionedDocument> {
-        let state = self.configuration()?.machine.state()?;
+        let state = self.configuration()?.state_machine.state()?;
         let is_newer = state.document.version() > observer.known.document_version;
-        let is_told = is_newer && self.tells_document(observer);
+        let is_told = is_newer && self.sends_document(observer);
         state.document.held().filter(|_| is_told)
     }
 
@@ -268,7 +277,7 @@
             return MemberList::default();
         };
         let zones: BTreeMap<IpAddr, &str> = group
-            .machine
+            .state_machine
             .state()
             .map(|state| state.stores.view().members.values())
             .into_iter()
@@ -296,7 +305,7 @@
             return MembersStamp::default();
         };
         let (membership, _) = group.raft.log().membership();
-        let state = group.machine.state();
+        let state = group.state_machine.state();
         MembersStamp {
             term: group.raft.term(),
             knows_leader: group.raft.leader().is_some(),
@@ -306,14 +315,17 @@
     }
 
     fn has_news(&self, key: &ObserverKey, members: MembersStamp) -> bool {
-        let Some(observer) = self.desk.observers.get(key) else {
+        let Some(observer) = self.fleet.observers.get(key) else {
             return false;
         };
         let known = &observer.known;
-        let Some(state) = self.configuration().and_then(|group| group.machine.state()) else {
+        let Some(state) = self
+            .configuration()
+            .and_then(|group| group.state_machine.state())
+        else {
             return false;
         };
-        let list = &self.desk.list;
+        let list = &self.fleet.list;
         let newer_list = known.backends.as_ref();
         (!known.is_current && self.is_fresh())
             || members > known.members
@@ -326,16 +338,16 @@
         let known = &observer.known;
         let mut news = News {
             fresh: self.is_fresh(),
-            gateways: self.desk.gateways,
+            gateways: self.fleet.gateways,
             zone_load: observer
-                .counted_in
+                .counted_zone
                 .as_ref()
-                .and_then(|zone| self.desk.zones.get(zone))
+                .and_then(|zone| self.fleet.zones.get(zone))
                 .map(|zone| zone.load.clone()),
             backends: known
                 .backends
                 .as_ref()
-                .and_then(|known| self.desk.list.report(known, self.now)),
+                .and_then(|known| self.fleet.list.report(known, self.now)),
             ..News::default()
         };
         let Some(group) = self.configuration() else {
@@ -344,7 +356,7 @@
         if members > known.members {
             news.members = Some(self.member_list(members));
         }
-        if let Some(state) = group.machine.state() {
+        if let Some(state) = group.state_machine.state() {
             news.document = self.new_document(observer).cloned();
             if state.stores.view().epoch > known.store_epoch {
                 news.stores = Some(state.stores.view().clone());
@@ -356,21 +368,21 @@
     /// Gateways that take callers and count on this member.
     #[must_use]
     pub fn own_gateways(&self) -> u32 {
-        let presence = &self.desk.presence;
-        presence.counted_gateways(self.now, self.resolution_time())
+        let presence = &self.fleet.presence;
+        presence.counted_gateways(self.now, self.resolution_validity())
     }
 
     /// Sums up the gateways, where that is done.
-    pub(crate) fn count_gateways(&mut self) {
+    pub(crate) fn update_gateway_count(&mut self) {
         if !self.leads(CONFIGURATION_GROUP) {
             return;
         }
-        let forget_after = self.config.managed_or_default().forget_after;
+        let forget_timeout = self.config.managed_or_default().forget_timeout;
         let elsewhere = self
-            .desk
+            .fleet
             .presence
-            .gateways_of_members(self.now, forget_after);
-        self.desk.gateways = self.own_gateways() + elsewhere;
+            .gateways_of_members(self.now, forget_timeout);
+        self.fleet.gateways = self.own_gateways() + elsewhere;
     }
 
     /// Members of the configuration group as far as this one knows; 0 while it is none of them,
@@ -399,6 +411,6 @@
     /// This member's copy of the list of backends.
     #[must_use]
     pub fn list(&self) -> &luglink_fleet::ListCopy {
-        self.desk.list.copy()
+        self.fleet.list.copy()
     }
 }
--- a/crates/control/src/persistence.rs
+++ b/crates/control/src/persistence.rs
@@ -92,7 +92,7 @@
             index,
             term: group.raft.log().term_at(index).unwrap_or(0),
             membership: group.raft.log().membership_at(index).clone(),
-            state: encode("a group's state", &group.machine)?,
+            state: encode("a group's state", &group.state_machine)?,
         };
         self.store.save_snapshot(id, &snapshot)?;
         group.raft.compact(index);
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -55,7 +55,7 @@
     /// Says who asks and what it knows; answered at news or after a while.
     Observe(Box<Observation>),
     /// Words of gateways that another member of the zone has heard.
-    HearGateways(Vec<HeardGateway>),
+    RelayGatewayReports(Vec<HeardGateway>),
     /// A member that the configuration group does not contain wants to be let in.
     Join(Peer),
     /// Empties a turn store.
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -179,7 +179,7 @@
         let states: Vec<Record> = self
             .groups
             .iter()
-            .flat_map(|(group, files)| group_head(*group, *files))
+            .flat_map(|(group, files)| segment_header(*group, *files))
             .collect();
         self.append_batch(&states)?;
         self.remove_old_segments()
@@ -233,7 +233,7 @@
 }
 
 /// What a new segment must repeat of a group.
-fn group_head(group: GroupId, files: GroupFiles) -> Vec<Record> {
+fn segment_header(group: GroupId, files: GroupFiles) -> Vec<Record> {
     let mut records = vec![Record::HardState {
         group,
         state: files.hard_state,
--- a/crates/control/src/watches.rs
+++ b/crates/control/src/watches.rs
@@ -43,13 +43,13 @@
 
     pub(crate) fn configuration_is_fresh(&self) -> bool {
         let leads = self.leads(CONFIGURATION_GROUP);
-        let silence = self.now.since(self.configuration_heard_at);
-        leads || silence < self.config.configuration_freshness
+        let silence = self.now.since(self.configuration_confirmed_at);
+        leads || silence < self.config.max_configuration_staleness
     }
 
     pub(crate) fn catch_up(&self, known: Revision) -> CatchUp {
         self.configuration()
-            .and_then(|group| group.machine.configuration())
+            .and_then(|group| group.state_machine.configuration())
             .map_or(CatchUp::Current, |store| store.catch_up(known))
     }
 
--- a/crates/control/tests/golden/values.rs
+++ b/crates/control/tests/golden/values.rs
@@ -297,7 +297,7 @@
         observation(gateway()),
         observation(store()),
         observation(Role::Member(MemberPresence { gateways: 68 })),
-        Request::HearGateways(vec![HeardGateway {
+        Request::RelayGatewayReports(vec![HeardGateway {
             presence: presence(gateway()),
             silence: Duration::from_millis(40),
         }]),
@@ -338,7 +338,7 @@
             Role::Store(_) => "observe-store",
             Role::Member(_) => "observe-member",
         },
-        Request::HearGateways(_) => "hear-gateways",
+        Request::RelayGatewayReports(_) => "hear-gateways",
         Request::Join(_) => "join",
         Request::Retire(_) => "retire",
         Request::ReadRetirement(_) => "read-retirement",
--- a/crates/control/tests/managed/observers.rs
+++ b/crates/control/tests/managed/observers.rs
@@ -119,7 +119,7 @@
 fn observers_of_a_large_fleet_wait_longer_but_never_beyond_the_bound() {
     let mut fleet = Fleet::founded();
     fleet.run(1.0);
-    let small = fleet.nodes[&1].resolution_time();
+    let small = fleet.nodes[&1].resolution_validity();
     let current = Known {
         is_current: true,
         members: MembersStamp::NEWEST,
@@ -138,9 +138,9 @@
     // The first to ask are told as in a small fleet; once all are known, everybody waits longer.
     ask_all();
     let asked = ask_all();
-    let large = fleet.nodes[&1].resolution_time();
+    let large = fleet.nodes[&1].resolution_validity();
     assert!(small < large, "{small:?} {large:?}");
-    let bound = ManagedConfig::default().longest_observe_hold;
+    let bound = ManagedConfig::default().max_observe_hold;
     fleet.run(bound.as_secs_f64() / 2.0);
     let early = asked
         .iter()
@@ -366,7 +366,7 @@
     fleet.input(leader, Request::PutDocument(document(2, "two")));
     fleet.run(0.1);
     assert!(is_told(&fleet, &told_first));
-    let hold = ManagedConfig::default().longest_observe_hold;
+    let hold = ManagedConfig::default().max_observe_hold;
     fleet.run(hold.as_secs_f64() + 0.1);
     assert!(asked.iter().all(|number| is_told(&fleet, number)));
 }
@@ -377,13 +377,13 @@
     fleet.run(1.0);
     fleet.input(1, observe("g", gateway(), Known::default()));
     fleet.step();
-    let words = fleet.nodes[&1].words_for_neighbours();
+    let words = fleet.nodes[&1].gateway_reports_for_neighbours();
     assert_eq!(words.len(), 1);
-    fleet.input(2, Request::HearGateways(words.clone()));
+    fleet.input(2, Request::RelayGatewayReports(words.clone()));
     fleet.step();
     assert_eq!(fleet.nodes[&2].ready_gateways().len(), 1);
     assert!(
-        fleet.nodes[&2].words_for_neighbours().is_empty(),
+        fleet.nodes[&2].gateway_reports_for_neighbours().is_empty(),
         "hearsay is not passed on"
     );
     assert_eq!(fleet.nodes[&2].own_gateways(), 0, "each is counted once");
@@ -395,7 +395,7 @@
         load: GatewayLoad::default(),
     });
     fleet.input(2, observe("g", leaving, Known::default()));
-    fleet.input(2, Request::HearGateways(words));
+    fleet.input(2, Request::RelayGatewayReports(words));
     fleet.step();
     assert!(fleet.nodes[&2].ready_gateways().is_empty());
     fleet.run(3.0);
--- a/crates/control/tests/managed/sights.rs
+++ b/crates/control/tests/managed/sights.rs
@@ -76,8 +76,8 @@
         member_sights: Some(word),
         ..RequestParts::default()
     };
-    let words = fleet.nodes[&1].words_for_neighbours();
-    fleet.input_with_parts(2, Request::HearGateways(words), parts);
+    let words = fleet.nodes[&1].gateway_reports_for_neighbours();
+    fleet.input_with_parts(2, Request::RelayGatewayReports(words), parts);
     // These three members have no stores beside them, so they know no zones and are told of no
     // neighbours: each hears all gateways by itself, and counts none by hearsay as well.
     assert_eq!(in_flight(&ask(&mut fleet, 2, "g2", Some(busy(3)))), Some(3));
