--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -1,4 +1,4 @@
-//! Limits and timing of a control member.
+//! Configuration of a control member: cluster layout, timeouts and limits.
 
 use crate::errors::{ControlError, InvalidConfigSnafu};
 use luglink_program::RefundRule;
@@ -8,39 +8,42 @@
 use snafu::ensure;
 use std::time::Duration;
 
-/// How the leader looks after members and turn stores that come and go by themselves.
+/// Settings for a managed fleet, whose members and turn stores join and leave without an operator.
 #[derive(Clone, Debug)]
 pub struct ManagedConfig {
-    /// Voters that the configuration group should have.
+    /// Target number of voters in the configuration group.
     pub voters: usize,
-    /// Silence after which a voter is replaced, when another member can take its place.
+    /// Time without a message after which a voter is replaced, if a learner can take its place.
     pub member_timeout: Duration,
-    /// Time without a leader after which a member asks to be let in.
+    /// Time without a message of a leader after which a member asks to join the group.
     pub join_timeout: Duration,
-    /// Copies of each turn and account; a store is passed over only while more are there.
+    /// Replicas of each turn and account. A silent store is marked as lost only while more than
+    /// this number of stores are writable.
     pub store_copies: usize,
-    /// Silence after which a turn store is passed over.
+    /// Time without a report after which a turn store is marked as lost.
     pub store_timeout: Duration,
-    /// Silence after which what is known of a process is forgotten.
+    /// Time without a report after which the state of a process is dropped.
     pub forget_timeout: Duration,
-    /// Longest time that an observer waits for news, in a small fleet. It says its word again
-    /// with its next question.
+    /// Maximum time for which a member of a small fleet holds an observer's request open while
+    /// nothing is new. An observer reports its presence with each request.
     pub observe_hold: Duration,
-    /// What each process that observes adds to that time: so a member is asked about as often
-    /// however large the fleet is.
+    /// Hold time per known process. Where its sum over all processes exceeds `observe_hold`, it
+    /// sets the hold, so that the request rate of a member does not grow with the fleet.
     pub observe_hold_per_process: Duration,
-    /// Longest time that an observer waits for news, in any fleet. News that nothing has changed
-    /// tell the list's age too, and gateways read a list themselves that seems too old.
+    /// Upper limit of the hold in a fleet of any size. A response without changes also refreshes
+    /// the age of the list of replicas; with a longer hold the list appears stale to gateways and
+    /// they read it from the platform themselves.
     pub max_observe_hold: Duration,
-    /// Time for which a member leaves it to others to tell an observer of a new document, when it
-    /// is not among those that do so first.
+    /// Delay before a member sends a new document to observers that expect it from other members
+    /// first.
     pub document_fallback_delay: Duration,
-    /// Silence of the leader after which this member's word may be out of date.
+    /// Time without confirmation by the leader after which this member's state counts as stale.
     pub max_staleness: Duration,
 }
 
 impl ManagedConfig {
-    /// Turn stores that may be lost at once: any two majorities of the copies share one.
+    /// Number of turn stores that may be lost at the same time: a majority of the replicas
+    /// remains, and any two majorities intersect.
     #[must_use]
     pub fn tolerated_losses(&self) -> usize {
         self.store_copies.saturating_sub(1) / 2
@@ -65,42 +68,44 @@
     }
 }
 
-/// How a control member runs.
+/// Configuration of a control member.
 #[derive(Clone, Debug)]
 pub struct ControlConfig {
     /// This member.
     pub member: MemberId,
-    /// All members, this one included.
+    /// All members, including this one.
     pub members: Vec<MemberId>,
-    /// Number of program groups. Never changes after the first start.
+    /// Number of program groups. Must not change after the first start, because it determines the
+    /// group of each program.
     pub program_groups: u32,
-    /// Voters of a program group.
+    /// Number of voters of a program group.
     pub replication: usize,
-    /// Voters of the configuration group.
+    /// Number of voters of the configuration group.
     pub configuration_voters: usize,
-    /// Whether an empty data folder may start a new cluster. Otherwise this member waits until
-    /// the others have added it.
+    /// Allows an empty data folder to bootstrap a new cluster. Otherwise the member waits until
+    /// the other members add it.
     pub bootstrap: bool,
-    /// Set when members and turn stores come and go by themselves.
+    /// Settings of a managed fleet; `None` when the members are fixed.
     pub managed: Option<ManagedConfig>,
-    /// Consensus timing.
+    /// Raft timeouts.
     pub raft: RaftConfig,
-    /// Log limits.
+    /// Limits of the write-ahead log.
     pub wal: WalConfig,
-    /// Entries after which a group's state is written as a snapshot.
+    /// Length of a group's log, in entries, at which a snapshot of its state is written.
     pub snapshot_entries: usize,
-    /// What happens to unused reservations.
+    /// Rule for the refund of unused budget reservations.
     pub refund: RefundRule,
-    /// Longest time that a configuration watch is held open.
+    /// Maximum time for which a configuration watch is held open.
     pub watch_hold: Duration,
-    /// Silence of the configuration leader after which this member serves no configuration.
+    /// Time without confirmation by the configuration leader after which this member refuses to
+    /// serve the configuration.
     pub max_configuration_staleness: Duration,
-    /// Time between checks for expired programs, and between repeats of release orders.
+    /// Interval of the checks for expired programs and of the retries of release orders.
     pub housekeeping_interval: Duration,
 }
 
 impl ControlConfig {
-    /// Defaults for a member of a cluster.
+    /// Returns the defaults for one member of a cluster.
     #[must_use]
     pub fn new(member: MemberId, members: Vec<MemberId>) -> Self {
         Self {
@@ -125,10 +130,10 @@
         self.managed.clone().unwrap_or_default()
     }
 
-    /// Checks that the values can work together.
+    /// Checks the values and their combinations.
     ///
     /// # Errors
-    /// Names the first rule that is broken.
+    /// Returns the first rule that is violated.
     pub fn validate(&self) -> Result<(), ControlError> {
         ensure!(
             self.managed.is_some() || self.members.contains(&self.member),
@@ -139,13 +144,13 @@
         ensure!(
             self.managed.is_some() || self.program_groups > 0,
             InvalidConfigSnafu {
-                rule: "program_groups must be above zero"
+                rule: "program_groups must be greater than zero"
             }
         );
         ensure!(
             self.replication > 0 && self.configuration_voters > 0 && self.snapshot_entries > 0,
             InvalidConfigSnafu {
-                rule: "replication, configuration_voters and snapshot_entries must be above zero"
+                rule: "replication, configuration_voters and snapshot_entries must be greater than zero"
             }
         );
         if self.raft.validate().is_err() {
--- a/crates/control/src/errors.rs
+++ b/crates/control/src/errors.rs
@@ -1,55 +1,55 @@
-//! Errors of this crate.
+//! Error type of the crate.
 
 use luglink_storage::StorageError;
 use luglink_types::GroupId;
 use snafu::Snafu;
 
-/// A failure after which the member must stop.
+/// A failure after which the member must stop, because its state may differ from its disk.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
-    /// The disk failed.
+    /// A disk operation failed.
     #[snafu(display("storage: {source}"), context(false))]
     Storage {
-        /// How.
+        /// The failure of the disk.
         source: StorageError,
     },
-    /// A stored record cannot be understood.
+    /// Stored data cannot be decoded.
     #[snafu(display("cannot read {what}: {source}"))]
     Decode {
-        /// What it is.
+        /// Kind of the data.
         what: &'static str,
-        /// Why not.
+        /// The decoding error.
         source: postcard::Error,
     },
-    /// A record cannot be written.
+    /// Data cannot be encoded.
     #[snafu(display("cannot encode {what}: {source}"))]
     Encode {
-        /// What it is.
+        /// Kind of the data.
         what: &'static str,
-        /// Why not.
+        /// The encoding error.
         source: postcard::Error,
     },
     /// The data folder belongs to another member.
-    #[snafu(display("the data folder belongs to member {found}, not {expected}"))]
+    #[snafu(display("data folder belongs to member {found}, expected member {expected}"))]
     WrongMember {
-        /// The member that was started.
+        /// The configured member.
         expected: u32,
-        /// The member that the folder belongs to.
+        /// The member that the data folder belongs to.
         found: u32,
     },
-    /// The log refers to a snapshot that is not there.
-    #[snafu(display("the snapshot of group {group} up to entry {index} is missing"))]
+    /// The log refers to a snapshot file that cannot be read.
+    #[snafu(display("cannot read the snapshot of group {group} up to entry {index}"))]
     SnapshotMissing {
         /// The group.
         group: GroupId,
-        /// Its last entry.
+        /// Index of the last entry that the snapshot covers.
         index: u64,
     },
-    /// The settings cannot work.
-    #[snafu(display("{rule}"))]
+    /// The configuration violates a rule.
+    #[snafu(display("invalid configuration: {rule}"))]
     InvalidConfig {
-        /// The rule that is broken.
+        /// The violated rule.
         rule: &'static str,
     },
 }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What a member knows of the fleet around it, and what the leader does about members and turn
-//! stores that come and go.
+//! Soft state about the fleet, and the leader's maintenance of the members and turn stores of a
+//! managed fleet.
 
 use crate::config::ManagedConfig;
 use crate::errors::ControlError;
@@ -19,25 +19,28 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Soft state about the fleet. A restart loses it, and the processes' next words restore it.
+/// Soft state about the fleet. It is lost at a restart and restored by the next reports of the
+/// processes.
 #[derive(Debug, Default)]
 pub(crate) struct FleetState {
     pub(crate) presence: PresenceTable,
-    /// What gateways see of the replicas.
+    /// Load of the replicas as gateways measure it.
     pub(crate) sights: SightTable,
     pub(crate) observers: ObserverTable,
     pub(crate) list: ListHistory,
-    /// Gateways that take callers, as the leader has summed them; 0 while that is not known.
-    pub(crate) gateways: u32,
-    /// What the gateways of each zone have to do, and how many of them callers are told of.
+    /// Number of ready gateways in the fleet, as the leader has counted them; 0 if unknown.
+    pub(crate) gateway_count: u32,
+    /// State of each zone that has gateways.
     pub(crate) zones: BTreeMap<String, ZoneState>,
+    /// Peers that ask for admission, with the time of their last request.
     candidates: BTreeMap<Peer, Timestamp>,
-    /// Version of the document that this member applied last, and when it did.
+    /// Version of the document that this member applied last.
     document_version: u64,
+    /// Time at which it was applied.
     pub(crate) document_applied_at: Timestamp,
 }
 
-/// What this member knows of a zone.
+/// Load of the gateways of a zone, and the number of them that callers are referred to.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneState {
     pub(crate) load: GatewayLoad,
@@ -64,7 +67,8 @@
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// The peer that should ask the others to be let in: this one, when no leader is heard.
+    /// Returns this member's peer if it should ask for admission, because it has not been up to
+    /// date with a leader for `join_timeout`.
     #[must_use]
     pub fn wants_to_join(&self) -> Option<Peer> {
         let managed = self.config.managed.as_ref()?;
@@ -82,7 +86,8 @@
             .map_or(Response::Done, crate::group::Group::not_leader)
     }
 
-    /// What the leader does about members and stores that come and go.
+    /// Expires the soft state. On the leader, also proposes the next changes of the membership and
+    /// of the registry of turn stores.
     pub(crate) fn maintain_fleet(&mut self) -> Result<(), ControlError> {
         let Some(managed) = self.config.managed.clone() else {
             return Ok(());
@@ -125,12 +130,12 @@
         };
         match plan.next_step() {
             None => {}
-            Some(MembershipStep::HandOver(successor)) => {
-                // A refusal means that leadership is already being handed over.
+            Some(MembershipStep::TransferLeadership(successor)) => {
+                // Fails only while a transfer of leadership is already in progress.
                 let _ = group.raft.transfer_leadership(successor, now);
             }
             Some(MembershipStep::Change(change)) => {
-                // Refused while an earlier change is under way; the next round tries again.
+                // Fails while an earlier change is in progress; the next round retries it.
                 let admitted = match &change {
                     MembershipChange::AddLearners(peers) => peers.clone(),
                     _ => BTreeSet::new(),
@@ -144,7 +149,8 @@
         }
     }
 
-    /// Members on machines whose turn store was told to go: the whole machine goes with it.
+    /// Members on machines whose turn store is being retired or has been. Retirement of a store
+    /// takes the whole machine out of service.
     pub(crate) fn leaving_members(&self) -> BTreeSet<MemberId> {
         let Some(state) = self
             .configuration()
@@ -159,7 +165,7 @@
             .iter()
             .filter(|(_, member)| member.state == StoreState::Leaving)
             .map(|(_, member)| member.address);
-        // A store that has gone from the view says its word until its machine is taken away.
+        // A store that was removed from the view reports until its machine is shut down.
         let gone = self
             .fleet
             .presence
@@ -176,7 +182,7 @@
             .collect()
     }
 
-    /// Whether a member on the machine of that address still belongs to the group.
+    /// Returns true if a member on the machine with this address belongs to the group.
     fn has_member_at(&self, address: SocketAddr) -> bool {
         let Some(group) = self.configuration() else {
             return false;
@@ -186,9 +192,9 @@
         peers.any(|peer| Some(peer.member) == at_address)
     }
 
-    /// Stores that have come are all let in at once: one after the other, a large fleet would be
-    /// without most of them for longer than its start may take. Everything else is done one step
-    /// at a time.
+    /// Returns the commands to propose in this round. All new stores join together: one per round
+    /// would leave a large fleet without most of its stores for longer than its start may take.
+    /// All other changes are made one at a time.
     fn due_store_commands(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
         let joins = self.join_commands(managed);
         if !joins.is_empty() {
@@ -238,14 +244,14 @@
             .or_else(|| self.next_lost_removal(view))
     }
 
-    /// The last word of a store. One that this member never heard counts as silent since the
-    /// member leads.
+    /// Returns the last report of a store; `None` if this member has none.
     fn last_store_report(&self, name: &StoreName) -> Option<HeardStore<'_>> {
         let mut stores = self.fleet.presence.stores(self.now);
         stores.find(|heard| heard.name == name.0)
     }
 
-    /// Whether every store that may hold something has handed over for the view of `epoch`.
+    /// Returns true if every store that may hold data, other than `except`, has completed its
+    /// handover for the view of `epoch`.
     fn all_handed_over(&self, view: &StoreView, epoch: u64, except: &StoreName) -> bool {
         let holds = |state| matches!(state, StoreState::Active | StoreState::Leaving);
         view.members
@@ -257,9 +263,9 @@
             })
     }
 
-    /// A store that was passed over, that nobody has heard since, and whose share the others have
-    /// taken over: as long as it stays in the view, nobody can be sure that a turn is nowhere.
-    /// Should it come back, it joins anew.
+    /// Removes a lost store that this member has no report of and whose share the other stores have
+    /// taken over. While a lost store is in the view, no lookup can conclude that a turn does not
+    /// exist. A store that comes back joins again.
     fn next_lost_removal(&self, view: &StoreView) -> Option<StoreCommand> {
         if view.members.values().any(is_joining) {
             return None;
@@ -272,6 +278,7 @@
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
 
+    /// Activates a joining store that the other stores have handed its share to.
     fn next_activation(&self, view: &StoreView) -> Option<StoreCommand> {
         view.members
             .iter()
@@ -283,25 +290,25 @@
             })
     }
 
-    /// A store that is to go, whose share the others have taken over and whose machine holds no
-    /// member any more: once it is said to be empty, the machine and its disk are taken away.
+    /// Removes a leaving store whose share the other stores have taken over and whose machine runs
+    /// no member of the group. After the removal the machine and its disk may be discarded.
     fn next_retired_removal(&self, view: &StoreView) -> Option<StoreCommand> {
         if view.members.values().any(is_joining) {
             return None;
         }
-        let nobody = StoreName::default();
+        let no_exception = StoreName::default();
         view.members
             .iter()
             .filter(|(_, member)| member.state == StoreState::Leaving)
             .filter(|(_, member)| !self.has_member_at(member.address))
-            .find(|(_, member)| self.all_handed_over(view, member.since_epoch, &nobody))
+            .find(|(_, member)| self.all_handed_over(view, member.since_epoch, &no_exception))
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
 
-    /// A store that is silent for long is passed over as long as enough others are there, and no
-    /// more of them at once than may be lost. Where more are silent, the leader is cut off from
-    /// them rather than they are gone: gateways may still reach them, and others could take over
-    /// nothing from them.
+    /// Marks a silent store as lost, if enough other stores are writable and fewer than
+    /// `tolerated_losses` are lost. When more stores are silent, the cause is rather a network
+    /// partition around the leader: gateways may still reach these stores, and the other stores
+    /// could not take over their data.
     fn next_silent_store(&self, view: &StoreView, managed: &ManagedConfig) -> Option<StoreCommand> {
         let members = view.members.values();
         let lost = members.filter(|member| member.state == StoreState::Lost);
@@ -309,6 +316,7 @@
         if !may_lose || view.writable().count() <= managed.store_copies {
             return None;
         }
+        // A store that this member has never heard counts as silent from the time it became leader.
         let leading_long = self
             .leads_since
             .is_some_and(|since| self.now.since(since) >= managed.store_timeout);
@@ -321,12 +329,12 @@
     }
 }
 
-/// Whether a store is still being filled.
+/// Returns true if the store still receives its share from the other stores.
 fn is_joining(member: &StoreMember) -> bool {
     member.state == StoreState::Joining
 }
 
-/// The member on the machine of that address. Members are named by their IP numbers.
+/// Returns the member on the machine with this address. The id of a member is its IPv4 address.
 fn member_at(ip: IpAddr) -> Option<MemberId> {
     match ip {
         IpAddr::V4(ip) => Some(MemberId(u32::from(ip))),
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -9,14 +9,14 @@
 use luglink_types::{GroupId, MemberId, Timestamp};
 use std::collections::BTreeMap;
 
-/// A request whose entry is in the log but not committed yet.
+/// A client's command whose entry is in the log but not committed yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingCommand {
     term: Term,
     token: RequestToken,
 }
 
-/// A group: consensus, state, and the requests that wait for them.
+/// A replica of a group: its Raft node, its state machine, and the requests that wait for them.
 #[derive(Debug)]
 pub(crate) struct Group {
     pub(crate) id: GroupId,
@@ -24,8 +24,9 @@
     pub(crate) state_machine: StateMachine,
     commands: BTreeMap<LogIndex, PendingCommand>,
     reads: BTreeMap<ReadId, (RequestToken, Request)>,
-    /// Term in which this member last noticed that it leads, for numbering orders.
+    /// Term of the last release order that this member issued.
     pub(crate) order_term: Term,
+    /// Sequence number of that order within its term.
     pub(crate) order_sequence: u64,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Appends a command on behalf of a client.
+    /// Proposes a command. Returns a response at once only if this member does not lead.
     pub(crate) fn propose(
         &mut self,
         command: Vec<u8>,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Asks for a linearizable read.
+    /// Starts a linearizable read. Returns a response at once only if this member does not lead.
     pub(crate) fn read(
         &mut self,
         request: Request,
@@ -105,7 +106,7 @@
                 let response = if pending.term == entry.term {
                     response_of(applied)
                 } else {
-                    // Another leader's entry took the place.
+                    // The entry of another leader replaced the proposed one at this index.
                     self.not_leader()
                 };
                 answers.push((pending.token, response));
@@ -114,7 +115,7 @@
         Ok(answers)
     }
 
-    /// Answers reads that consensus has decided.
+    /// Answers the reads that consensus has confirmed or given up.
     pub(crate) fn answer_reads(
         &mut self,
         outcomes: &[ReadOutcome],
@@ -161,8 +162,9 @@
         }
     }
 
-    /// Once this member no longer leads, its uncommitted entries may never commit: the clients
-    /// are told to ask the new leader, which is safe because requests can be repeated.
+    /// Returns a not-leader response for each pending command, if this member no longer leads.
+    /// Its uncommitted entries may never commit, and clients may safely retry any request with the
+    /// new leader.
     pub(crate) fn abandon_pending(&mut self) -> Vec<(RequestToken, Response)> {
         if self.raft.is_leader() || self.commands.is_empty() {
             return Vec::new();
@@ -173,7 +175,7 @@
         tokens.map(|token| (token, response.clone())).collect()
     }
 
-    /// Replaces the state by a received snapshot.
+    /// Replaces the state with that of a received snapshot.
     pub(crate) fn install(&mut self, snapshot: &Snapshot) -> Result<(), ControlError> {
         if !snapshot.state.is_empty() {
             self.state_machine = decode("a snapshot's state", &snapshot.state)?;
--- a/crates/control/src/identity.rs
+++ b/crates/control/src/identity.rs
@@ -1,4 +1,4 @@
-//! Which member a data folder belongs to.
+//! Identity of a data folder: its member and the incarnation of its storage.
 
 use crate::errors::{ControlError, DecodeSnafu, EncodeSnafu, WrongMemberSnafu};
 use luglink_raft::Peer;
@@ -11,25 +11,27 @@
 
 const IDENTITY_FILE: &str = "identity";
 
-/// Written once, when a data folder is first used.
+/// Identity of a data folder. It is written once, at the first start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The member and the incarnation of its storage.
     pub peer: Peer,
-    /// Whether this storage took part in the cluster's first start.
+    /// True if this storage took part in the bootstrap of the cluster.
     pub bootstrapped: bool,
-    /// Members at the cluster's first start, when this storage took part in it. Settings may
-    /// name others later, but what the log builds on must stay.
+    /// Members at the bootstrap; empty if this storage joined later. They determine the initial
+    /// membership that the log builds on, so later changes of the settings do not change them.
     pub founders: Vec<MemberId>,
 }
 
 impl Identity {
-    /// Reads the folder's identity, or writes a new one into an empty folder. With `founders` the folder takes part in the first start of a cluster of them. `fresh` must
-    /// differ from every number used before; it names the incarnation of a storage that joins a
-    /// running cluster.
+    /// Reads the identity of the folder, or creates one if the folder has none.
+    ///
+    /// With `founders` a new folder takes part in the bootstrap of a cluster of these members.
+    /// Otherwise it joins a running cluster with `fresh` as its incarnation, which must differ from
+    /// every number used before.
     ///
     /// # Errors
-    /// The disk fails, or the folder belongs to another member.
+    /// Fails if the disk fails, or if the folder belongs to another member.
     pub fn load_or_create(
         disk: &mut impl Disk,
         member: MemberId,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,11 +1,12 @@
-//! A control member as pure logic: replication groups over one write-ahead log.
+//! Logic of a control member without I/O: replication groups over one write-ahead log.
 //!
-//! [`ControlNode`] takes messages of other members, requests of daemons and operators, and the
-//! time; it gives out messages, replies and orders. Its only effect is on the [`Disk`] it is
-//! given. The shell in `luglink-control-server` and the simulator drive the same node.
+//! [`ControlNode`] takes messages from other members, requests from clients, and the current
+//! time. It returns messages, replies and release orders. Its only side effects are on the
+//! [`Disk`] that it owns. The server in `luglink-control-server` and the simulator drive the same
+//! node.
 //!
-//! Group 0 holds the configuration; the others hold programs, each a share of them. All groups
-//! of a member share one log, so one sync makes the work of all of them durable.
+//! Group 0 replicates the configuration; each other group replicates a share of the programs. All
+//! groups of a member share one log, so that one sync makes the entries of all of them durable.
 //!
 //! [`Disk`]: luglink_storage::Disk
 #![forbid(unsafe_code)]
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine behind a group.
+//! State machines that replication groups apply their entries to.
 
 use crate::errors::{ControlError, DecodeSnafu, EncodeSnafu};
 use luglink_fleet::{DocumentStore, RetireAnswer, StoreCommand, StoreRegistry, VersionedDocument};
@@ -11,46 +11,46 @@
 /// The group that holds the configuration.
 pub const CONFIGURATION_GROUP: GroupId = GroupId(0);
 
-/// A command in a group's log.
+/// A command in the log of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum LoggedCommand {
-    /// For a program group.
+    /// Command of a program group.
     Program(Command),
-    /// For the configuration group.
+    /// Change of the resources, for the configuration group.
     Change(Change),
-    /// For the configuration group: the configuration as one document.
+    /// New configuration document, for the configuration group.
     Document(VersionedDocument),
-    /// For the configuration group: the registry of turn stores.
+    /// Change of the registry of turn stores, for the configuration group.
     Store(StoreCommand),
 }
 
-/// The result of a command.
+/// Result of an applied command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Applied {
-    /// Of a program group.
+    /// Result of a program command.
     Program(Reply),
-    /// Of the configuration group.
+    /// Result of a change of the resources.
     Change(ChangeAnswer),
-    /// Of a document: the version that is held now.
+    /// Version of the document that is held after the command.
     Document(u64),
-    /// Of the registry of turn stores.
+    /// Result of a change of the registry of turn stores.
     Store(RetireAnswer),
-    /// The command is not for this kind of group; only a defect can log such a one.
+    /// The command does not belong to this kind of group. Only a bug can log such a command.
     WrongGroup,
 }
 
-/// The state of the configuration group.
+/// State of the configuration group.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ConfigurationState {
     /// The configuration as resources.
     pub(crate) resources: ResourceStore,
     /// The configuration as one document.
     pub(crate) document: DocumentStore,
-    /// The turn stores.
+    /// Registry of the turn stores.
     pub(crate) stores: StoreRegistry,
 }
 
-/// Configuration or programs.
+/// State machine of one group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum StateMachine {
     /// The configuration.
--- a/crates/control/src/member_plan.rs
+++ b/crates/control/src/member_plan.rs
@@ -1,35 +1,35 @@
-//! Which members vote: the next step towards as many live voters as are wanted.
+//! Membership planning: the next step towards the target number of live voters.
 //!
-//! One step at a time, each safe by itself. A voter that is silent, or whose machine is to be
-//! taken away, is replaced before it is removed, so that the group never has fewer copies of what
-//! it has acknowledged than it was asked for.
+//! Steps are taken one at a time, and each is safe by itself. A voter that is silent or leaving is
+//! replaced before it is removed, so that acknowledged entries never have fewer copies than
+//! configured.
 
 use crate::config::ManagedConfig;
 use luglink_raft::{MembershipChange, Peer, RaftNode};
 use luglink_types::MemberId;
 use std::collections::BTreeSet;
 
-/// What the leader does next about the members.
+/// A step of the leader to repair the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum MembershipStep {
-    /// Change who belongs to the group.
+    /// Change the membership of the group.
     Change(MembershipChange),
-    /// Let another member lead, because the leader's own machine is to be taken away.
-    HandOver(Peer),
+    /// Transfer leadership to another voter, because the leader itself is to be removed.
+    TransferLeadership(Peer),
 }
 
-/// What the leader knows about the members.
+/// State of the membership from which the leader plans the next step.
 pub(crate) struct MembershipPlanner<'leader> {
     pub(crate) raft: &'leader RaftNode,
-    /// Peers that ask to be let in.
+    /// Peers that ask for admission.
     pub(crate) candidates: &'leader [Peer],
-    /// Members whose machines are to be taken away.
+    /// Members whose machines are being taken out of service.
     pub(crate) leaving: &'leader BTreeSet<MemberId>,
     pub(crate) managed: &'leader ManagedConfig,
 }
 
 impl MembershipPlanner<'_> {
-    /// The next step; `None` when the group is as it should be.
+    /// Returns the next step; `None` if there is none to take now.
     pub(crate) fn next_step(&self) -> Option<MembershipStep> {
         let change = self.admission().or_else(|| self.leaving_learner());
         if let Some(change) = change {
@@ -51,7 +51,8 @@
                 .is_none_or(|silence| silence >= self.managed.member_timeout)
     }
 
-    /// Lets all candidates in. An earlier incarnation of one never comes back, so that goes first.
+    /// Adds all candidates as learners. An earlier incarnation of a candidate cannot return, so it
+    /// is removed first.
     fn admission(&self) -> Option<MembershipChange> {
         let membership = self.raft.membership();
         let wanted = self
@@ -98,7 +99,7 @@
         }
     }
 
-    /// A learner that may become a voter.
+    /// Returns a learner that is live, caught up and not leaving.
     fn promotable_learner(&self) -> Option<Peer> {
         let mut learners = self.raft.membership().learners.iter().copied();
         learners.find(|peer| {
@@ -106,15 +107,15 @@
         })
     }
 
-    /// Removes a voter that has been replaced. The leader does not remove itself: another voter
-    /// leads first.
+    /// Removes a voter that has been replaced. The leader does not remove itself: it transfers
+    /// leadership to another voter first.
     fn voter_removal(&self, voter: Peer) -> Option<MembershipStep> {
         if voter != self.raft.me() {
             return Some(MembershipStep::Change(MembershipChange::Remove(voter)));
         }
         self.raft
             .successor(|peer| !self.is_leaving(peer) && !self.is_silent(peer))
-            .map(MembershipStep::HandOver)
+            .map(MembershipStep::TransferLeadership)
     }
 
     fn silent_learner(&self) -> Option<MembershipChange> {
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,4 +1,4 @@
-//! The member itself: takes inputs, drives its groups, gives out work.
+//! The control member: handles inputs, drives its groups and returns outputs.
 
 use crate::config::ControlConfig;
 use crate::errors::ControlError;
@@ -20,91 +20,91 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Gives each group of a member its own seed.
+/// Multiplier that derives a distinct seed for each group from the seed of the member.
 const SEED_MIX: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Something that happened.
+/// An event that the member handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message of another member.
+    /// A consensus message of another member.
     Peer {
-        /// The group it is about.
+        /// The group that the message belongs to.
         group: GroupId,
         /// The message.
         envelope: Box<Envelope>,
     },
     /// A request of a client.
     Request {
-        /// To be given back with the response.
+        /// Token that the response carries.
         token: RequestToken,
         /// The request.
         request: Box<Request>,
     },
-    /// A request of a client that a newer build has added to.
+    /// A request of a client, with optional parts.
     ExtendedRequest {
-        /// To be given back with the response.
+        /// Token that the response carries.
         token: RequestToken,
         /// The request.
         request: Box<Request>,
-        /// What follows it.
+        /// Optional parts of the request.
         parts: Box<RequestParts>,
     },
     /// The platform's list of backends, as this member has just read it.
     Backends {
         /// The list.
         list: BackendList,
-        /// Time since the reading began.
+        /// Time since the read began.
         age: Duration,
     },
-    /// What the leader tells of the list of backends and of the number of gateways.
+    /// State that the leader reported to this member.
     LeaderNews {
-        /// The list, when there is a newer one.
+        /// Report of the list of backends, if the leader sent one.
         report: Option<BackendReport>,
-        /// The number of gateways; 0 while it is not known.
+        /// Number of ready gateways in the fleet; 0 if unknown.
         gateways: u32,
     },
-    /// Incarnations of replicas that the leader knows.
+    /// Incarnations of replicas, as the leader knows them.
     LeaderIncarnations(Vec<ReplicaIncarnation>),
-    /// A client is gone; what it waits for need not be answered.
+    /// A client has disconnected; its open requests need no response.
     ClientGone {
         /// The client.
         client: u64,
     },
 }
 
-/// Something to do.
+/// An action that the caller must execute.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a message to another member.
+    /// Send a consensus message to another member.
     Peer {
-        /// The group it is about.
+        /// The group that the message belongs to.
         group: GroupId,
-        /// The message; its receiver is in it.
+        /// The message, including its receiver.
         envelope: Box<Envelope>,
     },
     /// Answer a request.
     Reply {
-        /// The request.
+        /// Token of the request.
         token: RequestToken,
         /// The response.
         response: Box<Response>,
-        /// What follows it.
+        /// Optional parts of the response.
         parts: Box<ResponseParts>,
     },
-    /// Order an engine to give up memory, until it confirms.
+    /// Send a release order to an engine. It is issued again until the engine confirms it.
     Release(ReleaseOrder),
 }
 
-/// Who leads the configuration group, and who belongs to it.
+/// Leader and size of the configuration group, as one member knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Leadership {
-    /// The term.
+    /// Current term.
     pub term: u64,
-    /// Its leader, when one is known.
+    /// Leader of the term, if known.
     pub leader: Option<Peer>,
-    /// Members whose votes count.
+    /// Number of voters.
     pub voters: usize,
-    /// Members that only receive.
+    /// Number of learners, which replicate the log without a vote.
     pub learners: usize,
 }
 
@@ -115,22 +115,25 @@
     pub(crate) identity: Identity,
     pub(crate) groups: BTreeMap<GroupId, Group>,
     pub(crate) fleet: FleetState,
-    /// When this member began to lead the configuration group, while it does.
+    /// Time since which this member leads the configuration group; `None` if it does not.
     pub(crate) leads_since: Option<Timestamp>,
     pub(crate) store: MemberStore<D>,
     pub(crate) watches: Vec<Watch>,
     pub(crate) outputs: Vec<Output>,
     pub(crate) now: Timestamp,
     housekeeping_due: Timestamp,
+    /// Time of the last message of the configuration group's leader at which this member had
+    /// committed everything that the leader had.
     pub(crate) configuration_confirmed_at: Timestamp,
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// Starts a member from its disk. `seed` drives election timeouts and, for a storage that
-    /// joins a running cluster, its incarnation: it must not repeat between starts.
+    /// Starts a member from its disk. `seed` randomizes the election timeouts and becomes the
+    /// incarnation of a storage that joins a running cluster. It must differ between starts.
     ///
     /// # Errors
-    /// The settings cannot work, or the disk is damaged, full, read-only or another member's.
+    /// Fails if the configuration is invalid, or if the disk is damaged, full, read-only or belongs
+    /// to another member.
     pub fn start(
         config: ControlConfig,
         mut disk: D,
@@ -163,23 +166,23 @@
         })
     }
 
-    /// Who this member is.
+    /// Returns the id and the incarnation of this member.
     #[must_use]
     pub fn peer(&self) -> Peer {
         self.identity.peer
     }
 
-    /// The group that holds a program.
+    /// Returns the group that holds a program.
     #[must_use]
     pub fn group_of(&self, program: ProgramId) -> GroupId {
         program.group(self.config.program_groups)
     }
 
-    /// Takes an input. Its consequences come out of the next [`ControlNode::flush`], together
-    /// with those of other inputs and under one sync.
+    /// Handles an input. The next [`ControlNode::flush`] persists the effects of all inputs since
+    /// the last one with one sync, and returns the outputs.
     ///
     /// # Errors
-    /// A command cannot be encoded.
+    /// Fails if a command cannot be encoded.
     pub fn handle(&mut self, input: Input, now: Timestamp) -> Result<(), ControlError> {
         self.now = self.now.max(now);
         match input {
@@ -206,7 +209,7 @@
                     self.fleet.list.follow(report, self.now);
                 }
                 if gateways > 0 {
-                    self.fleet.gateways = gateways;
+                    self.fleet.gateway_count = gateways;
                 }
                 Ok(())
             }
@@ -222,10 +225,10 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time and runs the timers that are due.
     ///
     /// # Errors
-    /// A command cannot be encoded.
+    /// Fails if a command cannot be encoded.
     pub fn tick(&mut self, now: Timestamp) -> Result<(), ControlError> {
         self.now = self.now.max(now);
         for group in self.groups.values_mut() {
@@ -242,11 +245,11 @@
         Ok(())
     }
 
-    /// When [`ControlNode::tick`] next has something to do.
+    /// Returns the time at which [`ControlNode::tick`] next has a timer to run.
     #[must_use]
     pub fn next_deadline(&self) -> Timestamp {
         let groups = self.groups.values().map(|group| group.raft.next_deadline());
-        let watches = self.watches.iter().map(|watch| watch.until);
+        let watches = self.watches.iter().map(|watch| watch.deadline);
         groups
             .chain(watches)
             .chain(self.fleet.observers.next_deadline())
@@ -255,12 +258,13 @@
             .unwrap_or(self.now)
     }
 
-    /// Makes everything durable that must be, and gives out the work.
+    /// Persists pending entries and returns the outputs.
     ///
     /// # Errors
-    /// The disk failed: the member must stop, because nobody can tell what is durable.
+    /// Fails if the disk fails. The member must stop then, because it is unknown which writes are
+    /// durable.
     pub fn flush(&mut self) -> Result<Vec<Output>, ControlError> {
-        // Persisting may commit entries of a group with a single voter, which gives more work.
+        // In a group with a single voter, persisting commits entries, which produces further work.
         while self.flush_once()? {}
         self.update_leads_since();
         self.answer_watches();
@@ -268,7 +272,7 @@
         Ok(std::mem::take(&mut self.outputs))
     }
 
-    /// How this member is.
+    /// Returns the status of this member and of its groups.
     #[must_use]
     pub fn status(&self) -> MemberStatus {
         let stores = || {
@@ -287,7 +291,7 @@
         }
     }
 
-    /// Revision of the configuration that this member has applied.
+    /// Returns the revision of the configuration that this member has applied.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.configuration()
@@ -298,19 +302,20 @@
             )
     }
 
-    /// The programs of one group, for checks.
+    /// Returns the programs of one group, for checks in tests.
     #[must_use]
     pub fn programs(&self, group: GroupId) -> Option<&luglink_program::ProgramStore> {
         self.groups.get(&group)?.state_machine.programs()
     }
 
-    /// The configuration after `known` as this member has applied it, for checks.
+    /// Returns the changes of the configuration after `known` that this member has applied, for
+    /// checks in tests.
     #[must_use]
     pub fn configuration_after(&self, known: Revision) -> CatchUp {
         self.catch_up(known)
     }
 
-    /// Whether this member leads a group.
+    /// Returns true if this member leads the group.
     #[must_use]
     pub fn leads(&self, group: GroupId) -> bool {
         self.groups
@@ -318,7 +323,7 @@
             .is_some_and(|group| group.raft.is_leader())
     }
 
-    /// Who leads the configuration group as far as this member knows.
+    /// Returns leader and size of the configuration group, as this member knows them.
     #[must_use]
     pub fn leadership(&self) -> Leadership {
         let Some(group) = self.configuration() else {
@@ -332,18 +337,18 @@
         }
     }
 
-    /// Syncs of the log so far.
+    /// Returns the number of syncs of the log so far.
     #[must_use]
     pub fn syncs(&self) -> u64 {
         self.store.syncs()
     }
 
-    /// The disk, for bringing faults about.
+    /// Returns the disk, for fault injection.
     pub fn disk_mut(&mut self) -> &mut D {
         self.store.disk_mut()
     }
 
-    /// Gives the disk back, as a crash leaves it.
+    /// Consumes the member and returns its disk, as after a crash.
     pub fn into_disk(self) -> D {
         self.store.into_disk()
     }
@@ -370,7 +375,8 @@
             return;
         };
         member_group.raft.step(envelope, now);
-        // Hearing the leader is not enough: a member whose log lags has old news to give.
+        // A message of the leader alone is not enough: a member whose log lags would serve stale
+        // state.
         let is_current =
             leader_commit.is_some_and(|commit| member_group.raft.commit_index() >= commit);
         if group == CONFIGURATION_GROUP && is_current {
@@ -492,8 +498,8 @@
         }
     }
 
-    /// Hands leadership of every group to the voter that was heard from last, before others to one
-    /// whose machine is not to be taken away.
+    /// Transfers leadership of every group to the voter that was heard from last. Voters on
+    /// machines that are being taken out of service are only used if there is no other.
     fn hand_over(&mut self) {
         let now = self.now;
         let leaving = self.leaving_members();
@@ -505,12 +511,13 @@
             let stays = |peer: Peer| !leaving.contains(&peer.member);
             let successor = group.raft.successor(stays);
             if let Some(successor) = successor.or_else(|| group.raft.successor(|_| true)) {
-                // A refusal means that leadership is already being handed over.
+                // Fails only while a transfer of leadership is already in progress.
                 let _ = group.raft.transfer_leadership(successor, now);
             }
         }
     }
 
+    /// Expires overdue programs and issues release orders, in the groups that this member leads.
     fn run_housekeeping(&mut self) -> Result<(), ControlError> {
         let now = self.now;
         let overdue: Vec<GroupId> = self
@@ -531,7 +538,7 @@
         Ok(())
     }
 
-    /// Repeats every release order that no engine has confirmed yet.
+    /// Issues every release order that its engine has not confirmed yet.
     fn order_releases(&mut self) {
         let mut orders = Vec::new();
         let addresses = self.engine_addresses();
@@ -578,6 +585,7 @@
             .collect()
     }
 
+    /// Answers the pending commands of all groups that this member no longer leads.
     pub(crate) fn abandon_pending(&mut self) {
         let answers: Vec<(RequestToken, Response)> = self
             .groups
--- a/crates/control/src/observer_table.rs
+++ b/crates/control/src/observer_table.rs
@@ -1,75 +1,76 @@
-//! Observers that wait for news at a member, found by what is due and by what is new.
+//! Table of the observers that wait for updates, indexed by deadline and by arrival.
 //!
-//! A member hears many questions for each thing that happens. So a question that brings nothing
-//! new costs as much whether ten or a thousand others wait.
+//! A member receives many requests per change. The cost of a request for which nothing is new does
+//! not depend on the number of observers that wait.
 
 use crate::protocol::RequestToken;
 use luglink_fleet::{Known, KnownIncarnations, MembersStamp};
 use luglink_types::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whole lists of backends, or large parts of them, that may be on their way at once. Each may be
-/// as large as the deployment, and after a start every gateway wants one: a member's memory holds
-/// no more than these however slow the links are.
+/// Maximum number of whole lists of backends, or large parts of them, in flight at the same time.
+/// A list may be as large as the deployment, and after a start every gateway requests one. The
+/// limit bounds the memory of a member independently of the speed of its links.
 pub(crate) const MAX_LISTS_IN_FLIGHT: usize = 4;
 
-/// An observer that waits for news.
+/// An observer that waits for updates.
 #[derive(Clone, Debug)]
 pub(crate) struct Observer {
     pub(crate) token: RequestToken,
     pub(crate) known: Known,
-    /// What it knows of incarnations, when it asks for them.
+    /// Incarnations that it knows; set if it asks for newer ones.
     pub(crate) known_incarnations: Option<KnownIncarnations>,
-    /// Its zone, when it is to be told what the gateways of that zone see.
+    /// Its zone, if it asks for the load that the gateways of the zone measure.
     pub(crate) sights_zone: Option<String>,
-    /// Whether it counts on this member to be told of a new document at once.
+    /// True if it expects this member to send a new document at once.
     pub(crate) tells_first: bool,
-    /// Its zone, when this member counts it.
+    /// Its zone, if it is counted at this member.
     pub(crate) counted_zone: Option<String>,
-    pub(crate) until: Timestamp,
+    /// End of the hold, at which it is answered even if nothing is new.
+    pub(crate) deadline: Timestamp,
 }
 
-/// Names an observer: its connection, and its process, which asks one question at a time.
+/// Identifies an observer by its connection and process. A process has one open request at a time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ObserverKey {
     pub(crate) client: u64,
     pub(crate) name: String,
 }
 
-/// Everything that may be news. As long as it stays the same, only observers that have just asked
-/// can have any.
+/// Versions of everything that observers are updated about. While the stamp does not change, only
+/// observers whose requests have just arrived can have updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct NewsStamp {
     pub(crate) is_fresh: bool,
     pub(crate) members: MembersStamp,
     pub(crate) document_version: u64,
-    /// Whether those who leave it to others to tell the document have waited long enough.
+    /// True once the document is also sent to observers that expect it from other members first.
     pub(crate) sends_document_to_all: bool,
     pub(crate) store_epoch: u64,
     pub(crate) list_seen: Option<Timestamp>,
 }
 
-/// Observers that wait.
+/// The observers that wait at a member.
 #[derive(Debug, Default)]
 pub(crate) struct ObserverTable {
     waiting: BTreeMap<ObserverKey, Observer>,
     deadlines: BTreeSet<(Timestamp, ObserverKey)>,
-    /// Those that have asked since the last look.
+    /// Observers whose requests have arrived since the last call of `take_candidates`.
     arrived: BTreeSet<ObserverKey>,
-    /// Those that lack a whole list, or much of it, and wait until one may be sent.
+    /// Observers that lack the whole list, or much of it, and wait until one may be sent.
     waiting_for_list: BTreeSet<ObserverKey>,
-    /// Those that were sent one and have not asked again.
+    /// Observers that were sent a list and have not sent their next request yet.
     lists_in_flight: BTreeSet<ObserverKey>,
     stamp: NewsStamp,
 }
 
 impl ObserverTable {
-    /// Takes a question. Who asks again has given its earlier question up, and has what it was
-    /// sent before.
+    /// Adds an observer. A repeated request replaces the earlier one, and confirms that a list that
+    /// was sent to this observer has arrived.
     pub(crate) fn insert(&mut self, key: ObserverKey, observer: Observer) {
         self.remove(&key);
         self.lists_in_flight.remove(&key);
-        self.deadlines.insert((observer.until, key.clone()));
+        self.deadlines.insert((observer.deadline, key.clone()));
         self.arrived.insert(key.clone());
         self.waiting.insert(key, observer);
     }
@@ -80,34 +81,34 @@
 
     pub(crate) fn remove(&mut self, key: &ObserverKey) -> Option<Observer> {
         let observer = self.waiting.remove(key)?;
-        self.deadlines.remove(&(observer.until, key.clone()));
+        self.deadlines.remove(&(observer.deadline, key.clone()));
         self.arrived.remove(key);
         self.waiting_for_list.remove(key);
         Some(observer)
     }
 
-    /// Forgets a connection that has closed.
+    /// Removes the observers of a closed connection.
     pub(crate) fn forget_client(&mut self, client: u64) {
-        let is_its = |key: &ObserverKey| key.client == client;
+        let belongs_to_client = |key: &ObserverKey| key.client == client;
         let keys: Vec<ObserverKey> = self
             .waiting
             .keys()
-            .filter(|key| is_its(key))
+            .filter(|key| belongs_to_client(key))
             .cloned()
             .collect();
         for key in keys {
             self.remove(&key);
         }
-        self.lists_in_flight.retain(|key| !is_its(key));
+        self.lists_in_flight.retain(|key| !belongs_to_client(key));
     }
 
-    /// When the first observer has waited long enough.
+    /// Returns the earliest deadline of an observer.
     pub(crate) fn next_deadline(&self) -> Option<Timestamp> {
-        self.deadlines.first().map(|(until, _)| *until)
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Observers that may have news: all of them when something is new, else those that have just
-    /// asked.
+    /// Returns the observers that may have updates: all of them if the stamp has changed, otherwise
+    /// those whose requests have just arrived.
     pub(crate) fn take_candidates(&mut self, stamp: NewsStamp) -> BTreeSet<ObserverKey> {
         let arrived = std::mem::take(&mut self.arrived);
         if stamp == self.stamp {
@@ -117,31 +118,32 @@
         self.waiting.keys().cloned().collect()
     }
 
-    /// Observers that have waited long enough.
+    /// Returns the observers whose deadline has passed.
     pub(crate) fn due(&self, now: Timestamp) -> Vec<ObserverKey> {
-        let due = self.deadlines.iter().take_while(|(until, _)| *until <= now);
+        let due = self.deadlines.iter().take_while(|(deadline, _)| *deadline <= now);
         due.map(|(_, key)| key.clone()).collect()
     }
 
-    /// Puts an observer off until a list may be sent to it.
+    /// Defers the answer to an observer until a list may be sent to it.
     pub(crate) fn defer_until_list_slot(&mut self, key: ObserverKey) {
         if let Some(observer) = self.waiting.get(&key) {
-            self.deadlines.remove(&(observer.until, key.clone()));
+            self.deadlines.remove(&(observer.deadline, key.clone()));
             self.waiting_for_list.insert(key);
         }
     }
 
-    /// Observers to which lists may be sent now.
+    /// Returns the deferred observers that a list may be sent to now.
     pub(crate) fn next_list_recipients(&self) -> Vec<ObserverKey> {
         let free = MAX_LISTS_IN_FLIGHT.saturating_sub(self.lists_in_flight.len());
         self.waiting_for_list.iter().take(free).cloned().collect()
     }
 
+    /// Returns true if another list may be sent now.
     pub(crate) fn may_send_list(&self) -> bool {
         self.lists_in_flight.len() < MAX_LISTS_IN_FLIGHT
     }
 
-    /// Notes that a list is on its way to an observer.
+    /// Records that a list has been sent to an observer.
     pub(crate) fn record_list_sent(&mut self, key: ObserverKey) {
         self.lists_in_flight.insert(key);
     }
--- a/crates/control/src/observers.rs
+++ b/crates/control/src/observers.rs
@@ -93,7 +93,7 @@
             sights_zone,
             tells_first: observation.tells_first,
             counted_zone,
-            until: self.now.plus(self.observe_hold()),
+            deadline: self.now.plus(self.observe_hold()),
         };
         self.fleet.observers.insert(key, observer);
     }
@@ -338,7 +338,7 @@
         let known = &observer.known;
         let mut news = News {
             fresh: self.is_fresh(),
-            gateways: self.fleet.gateways,
+            gateways: self.fleet.gateway_count,
             zone_load: observer
                 .counted_zone
                 .as_ref()
@@ -382,7 +382,7 @@
             .fleet
             .presence
             .gateways_of_members(self.now, forget_timeout);
-        self.fleet.gateways = self.own_gateways() + elsewhere;
+        self.fleet.gateway_count = self.own_gateways() + elsewhere;
     }
 
     /// Members of the configuration group as far as this one knows; 0 while it is none of them,
--- a/crates/control/src/parts.rs
+++ b/crates/control/src/parts.rs
@@ -1,39 +1,40 @@
-//! What newer builds add to requests and responses.
+//! Optional extensions of requests and responses, for compatibility between builds.
 //!
-//! It follows the message as numbered parts. A build passes over the parts that it does not know,
-//! and answers with a part only those who have shown with theirs that they read it.
+//! Extensions follow the message as numbered parts. A build ignores parts with unknown numbers, and
+//! adds a part to a response only if the request carried a part that shows that the client reads
+//! it.
 
 use luglink_fleet::{KnownIncarnations, MemberSights, ReplicaIncarnation, Sights, ZoneSights};
 use luglink_wire::{PartNumber, Parts, WireError};
 
-/// Behind an observation: the incarnations that the observer knows.
+/// Request part: fingerprint of the replica incarnations that the observer knows.
 const KNOWN_INCARNATIONS: PartNumber = PartNumber(1);
 
-/// Behind news: incarnations that the observer lacks.
+/// Response part: replica incarnations that the observer lacks.
 const INCARNATIONS: PartNumber = PartNumber(2);
 
-/// Behind an observation: what the observing gateway sees of the replicas.
+/// Request part: load of the replicas as the observing gateway measures it.
 const SIGHTS: PartNumber = PartNumber(3);
 
-/// Behind news: what the gateways of the observer's zone see together.
+/// Response part: load of the replicas, aggregated over the gateways of the observer's zone.
 const ZONE_SIGHTS: PartNumber = PartNumber(4);
 
-/// Behind words of gateways: what those that the telling member counts see together.
+/// Request part: load of the replicas, aggregated over the gateways that the sending member counts.
 const MEMBER_SIGHTS: PartNumber = PartNumber(5);
 
-/// What follows a request.
+/// Optional parts of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestParts {
-    /// What an observer knows of the incarnations of replicas, when it asks for newer ones.
+    /// Incarnations that the observer knows; set if it asks for newer ones.
     pub known_incarnations: Option<KnownIncarnations>,
-    /// What an observing gateway sees of the replicas, when it asks what others see.
+    /// Load that the observing gateway measures; set if it asks for the load of its zone.
     pub sights: Option<Sights>,
-    /// What the gateways see that a member of the same zone counts.
+    /// Load that the gateways counted at the sending member measure.
     pub member_sights: Option<MemberSights>,
 }
 
 impl RequestParts {
-    /// For the wire.
+    /// Encodes the parts for the wire.
     ///
     /// # Errors
     /// A part cannot be encoded.
@@ -51,10 +52,10 @@
         Ok(parts)
     }
 
-    /// From the wire.
+    /// Decodes the known parts from the wire.
     ///
     /// # Errors
-    /// A known part cannot be read.
+    /// Fails if a known part cannot be decoded.
     pub fn decode(parts: &Parts) -> Result<Self, WireError> {
         Ok(Self {
             known_incarnations: parts.get(KNOWN_INCARNATIONS)?,
@@ -64,17 +65,17 @@
     }
 }
 
-/// What follows a response.
+/// Optional parts of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseParts {
-    /// Incarnations that an observer lacks.
+    /// Replica incarnations that the observer lacks.
     pub incarnations: Vec<ReplicaIncarnation>,
-    /// What the gateways of an observer's zone see of the replicas.
+    /// Load of the replicas, aggregated over the gateways of the observer's zone.
     pub zone_sights: Option<ZoneSights>,
 }
 
 impl ResponseParts {
-    /// For the wire.
+    /// Encodes the parts for the wire.
     ///
     /// # Errors
     /// A part cannot be encoded.
@@ -89,10 +90,10 @@
         Ok(parts)
     }
 
-    /// From the wire.
+    /// Decodes the known parts from the wire.
     ///
     /// # Errors
-    /// A known part cannot be read.
+    /// Fails if a known part cannot be decoded.
     pub fn decode(parts: &Parts) -> Result<Self, WireError> {
         Ok(Self {
             incarnations: parts.get(INCARNATIONS)?.unwrap_or_default(),
--- a/crates/control/src/persistence.rs
+++ b/crates/control/src/persistence.rs
@@ -1,4 +1,4 @@
-//! From consensus to disk and back: what a member makes durable, sends and applies.
+//! Processing of the work that consensus hands out: persists, sends and applies it.
 
 use crate::errors::ControlError;
 use crate::machine::encode;
@@ -9,6 +9,7 @@
 use luglink_types::GroupId;
 
 impl<D: Disk> ControlNode<D> {
+    /// Processes the pending work of all groups. Returns false if there was none.
     pub(crate) fn flush_once(&mut self) -> Result<bool, ControlError> {
         let mut work: Vec<(GroupId, Ready)> = Vec::new();
         for (id, group) in &mut self.groups {
@@ -33,7 +34,7 @@
         Ok(true)
     }
 
-    /// Makes the work of all groups durable with one sync.
+    /// Persists the hard states and entries of all groups with one sync.
     fn persist(&mut self, work: &[(GroupId, Ready)]) -> Result<(), ControlError> {
         let mut records = Vec::new();
         for (group, ready) in work {
@@ -73,7 +74,8 @@
         self.snapshot_if_due(id, ready.committed.last().map(|entry| entry.index))
     }
 
-    /// Writes the group's state as a snapshot once the log has grown long.
+    /// Writes a snapshot of the group's state and compacts its log, if the log has reached
+    /// `snapshot_entries`.
     fn snapshot_if_due(
         &mut self,
         id: GroupId,
@@ -104,7 +106,7 @@
             if let Message::InstallSnapshot { snapshot } = &mut envelope.message {
                 match self.store.read_snapshot(group)? {
                     Some(stored) => *snapshot = stored,
-                    // Nothing to send yet: the follower is offered the entries instead.
+                    // No snapshot is stored yet; the follower is sent the entries instead.
                     None if snapshot.index > 0 => continue,
                     None => {}
                 }
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which members hold which group at the start.
+//! Initial placement of groups on members.
 
 use luglink_raft::{Membership, Peer};
 use luglink_types::{GroupId, MemberId};
@@ -6,13 +6,14 @@
 use crate::config::ControlConfig;
 use crate::machine::CONFIGURATION_GROUP;
 
-/// Incarnation of a member's first storage.
+/// Incarnation of a storage that takes part in the bootstrap.
 pub(crate) const FIRST_INCARNATION: u64 = 1;
 
-/// The membership that a group starts with. Every member computes the same one.
+/// Computes the initial membership of a group. Every member computes the same result.
 ///
-/// All members follow the configuration group, so that each can feed daemons; only a few of
-/// them vote in it. Program groups are spread evenly: group `g` starts at the `g`-th member.
+/// All members replicate the configuration group, so that each can serve it to clients; only the
+/// first `configuration_voters` of them vote. Program groups are distributed round-robin: the
+/// voters of group `g` start at the `g`-th member.
 #[must_use]
 pub fn initial_membership(
     config: &ControlConfig,
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Requests to a control member and its responses.
+//! Requests to a control member, and its responses.
 
 use luglink_fleet::{HeardGateway, News, Observation, RetireAnswer, StoreName, VersionedDocument};
 use luglink_program::{Command, ProgramView, Reply};
@@ -7,37 +7,37 @@
 use luglink_types::{EngineId, GroupId, MemberId, ProgramId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Names one request of one client of a member; replies carry it back.
+/// Identifies one request of one client of a member. The reply carries the same token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestToken {
-    /// The client, as the shell numbers them.
+    /// Number that the server assigned to the client's connection.
     pub client: u64,
-    /// The client's number for the request.
+    /// Number that the client assigned to the request.
     pub request: u64,
 }
 
-/// What a client asks.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
     /// Applies a command in the group that holds its program.
     Program(Command),
-    /// A linearizable look at a program.
+    /// Linearizable read of a program.
     View(ProgramId),
-    /// The configuration after `known`.
+    /// Changes of the configuration after the revision `known`, as this member has applied them.
     WatchConfiguration {
-        /// The revision that the client has.
+        /// Revision that the client has.
         known: Revision,
-        /// Whether to hold the request open for a while when there are no news.
+        /// Holds the request open for up to `watch_hold` while there is no newer revision.
         hold: bool,
     },
-    /// A linearizable read of the configuration after `known`.
+    /// Linearizable read of the changes of the configuration after the revision `known`.
     ReadConfiguration {
-        /// The revision that the client has.
+        /// Revision that the client has.
         known: Revision,
     },
     /// Changes the configuration.
     Change(Change),
-    /// How this member is.
+    /// Status of this member.
     Status,
     /// Changes the members of a group.
     ChangeMembership {
@@ -46,119 +46,121 @@
         /// The change.
         change: MembershipChange,
     },
-    /// Hands over leadership of every group, for a planned stop.
+    /// Transfers leadership of every group that this member leads, before a planned stop.
     HandOver,
-    /// Puts a configuration document in force, unless one of its version or above is.
+    /// Replaces the configuration document, unless the current version is the same or newer.
     PutDocument(VersionedDocument),
-    /// A linearizable read of the configuration document.
+    /// Linearizable read of the configuration document.
     ReadDocument,
-    /// Says who asks and what it knows; answered at news or after a while.
+    /// Long poll: reports the observer's presence and what it knows. Answered when something is
+    /// new for it, or at the end of the hold.
     Observe(Box<Observation>),
-    /// Words of gateways that another member of the zone has heard.
+    /// Gateway reports that another member of the zone has received.
     RelayGatewayReports(Vec<HeardGateway>),
-    /// A member that the configuration group does not contain wants to be let in.
+    /// Asks for admission to the configuration group.
     Join(Peer),
-    /// Empties a turn store.
+    /// Starts the retirement of a turn store.
     Retire(StoreName),
-    /// A linearizable look at the retirement of a turn store.
+    /// Linearizable read of the retirement state of a turn store.
     ReadRetirement(StoreName),
 }
 
-/// The response to a request.
+/// Response to a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// The command was applied.
+    /// Result of an applied program command.
     Program(Reply),
-    /// The program, if there is one.
+    /// The program; `None` if it does not exist.
     View(Option<Box<ProgramView>>),
-    /// The configuration after the client's revision.
+    /// Changes of the configuration after the client's revision.
     Configuration(CatchUp),
-    /// The answer to a change.
+    /// Result of a change of the configuration.
     Change(ChangeAnswer),
-    /// How this member is.
+    /// Status of this member.
     Status(MemberStatus),
-    /// Done.
+    /// The request was accepted and has no other result.
     Done,
-    /// The document in force.
+    /// The current document; `None` if none was put yet.
     Document(Option<VersionedDocument>),
-    /// A document was put; this version is held now.
+    /// Result of a put document, which does not replace one of the same or a newer version.
     DocumentHeld {
-        /// The held version.
+        /// Version of the current document.
         version: u64,
     },
-    /// What is new for an observer.
+    /// Updates for an observer.
     News(Box<News>),
-    /// How far the retirement of a turn store is.
+    /// Retirement state of a turn store.
     Retirement(RetireAnswer),
-    /// Another member leads the group; nothing is known of whether an earlier send of the same
-    /// request took effect. Every request may be sent again.
+    /// This member does not lead the group. Whether an earlier attempt of the same request took
+    /// effect is unknown; all requests are safe to retry.
     NotLeader {
         /// The group.
         group: GroupId,
-        /// Who leads it, when known.
+        /// Its leader, if known and not this member.
         leader: Option<MemberId>,
     },
-    /// This member cannot answer now; another one may.
+    /// This member cannot serve the request now; another member may.
     Unavailable {
-        /// Why.
+        /// Description of the cause.
         reason: String,
     },
 }
 
-/// How one group is at one member.
+/// Status of one group at one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupStatus {
     /// The group.
     pub group: GroupId,
     /// Current term.
     pub term: Term,
-    /// Leader, when known.
+    /// Leader, if known.
     pub leader: Option<MemberId>,
-    /// Last committed entry.
+    /// Index of the last committed entry.
     pub commit: LogIndex,
-    /// Entries after the snapshot.
+    /// Number of log entries after the snapshot.
     pub log_entries: u64,
     /// Members of the group.
     pub membership: Membership,
 }
 
-/// How a member is.
+/// Status of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// The member.
     pub member: MemberId,
     /// Incarnation of its storage.
     pub incarnation: u64,
-    /// Revision of the configuration it has applied.
+    /// Revision of the configuration that it has applied.
     pub revision: Revision,
-    /// Programs in the groups it holds, ended ones within their retention included.
+    /// Number of programs in its groups, including ended programs within their retention.
     pub programs: u64,
-    /// Engine memory that is still to be released, in groups it leads.
+    /// Number of release orders that engines have not confirmed, in the groups that it leads.
     pub pending_releases: u64,
-    /// Its groups.
+    /// Status of its groups.
     pub groups: Vec<GroupStatus>,
 }
 
-/// Orders carry a fence: an engine refuses one that is lower than the highest it has seen.
+/// Fencing token of an order. An engine refuses an order whose fence is lower than the highest that
+/// it has seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fence {
     /// Term of the leader that gave the order.
     pub epoch: u64,
-    /// Number of the order within the term.
+    /// Sequence number of the order within the term.
     pub sequence: u64,
 }
 
-/// Tells an engine to give up what it holds of an ended program.
+/// Order to an engine to release the memory of an ended program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseOrder {
     /// The program.
     pub program: ProgramId,
     /// The engine.
     pub engine: EngineId,
-    /// The engine's address in the configuration; `None` when it is no longer configured.
+    /// Address of the engine in the configuration; `None` if it is no longer configured.
     pub address: Option<String>,
-    /// The fence.
+    /// Fencing token of the order.
     pub fence: Fence,
 }
--- a/crates/control/src/watches.rs
+++ b/crates/control/src/watches.rs
@@ -1,4 +1,4 @@
-//! Clients that wait for a newer configuration.
+//! Long-polling watches of the configuration.
 
 use crate::machine::CONFIGURATION_GROUP;
 use crate::node::ControlNode;
@@ -7,15 +7,16 @@
 use luglink_storage::Disk;
 use luglink_types::{Revision, Timestamp};
 
-/// A configuration watch that waits for news.
+/// A configuration watch that waits for a newer revision.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Watch {
     pub(crate) token: RequestToken,
     pub(crate) known: Revision,
-    pub(crate) until: Timestamp,
+    pub(crate) deadline: Timestamp,
 }
 
 impl<D: Disk> ControlNode<D> {
+    /// Starts a configuration watch. Returns the response if it can be given at once.
     pub(crate) fn watch(
         &mut self,
         token: RequestToken,
@@ -36,11 +37,13 @@
         self.watches.push(Watch {
             token,
             known,
-            until: self.now.plus(self.config.watch_hold),
+            deadline: self.now.plus(self.config.watch_hold),
         });
         None
     }
 
+    /// Returns true if this member leads the configuration group, or was recently confirmed to be
+    /// up to date by its leader.
     pub(crate) fn configuration_is_fresh(&self) -> bool {
         let leads = self.leads(CONFIGURATION_GROUP);
         let silence = self.now.since(self.configuration_confirmed_at);
@@ -53,28 +56,31 @@
             .map_or(CatchUp::Current, |store| store.catch_up(known))
     }
 
+    /// Answers the watches that a newer revision is available for.
     pub(crate) fn answer_watches(&mut self) {
         let revision = self.revision();
-        let (news, waiting): (Vec<Watch>, Vec<Watch>) = self
+        let (ready, waiting): (Vec<Watch>, Vec<Watch>) = self
             .watches
             .drain(..)
             .partition(|watch| watch.known < revision);
         self.watches = waiting;
-        for watch in news {
+        for watch in ready {
             let catch_up = self.catch_up(watch.known);
             self.reply(watch.token, Response::Configuration(catch_up));
         }
     }
 
+    /// Answers the watches that are at their deadline, or all of them if the configuration is
+    /// stale.
     pub(crate) fn expire_watches(&mut self) {
         let now = self.now;
         let fresh = self.configuration_is_fresh();
-        let (over, waiting): (Vec<Watch>, Vec<Watch>) = self
+        let (expired, waiting): (Vec<Watch>, Vec<Watch>) = self
             .watches
             .drain(..)
-            .partition(|watch| !fresh || now >= watch.until);
+            .partition(|watch| !fresh || now >= watch.deadline);
         self.watches = waiting;
-        for watch in over {
+        for watch in expired {
             let response = if fresh {
                 Response::Configuration(CatchUp::Current)
             } else {
