--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -9,8 +9,8 @@
 use crate::observer_table::ObserverTable;
 use crate::protocol::Response;
 use luglink_fleet::{
-    GatewayLoad, HeardStore, ListHistory, NamedGateways, PresenceTable, RetireState, SightTable,
-    StoreCommand, StoreMember, StoreName, StoreState, StoreView,
+    AdvertisedCount, GatewayLoad, LastStorePresence, ListHistory, PresenceTable, RetireState,
+    StatsTable, StoreCommand, StoreMember, StoreName, StoreState, StoreView,
 };
 use luglink_raft::{MembershipChange, Peer};
 use luglink_storage::Disk;
@@ -25,7 +25,7 @@
 pub(crate) struct FleetState {
     pub(crate) presence: PresenceTable,
     /// Load of the replicas as gateways measure it.
-    pub(crate) sights: SightTable,
+    pub(crate) replica_stats: StatsTable,
     pub(crate) observers: ObserverTable,
     pub(crate) list: ListHistory,
     /// Number of ready gateways in the fleet, as the leader has counted them; 0 if unknown.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneState {
     pub(crate) load: GatewayLoad,
-    pub(crate) named: NamedGateways,
+    pub(crate) named: AdvertisedCount,
 }
 
 impl FleetState {
@@ -97,9 +97,9 @@
         let limit = self.resolution_validity();
         self.fleet.update_zone_loads(self.now, limit);
         let has_neighbours = !self.neighbours().is_empty();
-        self.fleet.sights.set_has_neighbours(has_neighbours);
+        self.fleet.replica_stats.set_has_neighbours(has_neighbours);
         let sights_timeout = self.sights_timeout();
-        self.fleet.sights.expire(self.now, sights_timeout);
+        self.fleet.replica_stats.expire(self.now, sights_timeout);
         let now = self.now;
         self.fleet
             .candidates
@@ -212,7 +212,7 @@
         };
         let view = state.stores.view();
         let joins = self.fleet.presence.stores(self.now).filter_map(|heard| {
-            let HeardStore { zone, store, .. } = heard;
+            let LastStorePresence { zone, store, .. } = heard;
             let name = StoreName(heard.name.to_owned());
             if heard.silence >= managed.store_timeout
                 || state.stores.retirement(&name) == Some(RetireState::Completed)
@@ -245,7 +245,7 @@
     }
 
     /// Returns the last report of a store; `None` if this member has none.
-    fn last_store_report(&self, name: &StoreName) -> Option<HeardStore<'_>> {
+    fn last_store_report(&self, name: &StoreName) -> Option<LastStorePresence<'_>> {
         let mut stores = self.fleet.presence.stores(self.now);
         stores.find(|heard| heard.name == name.0)
     }
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -1,7 +1,9 @@
 //! State machines that replication groups apply their entries to.
 
 use crate::errors::{ControlError, DecodeSnafu, EncodeSnafu};
-use luglink_fleet::{DocumentStore, RetireAnswer, StoreCommand, StoreRegistry, VersionedDocument};
+use luglink_fleet::{
+    DocumentStore, RetireResponse, StoreCommand, StoreRegistry, VersionedDocument,
+};
 use luglink_program::{Command, ProgramStore, RefundRule, Reply};
 use luglink_resources::{Change, ChangeAnswer, ResourceStore};
 use luglink_types::{GroupId, Timestamp};
@@ -34,7 +36,7 @@
     /// Version of the document that is held after the command.
     Document(u64),
     /// Result of a change of the registry of turn stores.
-    Store(RetireAnswer),
+    Store(RetireResponse),
     /// The command does not belong to this kind of group. Only a bug can log such a command.
     WrongGroup,
 }
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -214,7 +214,7 @@
                 Ok(())
             }
             Input::LeaderIncarnations(incarnations) => {
-                self.fleet.list.take_incarnations(&incarnations);
+                self.fleet.list.merge_incarnations(&incarnations);
                 Ok(())
             }
             Input::ClientGone { client } => {
@@ -410,7 +410,7 @@
             Request::ChangeMembership { group, change } => {
                 Some(self.change_membership(group, change))
             }
-            Request::HandOver => {
+            Request::TransferLeadership => {
                 self.hand_over();
                 Some(Response::Done)
             }
@@ -424,7 +424,7 @@
                 None
             }
             Request::RelayGatewayReports(words) => {
-                self.on_gateway_reports(words, parts.member_sights);
+                self.on_gateway_reports(words, parts.member_stats);
                 Some(Response::Done)
             }
             Request::Join(peer) => Some(self.on_join(peer)),
--- a/crates/control/src/observer_table.rs
+++ b/crates/control/src/observer_table.rs
@@ -4,7 +4,7 @@
 //! not depend on the number of observers that wait.
 
 use crate::protocol::RequestToken;
-use luglink_fleet::{Known, KnownIncarnations, MembersStamp};
+use luglink_fleet::{KnownIncarnations, KnownVersions, MembersStamp};
 use luglink_types::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,13 +17,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Observer {
     pub(crate) token: RequestToken,
-    pub(crate) known: Known,
+    pub(crate) known: KnownVersions,
     /// Incarnations that it knows; set if it asks for newer ones.
     pub(crate) known_incarnations: Option<KnownIncarnations>,
     /// Its zone, if it asks for the load that the gateways of the zone measure.
     pub(crate) sights_zone: Option<String>,
     /// True if it expects this member to send a new document at once.
-    pub(crate) tells_first: bool,
+    pub(crate) sends_document_at_once: bool,
     /// Its zone, if it is counted at this member.
     pub(crate) counted_zone: Option<String>,
     /// End of the hold, at which it is answered even if nothing is new.
@@ -120,7 +120,10 @@
 
     /// Returns the observers whose deadline has passed.
     pub(crate) fn due(&self, now: Timestamp) -> Vec<ObserverKey> {
-        let due = self.deadlines.iter().take_while(|(deadline, _)| *deadline <= now);
+        let due = self
+            .deadlines
+            .iter()
+            .take_while(|(deadline, _)| *deadline <= now);
         due.map(|(_, key)| key.clone()).collect()
     }
 
--- a/crates/control/src/parts.rs
+++ b/crates/control/src/parts.rs
@@ -4,7 +4,7 @@
 //! adds a part to a response only if the request carried a part that shows that the client reads
 //! it.
 
-use luglink_fleet::{KnownIncarnations, MemberSights, ReplicaIncarnation, Sights, ZoneSights};
+use luglink_fleet::{KnownIncarnations, MemberStats, ReplicaIncarnation, StatsReport, ZoneStats};
 use luglink_wire::{PartNumber, Parts, WireError};
 
 /// Request part: fingerprint of the replica incarnations that the observer knows.
@@ -28,9 +28,9 @@
     /// Incarnations that the observer knows; set if it asks for newer ones.
     pub known_incarnations: Option<KnownIncarnations>,
     /// Load that the observing gateway measures; set if it asks for the load of its zone.
-    pub sights: Option<Sights>,
+    pub replica_stats: Option<StatsReport>,
     /// Load that the gateways counted at the sending member measure.
-    pub member_sights: Option<MemberSights>,
+    pub member_stats: Option<MemberStats>,
 }
 
 impl RequestParts {
@@ -43,11 +43,11 @@
         if let Some(known) = &self.known_incarnations {
             parts.put(KNOWN_INCARNATIONS, known)?;
         }
-        if let Some(sights) = &self.sights {
-            parts.put(SIGHTS, sights)?;
+        if let Some(replica_stats) = &self.replica_stats {
+            parts.put(SIGHTS, replica_stats)?;
         }
-        if let Some(sights) = &self.member_sights {
-            parts.put(MEMBER_SIGHTS, sights)?;
+        if let Some(replica_stats) = &self.member_stats {
+            parts.put(MEMBER_SIGHTS, replica_stats)?;
         }
         Ok(parts)
     }
@@ -59,8 +59,8 @@
     pub fn decode(parts: &Parts) -> Result<Self, WireError> {
         Ok(Self {
             known_incarnations: parts.get(KNOWN_INCARNATIONS)?,
-            sights: parts.get(SIGHTS)?,
-            member_sights: parts.get(MEMBER_SIGHTS)?,
+            replica_stats: parts.get(SIGHTS)?,
+            member_stats: parts.get(MEMBER_SIGHTS)?,
         })
     }
 }
@@ -71,7 +71,7 @@
     /// Replica incarnations that the observer lacks.
     pub incarnations: Vec<ReplicaIncarnation>,
     /// Load of the replicas, aggregated over the gateways of the observer's zone.
-    pub zone_sights: Option<ZoneSights>,
+    pub zone_stats: Option<ZoneStats>,
 }
 
 impl ResponseParts {
@@ -84,8 +84,8 @@
         if !self.incarnations.is_empty() {
             parts.put(INCARNATIONS, &self.incarnations)?;
         }
-        if let Some(sights) = &self.zone_sights {
-            parts.put(ZONE_SIGHTS, sights)?;
+        if let Some(replica_stats) = &self.zone_stats {
+            parts.put(ZONE_SIGHTS, replica_stats)?;
         }
         Ok(parts)
     }
@@ -97,7 +97,7 @@
     pub fn decode(parts: &Parts) -> Result<Self, WireError> {
         Ok(Self {
             incarnations: parts.get(INCARNATIONS)?.unwrap_or_default(),
-            zone_sights: parts.get(ZONE_SIGHTS)?,
+            zone_stats: parts.get(ZONE_SIGHTS)?,
         })
     }
 }
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -1,6 +1,8 @@
 //! Requests to a control member, and its responses.
 
-use luglink_fleet::{HeardGateway, News, Observation, RetireAnswer, StoreName, VersionedDocument};
+use luglink_fleet::{
+    ObserverRequest, ObserverUpdate, RelayedPresence, RetireResponse, StoreName, VersionedDocument,
+};
 use luglink_program::{Command, ProgramView, Reply};
 use luglink_raft::{LogIndex, Membership, MembershipChange, Peer, Term};
 use luglink_resources::{CatchUp, Change, ChangeAnswer};
@@ -47,16 +49,16 @@
         change: MembershipChange,
     },
     /// Transfers leadership of every group that this member leads, before a planned stop.
-    HandOver,
+    TransferLeadership,
     /// Replaces the configuration document, unless the current version is the same or newer.
     PutDocument(VersionedDocument),
     /// Linearizable read of the configuration document.
     ReadDocument,
     /// Long poll: reports the observer's presence and what it knows. Answered when something is
     /// new for it, or at the end of the hold.
-    Observe(Box<Observation>),
+    Observe(Box<ObserverRequest>),
     /// Gateway reports that another member of the zone has received.
-    RelayGatewayReports(Vec<HeardGateway>),
+    RelayGatewayReports(Vec<RelayedPresence>),
     /// Asks for admission to the configuration group.
     Join(Peer),
     /// Starts the retirement of a turn store.
@@ -88,9 +90,9 @@
         version: u64,
     },
     /// Updates for an observer.
-    News(Box<News>),
+    ObserverUpdate(Box<ObserverUpdate>),
     /// Retirement state of a turn store.
-    Retirement(RetireAnswer),
+    Retirement(RetireResponse),
     /// This member does not lead the group. Whether an earlier attempt of the same request took
     /// effect is unknown; all requests are safe to retry.
     NotLeader {
