--- a/crates/control-server/src/actor.rs
+++ b/crates/control-server/src/actor.rs
@@ -384,7 +384,7 @@
             Accepted::Frame { connection, frame } => self.on_frame(connection, frame, context),
             Accepted::Closed { connection } => {
                 self.clients.remove(&connection);
-                self.handle_input(Input::ClientGone { client: connection }, context);
+                self.handle_input(Input::ClientDisconnected { client: connection }, context);
             }
         }
     }
@@ -425,22 +425,22 @@
 /// What the leader told.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct ApplyLeaderNews {
+pub(crate) struct ApplyLeaderUpdate {
     pub(crate) report: Option<BackendReport>,
     pub(crate) gateways: u32,
     pub(crate) incarnations: Vec<ReplicaIncarnation>,
 }
 
-impl Handler<ApplyLeaderNews> for ControlActor {
+impl Handler<ApplyLeaderUpdate> for ControlActor {
     type Result = ();
 
-    fn handle(&mut self, news: ApplyLeaderNews, context: &mut Self::Context) {
-        let ApplyLeaderNews {
+    fn handle(&mut self, update: ApplyLeaderUpdate, context: &mut Self::Context) {
+        let ApplyLeaderUpdate {
             report,
             gateways,
             incarnations,
-        } = news;
-        self.handle_input(Input::LeaderNews { report, gateways }, context);
+        } = update;
+        self.handle_input(Input::LeaderUpdate { report, gateways }, context);
         if !incarnations.is_empty() {
             self.handle_input(Input::LeaderIncarnations(incarnations), context);
         }
--- a/crates/control-server/src/joining.rs
+++ b/crates/control-server/src/joining.rs
@@ -46,8 +46,8 @@
             let link = links
                 .entry(target)
                 .or_insert_with(|| RequestClient::open(target, hello(peer)));
-            if let Some(named) = ask(link, peer).await {
-                leader = Some(SocketAddr::from((named, config.own.port())));
+            if let Some(leader_ip) = ask(link, peer).await {
+                leader = Some(SocketAddr::from((leader_ip, config.own.port())));
             }
         }
     }
--- a/crates/control-server/src/looks.rs
+++ b/crates/control-server/src/looks.rs
@@ -22,7 +22,7 @@
     /// Number of gateways that take callers.
     pub(crate) ready_gateways: u32,
     /// Gateways that count on this member to say that they take callers.
-    pub(crate) own_gateways: u32,
+    pub(crate) counted_gateways: u32,
     /// Whether this member leads.
     pub(crate) leads_configuration: bool,
     /// The leader that this member follows, when it is another one.
@@ -51,7 +51,7 @@
         let list = node.list();
         FleetStatus {
             ready_gateways: node.ready_gateway_count(),
-            own_gateways: node.own_gateways(),
+            counted_gateways: node.counted_gateways(),
             leads_configuration: node.leads(CONFIGURATION_GROUP),
             followed_leader: node.followed_leader(),
             members: node.member_count(),
@@ -78,7 +78,7 @@
     /// Gateways that take callers, with their zones.
     pub(crate) gateways: Vec<GatewayLocation>,
     /// How many of the caller's zone it is told of.
-    pub(crate) named: AdvertisedCount,
+    pub(crate) advertised: AdvertisedCount,
     /// Time for which callers may rely on where they are told to go.
     pub(crate) valid_for: Duration,
 }
@@ -90,7 +90,7 @@
         let node = self.node();
         node.map_or_else(Directory::default, |node| Directory {
             gateways: node.ready_gateways(),
-            named: node.advertised_gateways(query.zone.as_deref()),
+            advertised: node.advertised_gateways(query.zone.as_deref()),
             valid_for: node.resolution_validity(),
         })
     }
@@ -98,33 +98,33 @@
 
 /// Asks for the words of gateways that other members of the zone should hear.
 #[derive(Message)]
-#[rtype(result = "NeighbourReports")]
-pub(crate) struct GetNeighbourReports;
+#[rtype(result = "ZonePeerReport")]
+pub(crate) struct GetZonePeerReport;
 
 /// Words of gateways, and the members that should hear them.
 #[derive(Clone, Debug, Default, actix::MessageResponse)]
-pub(crate) struct NeighbourReports {
-    pub(crate) neighbours: Vec<Ipv4Addr>,
-    pub(crate) words: Vec<RelayedPresence>,
+pub(crate) struct ZonePeerReport {
+    pub(crate) zone_peers: Vec<Ipv4Addr>,
+    pub(crate) presences: Vec<RelayedPresence>,
     /// What the gateways see that this member counts.
     pub(crate) replica_stats: Option<MemberStats>,
 }
 
-impl Handler<GetNeighbourReports> for ControlActor {
-    type Result = NeighbourReports;
+impl Handler<GetZonePeerReport> for ControlActor {
+    type Result = ZonePeerReport;
 
-    fn handle(&mut self, _: GetNeighbourReports, _: &mut Self::Context) -> NeighbourReports {
+    fn handle(&mut self, _: GetZonePeerReport, _: &mut Self::Context) -> ZonePeerReport {
         let Some(node) = self.node() else {
-            return NeighbourReports::default();
+            return ZonePeerReport::default();
         };
-        let neighbours = node.neighbours();
-        if neighbours.is_empty() {
-            return NeighbourReports::default();
+        let zone_peers = node.zone_peers();
+        if zone_peers.is_empty() {
+            return ZonePeerReport::default();
         }
-        NeighbourReports {
-            neighbours,
-            words: node.gateway_reports_for_neighbours(),
-            replica_stats: node.sights_for_neighbours(),
+        ZonePeerReport {
+            zone_peers,
+            presences: node.presences_for_zone_peers(),
+            replica_stats: node.stats_for_zone_peers(),
         }
     }
 }
--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -108,7 +108,7 @@
         member_port: fleet.member_port(),
     };
     actix_rt::spawn(relay::follow_leader(actor.clone(), relay.clone()));
-    actix_rt::spawn(relay::report_to_neighbours(actor.clone(), relay));
+    actix_rt::spawn(relay::report_to_zone_peers(actor.clone(), relay));
     let seeds = Rc::new(RefCell::new(fleet.member_seeds()));
     let join = JoinConfig {
         own: address,
--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -4,8 +4,8 @@
 //! So gateways need ask only a few members near them, and the leader hears the members and not the
 //! gateways.
 
-use crate::actor::{ApplyLeaderNews, ControlActor};
-use crate::looks::{GetFleetStatus, GetListState, GetNeighbourReports, ListState};
+use crate::actor::{ApplyLeaderUpdate, ControlActor};
+use crate::looks::{GetFleetStatus, GetListState, GetZonePeerReport, ListState};
 use actix::Addr;
 use luglink_control::{Request, RequestParts, Response, ResponseParts};
 use luglink_fleet::{
@@ -71,22 +71,22 @@
             _ => followed.insert((leader, config.link(leader))),
         };
         let presence = MemberPresence {
-            gateways: status.own_gateways,
+            gateways: status.counted_gateways,
         };
-        let news = ask_leader(&control, &config, link, presence).await;
-        if is_following != news.is_some() {
-            is_following = news.is_some();
+        let update = ask_leader(&control, &config, link, presence).await;
+        if is_following != update.is_some() {
+            is_following = update.is_some();
             let list_age_ms = status.list_age.map(milliseconds);
             match is_following {
                 true => tracing::info!(%leader, list_age_ms, "following the leader's list"),
                 false => tracing::warn!(%leader, list_age_ms, "the leader's list is not heard"),
             }
         }
-        match news {
-            Some((news, parts)) => {
-                control.do_send(ApplyLeaderNews {
-                    report: news.backends,
-                    gateways: news.gateways,
+        match update {
+            Some((update, parts)) => {
+                control.do_send(ApplyLeaderUpdate {
+                    report: update.backends,
+                    gateways: update.gateways,
                     incarnations: parts.incarnations,
                 });
                 actix_rt::time::sleep(REQUEST_INTERVAL).await;
@@ -128,40 +128,40 @@
     let answer = link.request(body, REQUEST_TIMEOUT).await.ok()?;
     let (response, parts) = decode_with_parts(&answer).ok()?;
     match response {
-        Response::ObserverUpdate(news) => Some((*news, ResponseParts::decode(&parts).ok()?)),
+        Response::ObserverUpdate(update) => Some((*update, ResponseParts::decode(&parts).ok()?)),
         _ => None,
     }
 }
 
 /// Tells the other members of the zone which gateways this one hears, for ever.
-pub(crate) async fn report_to_neighbours(control: Addr<ControlActor>, config: RelayConfig) {
+pub(crate) async fn report_to_zone_peers(control: Addr<ControlActor>, config: RelayConfig) {
     let mut links: BTreeMap<Ipv4Addr, RequestClient> = BTreeMap::new();
     loop {
         actix_rt::time::sleep(REPORT_INTERVAL).await;
-        let Ok(taken) = control.send(GetNeighbourReports).await else {
+        let Ok(taken) = control.send(GetZonePeerReport).await else {
             return;
         };
-        links.retain(|member, _| taken.neighbours.contains(member));
-        if taken.neighbours.is_empty() {
+        links.retain(|member, _| taken.zone_peers.contains(member));
+        if taken.zone_peers.is_empty() {
             continue;
         }
         let parts = RequestParts {
             member_stats: taken.replica_stats,
             ..RequestParts::default()
         };
-        let words = Request::RelayGatewayReports(taken.words);
+        let presences = Request::RelayGatewayPresences(taken.presences);
         let encoded = parts.encode();
-        let body = match encoded.and_then(|parts| encode_with_parts(&words, &parts)) {
+        let body = match encoded.and_then(|parts| encode_with_parts(&presences, &parts)) {
             Ok(body) => body,
             Err(error) => {
                 tracing::error!(%error, "cannot encode the words of gateways");
                 continue;
             }
         };
-        for neighbour in taken.neighbours {
+        for zone_peer in taken.zone_peers {
             let link = links
-                .entry(neighbour)
-                .or_insert_with(|| config.link(neighbour));
+                .entry(zone_peer)
+                .or_insert_with(|| config.link(zone_peer));
             tell(link, body.clone());
         }
     }
--- a/crates/control-server/src/resolution.rs
+++ b/crates/control-server/src/resolution.rs
@@ -45,9 +45,11 @@
             .send(GetGatewayDirectory { zone: zone.clone() });
         let directory = asked.await.unwrap_or_default();
         let Directory {
-            gateways, named, ..
+            gateways,
+            advertised,
+            ..
         } = directory;
-        let gateways = advertised_gateways(gateways, zone.as_deref(), named, self.salt);
+        let gateways = advertised_gateways(gateways, zone.as_deref(), advertised, self.salt);
         if gateways.is_empty() {
             let detail = self.dialect.problem("no gateway is known yet");
             return json(StatusCode::SERVICE_UNAVAILABLE, detail);
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct FleetState {
     pub(crate) presence: PresenceTable,
-    /// Load of the replicas as gateways measure it.
+    /// Statistics of the replicas that gateways and other members report.
     pub(crate) replica_stats: StatsTable,
     pub(crate) observers: ObserverTable,
     pub(crate) list: ListHistory,
@@ -40,11 +40,11 @@
     pub(crate) document_applied_at: Timestamp,
 }
 
-/// Load of the gateways of a zone, and the number of them that callers are referred to.
+/// Load of the gateways of a zone, and the number of them that are advertised to callers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneState {
     pub(crate) load: GatewayLoad,
-    pub(crate) named: AdvertisedCount,
+    pub(crate) advertised: AdvertisedCount,
 }
 
 impl FleetState {
@@ -53,7 +53,7 @@
         self.zones.retain(|zone, _| loads.contains_key(zone));
         for (zone, load) in loads {
             let state = self.zones.entry(zone).or_default();
-            state.named.follow(&load, now);
+            state.advertised.follow(&load, now);
             state.load = load;
         }
     }
@@ -72,8 +72,8 @@
     #[must_use]
     pub fn wants_to_join(&self) -> Option<Peer> {
         let managed = self.config.managed.as_ref()?;
-        let unheard = self.now.since(self.configuration_confirmed_at) >= managed.join_timeout;
-        (unheard && !self.leads(CONFIGURATION_GROUP)).then_some(self.identity.peer)
+        let is_stale = self.now.since(self.configuration_confirmed_at) >= managed.join_timeout;
+        (is_stale && !self.leads(CONFIGURATION_GROUP)).then_some(self.identity.peer)
     }
 
     pub(crate) fn on_join(&mut self, peer: Peer) -> Response {
@@ -96,10 +96,10 @@
         self.update_gateway_count();
         let limit = self.resolution_validity();
         self.fleet.update_zone_loads(self.now, limit);
-        let has_neighbours = !self.neighbours().is_empty();
-        self.fleet.replica_stats.set_has_neighbours(has_neighbours);
-        let sights_timeout = self.sights_timeout();
-        self.fleet.replica_stats.expire(self.now, sights_timeout);
+        let has_zone_peers = !self.zone_peers().is_empty();
+        self.fleet.replica_stats.set_has_neighbours(has_zone_peers);
+        let stats_timeout = self.stats_timeout();
+        self.fleet.replica_stats.expire(self.now, stats_timeout);
         let now = self.now;
         self.fleet
             .candidates
@@ -170,12 +170,12 @@
             .fleet
             .presence
             .stores(self.now)
-            .filter(|heard| {
+            .filter(|presence| {
                 registry
-                    .retirement(&StoreName(heard.name.to_owned()))
+                    .retirement(&StoreName(presence.name.to_owned()))
                     .is_some()
             })
-            .map(|heard| heard.store.address);
+            .map(|presence| presence.store.address);
         in_view
             .chain(gone)
             .filter_map(|address| member_at(address.ip()))
@@ -211,10 +211,10 @@
             return Vec::new();
         };
         let view = state.stores.view();
-        let joins = self.fleet.presence.stores(self.now).filter_map(|heard| {
-            let LastStorePresence { zone, store, .. } = heard;
-            let name = StoreName(heard.name.to_owned());
-            if heard.silence >= managed.store_timeout
+        let joins = self.fleet.presence.stores(self.now).filter_map(|presence| {
+            let LastStorePresence { zone, store, .. } = presence;
+            let name = StoreName(presence.name.to_owned());
+            if presence.silence >= managed.store_timeout
                 || state.stores.retirement(&name) == Some(RetireState::Completed)
             {
                 return None;
@@ -244,10 +244,10 @@
             .or_else(|| self.next_lost_removal(view))
     }
 
-    /// Returns the last report of a store; `None` if this member has none.
-    fn last_store_report(&self, name: &StoreName) -> Option<LastStorePresence<'_>> {
+    /// Returns the last presence of a store; `None` if this member has none.
+    fn last_store_presence(&self, name: &StoreName) -> Option<LastStorePresence<'_>> {
         let mut stores = self.fleet.presence.stores(self.now);
-        stores.find(|heard| heard.name == name.0)
+        stores.find(|presence| presence.name == name.0)
     }
 
     /// Returns true if every store that may hold data, other than `except`, has completed its
@@ -258,12 +258,12 @@
             .iter()
             .filter(|(name, member)| *name != except && holds(member.state))
             .all(|(name, _)| {
-                self.last_store_report(name)
-                    .is_some_and(|heard| heard.store.handed_over_epoch >= epoch)
+                self.last_store_presence(name)
+                    .is_some_and(|presence| presence.store.handed_over_epoch >= epoch)
             })
     }
 
-    /// Removes a lost store that this member has no report of and whose share the other stores have
+    /// Removes a lost store that this member has no presence of and whose share the other stores have
     /// taken over. While a lost store is in the view, no lookup can conclude that a turn does not
     /// exist. A store that comes back joins again.
     fn next_lost_removal(&self, view: &StoreView) -> Option<StoreCommand> {
@@ -273,7 +273,7 @@
         view.members
             .iter()
             .filter(|(_, member)| member.state == StoreState::Lost)
-            .filter(|(name, _)| self.last_store_report(name).is_none())
+            .filter(|(name, _)| self.last_store_presence(name).is_none())
             .find(|(name, member)| self.all_handed_over(view, member.since_epoch, name))
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
@@ -321,8 +321,8 @@
             .leads_since
             .is_some_and(|since| self.now.since(since) >= managed.store_timeout);
         view.writable()
-            .find(|(name, _)| match self.last_store_report(name) {
-                Some(heard) => heard.silence >= managed.store_timeout,
+            .find(|(name, _)| match self.last_store_presence(name) {
+                Some(presence) => presence.silence >= managed.store_timeout,
                 None => leading_long,
             })
             .map(|(name, _)| StoreCommand::Lose { name: name.clone() })
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -24,9 +24,9 @@
     pub(crate) state_machine: StateMachine,
     commands: BTreeMap<LogIndex, PendingCommand>,
     reads: BTreeMap<ReadId, (RequestToken, Request)>,
-    /// Term of the last release order that this member issued.
+    /// Term in which release orders are numbered.
     pub(crate) order_term: Term,
-    /// Sequence number of that order within its term.
+    /// Sequence number of the last release order of that term.
     pub(crate) order_sequence: u64,
 }
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -56,8 +56,8 @@
         /// Time since the read began.
         age: Duration,
     },
-    /// State that the leader reported to this member.
-    LeaderNews {
+    /// Update that the leader sent to this member.
+    LeaderUpdate {
         /// Report of the list of backends, if the leader sent one.
         report: Option<BackendReport>,
         /// Number of ready gateways in the fleet; 0 if unknown.
@@ -66,7 +66,7 @@
     /// Incarnations of replicas, as the leader knows them.
     LeaderIncarnations(Vec<ReplicaIncarnation>),
     /// A client has disconnected; its open requests need no response.
-    ClientGone {
+    ClientDisconnected {
         /// The client.
         client: u64,
     },
@@ -204,7 +204,7 @@
                 self.fleet.list.replace(list, seen);
                 Ok(())
             }
-            Input::LeaderNews { report, gateways } => {
+            Input::LeaderUpdate { report, gateways } => {
                 if let Some(report) = report {
                     self.fleet.list.follow(report, self.now);
                 }
@@ -217,7 +217,7 @@
                 self.fleet.list.merge_incarnations(&incarnations);
                 Ok(())
             }
-            Input::ClientGone { client } => {
+            Input::ClientDisconnected { client } => {
                 self.watches.retain(|watch| watch.token.client != client);
                 self.fleet.observers.forget_client(client);
                 Ok(())
@@ -419,12 +419,12 @@
                 self.propose(CONFIGURATION_GROUP, command, Some(token))
             }
             Request::ReadDocument => self.read(CONFIGURATION_GROUP, Request::ReadDocument, token),
-            Request::Observe(observation) => {
-                self.on_observe(token, *observation, parts);
+            Request::Observe(observer_request) => {
+                self.on_observe(token, *observer_request, parts);
                 None
             }
-            Request::RelayGatewayReports(words) => {
-                self.on_gateway_reports(words, parts.member_stats);
+            Request::RelayGatewayPresences(presences) => {
+                self.on_relayed_presences(presences, parts.member_stats);
                 Some(Response::Done)
             }
             Request::Join(peer) => Some(self.on_join(peer)),
--- a/crates/control/src/observer_table.rs
+++ b/crates/control/src/observer_table.rs
@@ -20,8 +20,8 @@
     pub(crate) known: KnownVersions,
     /// Incarnations that it knows; set if it asks for newer ones.
     pub(crate) known_incarnations: Option<KnownIncarnations>,
-    /// Its zone, if it asks for the load that the gateways of the zone measure.
-    pub(crate) sights_zone: Option<String>,
+    /// Its zone, if it asks for the replica statistics of the zone.
+    pub(crate) stats_zone: Option<String>,
     /// True if it expects this member to send a new document at once.
     pub(crate) sends_document_at_once: bool,
     /// Its zone, if it is counted at this member.
@@ -40,7 +40,7 @@
 /// Versions of everything that observers are updated about. While the stamp does not change, only
 /// observers whose requests have just arrived can have updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct NewsStamp {
+pub(crate) struct UpdateStamp {
     pub(crate) is_fresh: bool,
     pub(crate) members: MembersStamp,
     pub(crate) document_version: u64,
@@ -61,7 +61,7 @@
     waiting_for_list: BTreeSet<ObserverKey>,
     /// Observers that were sent a list and have not sent their next request yet.
     lists_in_flight: BTreeSet<ObserverKey>,
-    stamp: NewsStamp,
+    stamp: UpdateStamp,
 }
 
 impl ObserverTable {
@@ -109,7 +109,7 @@
 
     /// Returns the observers that may have updates: all of them if the stamp has changed, otherwise
     /// those whose requests have just arrived.
-    pub(crate) fn take_candidates(&mut self, stamp: NewsStamp) -> BTreeSet<ObserverKey> {
+    pub(crate) fn take_candidates(&mut self, stamp: UpdateStamp) -> BTreeSet<ObserverKey> {
         let arrived = std::mem::take(&mut self.arrived);
         if stamp == self.stamp {
             return arrived;
--- a/crates/control/src/observers.rs
+++ b/crates/control/src/observers.rs
@@ -1,8 +1,8 @@
-//! Observers of a member: what they are told, when, and who of them is there.
+//! Requests of observers: their presence, and the updates that they are sent.
 
 use crate::machine::CONFIGURATION_GROUP;
 use crate::node::ControlNode;
-use crate::observer_table::{NewsStamp, Observer, ObserverKey};
+use crate::observer_table::{Observer, ObserverKey, UpdateStamp};
 use crate::parts::{RequestParts, ResponseParts};
 use crate::protocol::{RequestToken, Response};
 use luglink_fleet::{
@@ -17,20 +17,21 @@
 use std::net::{IpAddr, Ipv4Addr};
 use std::time::Duration;
 
-/// Silence after which a process counts as gone for those who ask where to go, in times that an
-/// observer waits. One late word must not take a process out; a frozen one should be out soon,
-/// because callers go on to wait for it for as long as they are told of it.
+/// Time without a report after which a gateway is no longer advertised, as a multiple of the
+/// observe hold. A smaller value drops a gateway after a single late report. With a larger one,
+/// callers are referred to a frozen gateway, and wait for it, for longer.
 const GATEWAY_TIMEOUT_HOLDS: f64 = 2.5;
 
-/// Shortest time for which what a gateway saw counts: a late word is better than none.
-const MIN_SIGHTS_TIMEOUT: Duration = Duration::from_secs(1);
+/// Minimum age at which the replica statistics of a gateway expire. Statistics of a late report are
+/// better than none.
+const MIN_STATS_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl<D: Disk> ControlNode<D> {
-    /// The gateways that take callers, with their zones.
+    /// Returns the ready gateways with their zones.
     #[must_use]
     pub fn ready_gateways(&self) -> Vec<GatewayLocation> {
         let gateways = self
-            .heard_gateways()
+            .ready_gateway_presences()
             .map(|(zone, gateway)| GatewayLocation {
                 zone: zone.to_owned(),
                 address: gateway.address,
@@ -38,25 +39,25 @@
         gateways.collect()
     }
 
-    /// How many gateways of a zone callers are told of.
+    /// Returns the number of gateways of a zone that are advertised to callers.
     #[must_use]
     pub fn advertised_gateways(&self, zone: Option<&str>) -> AdvertisedCount {
         let state = zone.and_then(|zone| self.fleet.zones.get(zone));
-        state.map_or_else(AdvertisedCount::default, |zone| zone.named)
+        state.map_or_else(AdvertisedCount::default, |zone| zone.advertised)
     }
 
-    /// Number of gateways that take callers.
+    /// Returns the number of ready gateways.
     #[must_use]
     pub fn ready_gateway_count(&self) -> u32 {
-        u32::try_from(self.heard_gateways().count()).unwrap_or(u32::MAX)
+        u32::try_from(self.ready_gateway_presences().count()).unwrap_or(u32::MAX)
     }
 
-    fn heard_gateways(&self) -> impl Iterator<Item = (&str, &GatewayPresence)> {
+    fn ready_gateway_presences(&self) -> impl Iterator<Item = (&str, &GatewayPresence)> {
         let presence = &self.fleet.presence;
         presence.ready_gateways(self.now, self.resolution_validity())
     }
 
-    /// Version of the configuration document that this member has applied; 0 for none.
+    /// Returns the version of the configuration document that this member has applied; 0 if none.
     #[must_use]
     pub fn document_version(&self) -> u64 {
         let state = self
@@ -65,61 +66,64 @@
         state.map_or(0, |state| state.document.version())
     }
 
+    /// Records the presence of an observer and holds its request until it can be answered.
     pub(crate) fn on_observe(
         &mut self,
         token: RequestToken,
-        observation: ObserverRequest,
+        observer_request: ObserverRequest,
         parts: RequestParts,
     ) {
         let key = ObserverKey {
             client: token.client,
-            name: observation.presence.name.clone(),
+            name: observer_request.presence.name.clone(),
         };
-        let is_counted_here = observation.is_counted_here;
-        let zone = &observation.presence.zone;
+        let is_counted_here = observer_request.is_counted_here;
+        let zone = &observer_request.presence.zone;
         let counted_zone = is_counted_here.then(|| zone.clone());
-        let sights_zone = counted_zone
+        let stats_zone = counted_zone
             .clone()
             .filter(|_| parts.replica_stats.is_some());
         if let Some(replica_stats) = parts.replica_stats {
             let of = StatsSource {
-                name: &observation.presence.name,
+                name: &observer_request.presence.name,
                 zone,
                 is_counted_here,
             };
             self.fleet.replica_stats.note(of, replica_stats, self.now);
         }
         let presence = &mut self.fleet.presence;
-        presence.note(observation.presence, is_counted_here, self.now);
+        presence.note(observer_request.presence, is_counted_here, self.now);
         let observer = Observer {
             token,
-            known: observation.known,
+            known: observer_request.known,
             known_incarnations: parts.known_incarnations,
-            sights_zone,
-            sends_document_at_once: observation.sends_document_at_once,
+            stats_zone,
+            sends_document_at_once: observer_request.sends_document_at_once,
             counted_zone,
             deadline: self.now.plus(self.observe_hold()),
         };
         self.fleet.observers.insert(key, observer);
     }
 
-    /// Words of gateways for the other members of this one's zone, which hear others.
+    /// Returns the presences of the gateways that report to this member, to be relayed to the other
+    /// members of its zone.
     #[must_use]
-    pub fn gateway_reports_for_neighbours(&self) -> Vec<RelayedPresence> {
+    pub fn presences_for_zone_peers(&self) -> Vec<RelayedPresence> {
         let presence = &self.fleet.presence;
         presence.direct_gateways(self.now, self.resolution_validity())
     }
 
-    /// Members to pass the words of gateways to.
+    /// Returns the members that presences and statistics of gateways are relayed to.
     #[must_use]
-    pub fn neighbours(&self) -> Vec<Ipv4Addr> {
+    pub fn zone_peers(&self) -> Vec<Ipv4Addr> {
         let own = Ipv4Addr::from(self.peer().member.0);
         self.member_list(MembersStamp::default()).zone_peers_of(own)
     }
 
-    pub(crate) fn on_gateway_reports(
+    /// Records presences and statistics of gateways that report to another member of the zone.
+    pub(crate) fn on_relayed_presences(
         &mut self,
-        words: Vec<RelayedPresence>,
+        presences: Vec<RelayedPresence>,
         replica_stats: Option<MemberStats>,
     ) {
         if let Some(replica_stats) = replica_stats {
@@ -127,19 +131,20 @@
                 .replica_stats
                 .note_neighbour(replica_stats, self.now);
         }
-        for word in words {
-            self.fleet.presence.note_relayed(word, self.now);
+        for presence in presences {
+            self.fleet.presence.note_relayed(presence, self.now);
         }
     }
 
-    /// Time for which callers may rely on an answer where to go: about as long as the silence of
-    /// a gateway goes unnoticed anyway, so that questions do not grow with the fleet either.
+    /// Returns the time for which callers may cache a resolution. It equals the time after which a
+    /// silent gateway is no longer advertised, and grows with the fleet like the hold, so that the
+    /// rate of resolutions does not.
     #[must_use]
     pub fn resolution_validity(&self) -> Duration {
         self.observe_hold().mul_f64(GATEWAY_TIMEOUT_HOLDS)
     }
 
-    /// Longest time that an observer waits for news.
+    /// Returns the maximum time for which a request is held, at the current size of the fleet.
     fn observe_hold(&self) -> Duration {
         let managed = self.config.managed_or_default();
         let processes = u32::try_from(self.fleet.presence.len()).unwrap_or(u32::MAX);
@@ -148,15 +153,15 @@
         hold.min(managed.max_observe_hold)
     }
 
-    /// Answers observers that have news or have waited long enough.
+    /// Answers the observers that have updates or whose deadline has passed.
     pub(crate) fn answer_observers(&mut self) {
         let now = self.now;
         self.fleet
             .record_document_version(self.document_version(), now);
-        // The same for all observers, and dear: the log is searched for it.
-        let stamp = self.news_stamp();
+        // Computed once for all observers, because it requires a search of the log.
+        let stamp = self.update_stamp();
         let mut ready = self.fleet.observers.take_candidates(stamp);
-        ready.retain(|key| self.has_news(key, stamp.members));
+        ready.retain(|key| self.has_update(key, stamp.members));
         ready.extend(self.fleet.observers.due(now));
         for key in ready {
             self.answer(key, stamp.members);
@@ -181,60 +186,61 @@
         if lacks_list {
             self.fleet.observers.record_list_sent(key);
         }
-        let news = self.news_after(&observer, members);
-        let parts = self.response_parts(&observer, &news);
+        let update = self.update_after(&observer, members);
+        let parts = self.response_parts(&observer, &update);
         self.reply_with_parts(
             observer.token,
-            Response::ObserverUpdate(Box::new(news)),
+            Response::ObserverUpdate(Box::new(update)),
             parts,
         );
     }
 
-    /// What an observer of a newer build is told beside the news.
-    fn response_parts(&mut self, observer: &Observer, news: &ObserverUpdate) -> ResponseParts {
+    /// Returns the optional parts of the response, for an observer whose request asks for them.
+    fn response_parts(&mut self, observer: &Observer, update: &ObserverUpdate) -> ResponseParts {
         let list = &self.fleet.list;
-        let is_told_list = news.backends.is_some();
+        let includes_list = update.backends.is_some();
         let known = observer.known_incarnations;
-        let incarnations = known.and_then(|known| list.incarnations_after(known, is_told_list));
+        let incarnations = known.and_then(|known| list.incarnations_after(known, includes_list));
         ResponseParts {
             incarnations: incarnations.unwrap_or_default(),
             zone_stats: observer
-                .sights_zone
+                .stats_zone
                 .as_ref()
                 .map(|zone| self.zone_stats(zone)),
         }
     }
 
-    /// Age from which what a gateway saw is left out.
-    pub(crate) fn sights_timeout(&self) -> Duration {
-        self.resolution_validity().max(MIN_SIGHTS_TIMEOUT)
+    /// Returns the age at which the replica statistics of a gateway expire.
+    pub(crate) fn stats_timeout(&self) -> Duration {
+        self.resolution_validity().max(MIN_STATS_TIMEOUT)
     }
 
-    /// What the gateways of a zone see of the replicas, as far as this member hears.
+    /// Returns the statistics of the replicas, aggregated over the gateways of a zone that this
+    /// member knows.
     fn zone_stats(&mut self, zone: &str) -> ZoneStats {
-        let limit = self.sights_timeout();
+        let limit = self.stats_timeout();
         self.fleet.replica_stats.sum(zone, self.now, limit)
     }
 
-    /// What the gateways see that this member counts, for the other members of its zone; `None`
-    /// when none of them says what it sees.
+    /// Returns the statistics of the gateways that this member counts, for the other members of its
+    /// zone; `None` if no gateway reports any.
     #[must_use]
-    pub fn sights_for_neighbours(&self) -> Option<MemberStats> {
+    pub fn stats_for_zone_peers(&self) -> Option<MemberStats> {
         let own = self.peer().member.0;
         let replica_stats = &self.fleet.replica_stats;
-        let told = replica_stats.counted(own, self.now, self.sights_timeout());
-        (!told.zones.is_empty()).then_some(told)
+        let stats = replica_stats.counted(own, self.now, self.stats_timeout());
+        (!stats.zones.is_empty()).then_some(stats)
     }
 
     fn needs_large_update(&self, known: Option<&KnownList>) -> bool {
         known.is_some_and(|known| self.fleet.list.needs_large_update(known))
     }
 
-    fn news_stamp(&self) -> NewsStamp {
+    fn update_stamp(&self) -> UpdateStamp {
         let state = self
             .configuration()
             .and_then(|group| group.state_machine.state());
-        NewsStamp {
+        UpdateStamp {
             is_fresh: self.is_fresh(),
             members: self.members_stamp(),
             document_version: self.document_version(),
@@ -244,8 +250,8 @@
         }
     }
 
-    /// Whether this member hears a leader that a quorum follows, and has applied what that
-    /// leader had committed.
+    /// Returns true if this member is up to date: a leader has committed an entry in its term; a
+    /// follower was recently in contact with the leader and has committed what the leader had.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         let Some(group) = self.configuration() else {
@@ -260,9 +266,9 @@
             && self.now.since(self.configuration_confirmed_at) < max_staleness
     }
 
-    /// Whether this member tells an observer of the document in force. The members that an
-    /// observer names for it do so at once; the others wait until those have had time, in case
-    /// that they can't. An observer that has just started is told by all.
+    /// Returns true if this member sends the current document to an observer. The members that the
+    /// observer selects send it at once; the others only after `document_fallback_delay`, in case
+    /// the selected ones fail. All members send it to an observer that has just started.
     fn sends_document(&self, observer: &Observer) -> bool {
         let has_started = observer.known.is_current && observer.known.document_version > 0;
         !has_started || observer.sends_document_at_once || self.sends_document_to_all()
@@ -273,16 +279,16 @@
         self.now.since(self.fleet.document_applied_at) >= patience
     }
 
-    /// The document in force, when it is new for an observer and this member tells it.
+    /// Returns the current document, if it is new for an observer and this member sends it.
     fn new_document(&self, observer: &Observer) -> Option<&VersionedDocument> {
         let state = self.configuration()?.state_machine.state()?;
         let is_newer = state.document.version() > observer.known.document_version;
-        let is_told = is_newer && self.sends_document(observer);
-        state.document.held().filter(|_| is_told)
+        let is_sent = is_newer && self.sends_document(observer);
+        state.document.held().filter(|_| is_sent)
     }
 
-    /// The control members, as observers are told of them. A member runs beside the turn store of
-    /// its address, which says in which zone that is.
+    /// Returns the list of the control members for observers. The zone of a member is that of the
+    /// turn store with the same IP address.
     fn member_list(&self, stamp: MembersStamp) -> MemberList {
         let Some(group) = self.configuration() else {
             return MemberList::default();
@@ -325,7 +331,7 @@
         }
     }
 
-    fn has_news(&self, key: &ObserverKey, members: MembersStamp) -> bool {
+    fn has_update(&self, key: &ObserverKey, members: MembersStamp) -> bool {
         let Some(observer) = self.fleet.observers.get(key) else {
             return false;
         };
@@ -345,9 +351,9 @@
             || newer_list.is_some_and(|known| list.has_update_for(known, self.now))
     }
 
-    fn news_after(&mut self, observer: &Observer, members: MembersStamp) -> ObserverUpdate {
+    fn update_after(&mut self, observer: &Observer, members: MembersStamp) -> ObserverUpdate {
         let known = &observer.known;
-        let mut news = ObserverUpdate {
+        let mut update = ObserverUpdate {
             fresh: self.is_fresh(),
             gateways: self.fleet.gateway_count,
             zone_load: observer
@@ -362,28 +368,29 @@
             ..ObserverUpdate::default()
         };
         let Some(group) = self.configuration() else {
-            return news;
+            return update;
         };
         if members > known.members {
-            news.members = Some(self.member_list(members));
+            update.members = Some(self.member_list(members));
         }
         if let Some(state) = group.state_machine.state() {
-            news.document = self.new_document(observer).cloned();
+            update.document = self.new_document(observer).cloned();
             if state.stores.view().epoch > known.store_epoch {
-                news.stores = Some(state.stores.view().clone());
+                update.stores = Some(state.stores.view().clone());
             }
         }
-        news
+        update
     }
 
-    /// Gateways that take callers and count on this member.
+    /// Returns the number of ready gateways that are counted at this member.
     #[must_use]
-    pub fn own_gateways(&self) -> u32 {
+    pub fn counted_gateways(&self) -> u32 {
         let presence = &self.fleet.presence;
         presence.counted_gateways(self.now, self.resolution_validity())
     }
 
-    /// Sums up the gateways, where that is done.
+    /// On the leader, updates the number of ready gateways in the fleet: its own count plus those
+    /// that the other members report.
     pub(crate) fn update_gateway_count(&mut self) {
         if !self.leads(CONFIGURATION_GROUP) {
             return;
@@ -393,11 +400,11 @@
             .fleet
             .presence
             .total_counted_gateways(self.now, forget_timeout);
-        self.fleet.gateway_count = self.own_gateways() + elsewhere;
+        self.fleet.gateway_count = self.counted_gateways() + elsewhere;
     }
 
-    /// Members of the configuration group as far as this one knows; 0 while it is none of them,
-    /// since the group may have grown or gone without it.
+    /// Returns the number of members of the configuration group; 0 if this member is not one of
+    /// them, because the membership it knows may be outdated.
     #[must_use]
     pub fn member_count(&self) -> u32 {
         let Some(group) = self.configuration() else {
@@ -410,8 +417,8 @@
         u32::try_from(membership.peers().count()).unwrap_or(u32::MAX)
     }
 
-    /// The leader to follow for the list and the number of gateways; `None` when this member
-    /// leads or knows of none.
+    /// Returns the leader to ask for the list of backends and the number of gateways; `None` if
+    /// this member leads or knows no leader.
     #[must_use]
     pub fn followed_leader(&self) -> Option<Ipv4Addr> {
         let leader = self.configuration()?.raft.leader()?;
@@ -419,7 +426,7 @@
         is_other.then(|| Ipv4Addr::from(leader.member.0))
     }
 
-    /// This member's copy of the list of backends.
+    /// Returns this member's copy of the list of backends.
     #[must_use]
     pub fn list(&self) -> &luglink_fleet::ListCopy {
         self.fleet.list.copy()
--- a/crates/control/src/parts.rs
+++ b/crates/control/src/parts.rs
@@ -13,23 +13,24 @@
 /// Response part: replica incarnations that the observer lacks.
 const INCARNATIONS: PartNumber = PartNumber(2);
 
-/// Request part: load of the replicas as the observing gateway measures it.
-const SIGHTS: PartNumber = PartNumber(3);
+/// Request part: statistics of the replicas that the observing gateway uses.
+const REPLICA_STATS: PartNumber = PartNumber(3);
 
-/// Response part: load of the replicas, aggregated over the gateways of the observer's zone.
-const ZONE_SIGHTS: PartNumber = PartNumber(4);
+/// Response part: statistics of the replicas, aggregated over the gateways of the observer's zone.
+const ZONE_STATS: PartNumber = PartNumber(4);
 
-/// Request part: load of the replicas, aggregated over the gateways that the sending member counts.
-const MEMBER_SIGHTS: PartNumber = PartNumber(5);
+/// Request part: statistics of the replicas, aggregated over the gateways that the sending member
+/// counts.
+const MEMBER_STATS: PartNumber = PartNumber(5);
 
 /// Optional parts of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestParts {
     /// Incarnations that the observer knows; set if it asks for newer ones.
     pub known_incarnations: Option<KnownIncarnations>,
-    /// Load that the observing gateway measures; set if it asks for the load of its zone.
+    /// Statistics of the observing gateway; set if it asks for those of its zone.
     pub replica_stats: Option<StatsReport>,
-    /// Load that the gateways counted at the sending member measure.
+    /// Statistics of the gateways that the sending member counts.
     pub member_stats: Option<MemberStats>,
 }
 
@@ -44,10 +45,10 @@
             parts.put(KNOWN_INCARNATIONS, known)?;
         }
         if let Some(replica_stats) = &self.replica_stats {
-            parts.put(SIGHTS, replica_stats)?;
+            parts.put(REPLICA_STATS, replica_stats)?;
         }
         if let Some(replica_stats) = &self.member_stats {
-            parts.put(MEMBER_SIGHTS, replica_stats)?;
+            parts.put(MEMBER_STATS, replica_stats)?;
         }
         Ok(parts)
     }
@@ -59,8 +60,8 @@
     pub fn decode(parts: &Parts) -> Result<Self, WireError> {
         Ok(Self {
             known_incarnations: parts.get(KNOWN_INCARNATIONS)?,
-            replica_stats: parts.get(SIGHTS)?,
-            member_stats: parts.get(MEMBER_SIGHTS)?,
+            replica_stats: parts.get(REPLICA_STATS)?,
+            member_stats: parts.get(MEMBER_STATS)?,
         })
     }
 }
@@ -70,7 +71,7 @@
 pub struct ResponseParts {
     /// Replica incarnations that the observer lacks.
     pub incarnations: Vec<ReplicaIncarnation>,
-    /// Load of the replicas, aggregated over the gateways of the observer's zone.
+    /// Statistics of the replicas, aggregated over the gateways of the observer's zone.
     pub zone_stats: Option<ZoneStats>,
 }
 
@@ -85,7 +86,7 @@
             parts.put(INCARNATIONS, &self.incarnations)?;
         }
         if let Some(replica_stats) = &self.zone_stats {
-            parts.put(ZONE_SIGHTS, replica_stats)?;
+            parts.put(ZONE_STATS, replica_stats)?;
         }
         Ok(parts)
     }
@@ -97,7 +98,7 @@
     pub fn decode(parts: &Parts) -> Result<Self, WireError> {
         Ok(Self {
             incarnations: parts.get(INCARNATIONS)?.unwrap_or_default(),
-            zone_stats: parts.get(ZONE_SIGHTS)?,
+            zone_stats: parts.get(ZONE_STATS)?,
         })
     }
 }
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -57,8 +57,8 @@
     /// Long poll: reports the observer's presence and what it knows. Answered when something is
     /// new for it, or at the end of the hold.
     Observe(Box<ObserverRequest>),
-    /// Gateway reports that another member of the zone has received.
-    RelayGatewayReports(Vec<RelayedPresence>),
+    /// Relays the presences of the gateways that report to another member of the zone.
+    RelayGatewayPresences(Vec<RelayedPresence>),
     /// Asks for admission to the configuration group.
     Join(Peer),
     /// Starts the retirement of a turn store.
--- a/crates/control/src/store.rs
+++ b/crates/control/src/store.rs
@@ -1,4 +1,4 @@
-//! What a member keeps on disk: one log for all groups, and snapshots.
+//! Durable storage of a member: one write-ahead log for all groups, and snapshot files.
 
 use crate::errors::{ControlError, SnapshotMissingSnafu};
 use crate::machine::{decode, encode};
@@ -9,20 +9,20 @@
 use snafu::OptionExt;
 use std::collections::BTreeMap;
 
-/// One record of a batch in the log.
+/// A record of a batch in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Record {
     /// Term and vote of a group.
     HardState { group: GroupId, state: HardState },
-    /// Entries of a group. The first one's index cuts whatever was at or after it.
+    /// Entries of a group. They replace earlier entries from the index of the first one on.
     Entries { group: GroupId, entries: Vec<Entry> },
-    /// A snapshot file of the group is complete; entries up to its index are not needed.
+    /// The group has a complete snapshot file, which covers all entries up to `index`.
     Snapshot { group: GroupId, index: LogIndex },
     /// A received snapshot replaced the whole log of the group.
     Reset { group: GroupId, index: LogIndex },
 }
 
-/// Where a group stands in the log files, for deciding which of them can go.
+/// Hard state and latest snapshot of a group, from which obsolete log segments are determined.
 #[derive(Clone, Copy, Debug, Default)]
 struct GroupFiles {
     hard_state: HardState,
@@ -30,19 +30,19 @@
     has_snapshot: bool,
 }
 
-/// The durable side of a member.
+/// Durable storage of a member.
 #[derive(Debug)]
 pub(crate) struct MemberStore<D> {
     disk: D,
     wal: Wal,
     groups: BTreeMap<GroupId, GroupFiles>,
-    /// Last entry of each group in each segment.
+    /// Index of the last entry of each group in each segment.
     segment_ends: BTreeMap<u64, BTreeMap<GroupId, LogIndex>>,
     syncs: u64,
 }
 
 impl<D: Disk> MemberStore<D> {
-    /// Opens the log and gives back each group's state.
+    /// Opens the log and returns the restored state of each group.
     pub(crate) fn open(
         mut disk: D,
         config: WalConfig,
@@ -59,7 +59,7 @@
         for batch in recovered.batches {
             let records: Vec<Record> = decode("a log record", &batch.payload)?;
             for record in records {
-                store.note(batch.segment, &record);
+                store.track_record(batch.segment, &record);
                 replay(&mut restored, record);
             }
         }
@@ -69,7 +69,7 @@
         Ok((store, restored))
     }
 
-    /// Makes records durable with one sync.
+    /// Appends records to the log and syncs it once.
     pub(crate) fn append(&mut self, records: &[Record]) -> Result<(), ControlError> {
         if records.is_empty() {
             return Ok(());
@@ -80,7 +80,7 @@
         self.append_batch(records)
     }
 
-    /// Writes a snapshot of this member's own state; entries after it stay.
+    /// Saves a snapshot of this member's own state. The entries after it are kept.
     pub(crate) fn save_snapshot(
         &mut self,
         group: GroupId,
@@ -90,7 +90,7 @@
         self.write_snapshot(group, snapshot, Record::Snapshot { group, index })
     }
 
-    /// Writes a received snapshot, which replaces the whole log of the group.
+    /// Saves a received snapshot, which replaces the whole log of the group.
     pub(crate) fn reset_to_snapshot(
         &mut self,
         group: GroupId,
@@ -100,19 +100,19 @@
         self.write_snapshot(group, snapshot, Record::Reset { group, index })
     }
 
-    /// Writes the file first and then its note in the log, so that the note is never there
-    /// without the file.
+    /// Writes the snapshot file first and then its log record, so that a record never refers to a
+    /// missing file.
     fn write_snapshot(
         &mut self,
         group: GroupId,
         snapshot: &Snapshot,
-        note: Record,
+        record: Record,
     ) -> Result<(), ControlError> {
         let previous = self.groups.get(&group).copied().unwrap_or_default();
         let bytes = encode("a snapshot", snapshot)?;
         let file = snapshot_file(group, snapshot.index);
         self.disk.replace(&file, &bytes)?;
-        self.append(&[note])?;
+        self.append(&[record])?;
         if previous.has_snapshot && previous.snapshot_index != snapshot.index {
             self.disk
                 .remove(&snapshot_file(group, previous.snapshot_index))?;
@@ -120,7 +120,7 @@
         self.remove_old_segments()
     }
 
-    /// The group's latest snapshot with its state.
+    /// Reads the latest snapshot of a group.
     pub(crate) fn read_snapshot(&self, group: GroupId) -> Result<Option<Snapshot>, ControlError> {
         let Some(files) = self.groups.get(&group).filter(|files| files.has_snapshot) else {
             return Ok(None);
@@ -136,17 +136,17 @@
         decode("a snapshot", &bytes).map(Some)
     }
 
-    /// Number of syncs of the log so far.
+    /// Returns the number of syncs of the log so far.
     pub(crate) fn syncs(&self) -> u64 {
         self.syncs
     }
 
-    /// The disk, for bringing faults about.
+    /// Returns the disk, for fault injection.
     pub(crate) fn disk_mut(&mut self) -> &mut D {
         &mut self.disk
     }
 
-    /// The disk, for a simulated crash.
+    /// Consumes the store and returns its disk, for a simulated crash.
     pub(crate) fn into_disk(self) -> D {
         self.disk
     }
@@ -168,12 +168,13 @@
         let segment = self.wal.append(&mut self.disk, &payload)?;
         self.syncs += 1;
         for record in records {
-            self.note(segment, record);
+            self.track_record(segment, record);
         }
         Ok(())
     }
 
-    /// A new segment begins with every group's term and vote, so that older ones can go.
+    /// Starts a segment with the hard state and the snapshot record of every group, so that older
+    /// segments can be removed.
     fn start_segment(&mut self) -> Result<(), ControlError> {
         self.wal.start_segment();
         let states: Vec<Record> = self
@@ -199,6 +200,7 @@
         Ok(())
     }
 
+    /// Returns true if snapshots cover all entries of the segment.
     fn is_covered(&self, segment: u64) -> bool {
         let covered = |(group, last): (&GroupId, &LogIndex)| {
             self.groups
@@ -210,7 +212,8 @@
             .is_none_or(|ends| ends.iter().all(covered))
     }
 
-    fn note(&mut self, segment: u64, record: &Record) {
+    /// Updates the bookkeeping of segments and snapshots for a record.
+    fn track_record(&mut self, segment: u64, record: &Record) {
         match record {
             Record::HardState { group, state } => {
                 self.groups.entry(*group).or_default().hard_state = *state;
@@ -232,7 +235,7 @@
     }
 }
 
-/// What a new segment must repeat of a group.
+/// Records of a group with which each segment starts.
 fn segment_header(group: GroupId, files: GroupFiles) -> Vec<Record> {
     let mut records = vec![Record::HardState {
         group,
@@ -247,6 +250,7 @@
     records
 }
 
+/// Applies a record of the log to the restored state.
 fn replay(restored: &mut BTreeMap<GroupId, RestoredState>, record: Record) {
     match record {
         Record::HardState { group, state } => {
@@ -255,8 +259,8 @@
         Record::Entries { group, entries } => {
             let state = restored.entry(group).or_default();
             if let Some(first) = entries.first() {
-                let cut = first.index;
-                state.entries.retain(|entry| entry.index < cut);
+                let first_index = first.index;
+                state.entries.retain(|entry| entry.index < first_index);
             }
             state.entries.extend(entries);
         }
--- a/crates/control/tests/golden/responses.rs
+++ b/crates/control/tests/golden/responses.rs
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn news(update: BackendUpdate) -> Response {
+fn update(update: BackendUpdate) -> Response {
     let mut registry = StoreRegistry::default();
     for (_, command) in store_commands() {
         registry.apply(&command);
@@ -193,7 +193,7 @@
     all.push(Response::Done);
     all.push(Response::Document(Some(document())));
     all.push(Response::DocumentHeld { version: 300 });
-    all.extend(updates().into_iter().map(news));
+    all.extend(updates().into_iter().map(update));
     all.extend(retirements.map(Response::Retirement));
     all.push(Response::NotLeader {
         group: GroupId(1),
--- a/crates/control/tests/golden/values.rs
+++ b/crates/control/tests/golden/values.rs
@@ -232,7 +232,7 @@
     }
 }
 
-fn observation(role: Role) -> Request {
+fn observer_request(role: Role) -> Request {
     let known = KnownList {
         fingerprint: 300,
         age: Some(Duration::from_millis(1_500)),
@@ -294,10 +294,10 @@
         Request::TransferLeadership,
         Request::PutDocument(document()),
         Request::ReadDocument,
-        observation(gateway()),
-        observation(store()),
-        observation(Role::Member(MemberPresence { gateways: 68 })),
-        Request::RelayGatewayReports(vec![RelayedPresence {
+        observer_request(gateway()),
+        observer_request(store()),
+        observer_request(Role::Member(MemberPresence { gateways: 68 })),
+        Request::RelayGatewayPresences(vec![RelayedPresence {
             presence: presence(gateway()),
             silence: Duration::from_millis(40),
         }]),
@@ -333,12 +333,12 @@
         Request::TransferLeadership => "hand-over",
         Request::PutDocument(_) => "put-document",
         Request::ReadDocument => "read-document",
-        Request::Observe(observation) => match observation.presence.role {
+        Request::Observe(observer_request) => match observer_request.presence.role {
             Role::Gateway(_) => "observe-gateway",
             Role::Store(_) => "observe-store",
             Role::Member(_) => "observe-member",
         },
-        Request::RelayGatewayReports(_) => "hear-gateways",
+        Request::RelayGatewayPresences(_) => "hear-gateways",
         Request::Join(_) => "join",
         Request::Retire(_) => "retire",
         Request::ReadRetirement(_) => "read-retirement",
--- a/crates/control/tests/managed/observers.rs
+++ b/crates/control/tests/managed/observers.rs
@@ -1,6 +1,8 @@
 //! What gateways and stores are told, and who is told what.
 
-use crate::support::{FOUNDERS, Fleet, address, document, gateway, members, observation, observe};
+use crate::support::{
+    FOUNDERS, Fleet, address, document, gateway, members, observe, observer_request,
+};
 use luglink_control::{Input, ManagedConfig, Request, Response};
 use luglink_fleet::{
     Backend, BackendId, BackendList, BackendUpdate, GatewayLoad, GatewayPresence, Incarnation,
@@ -24,7 +26,7 @@
     fleet.step();
     let answer = fleet.replies.remove(&(1, number));
     assert!(
-        matches!(&answer, Some(Response::ObserverUpdate(news)) if news.fresh),
+        matches!(&answer, Some(Response::ObserverUpdate(update)) if update.fresh),
         "{answer:?}"
     );
     let current = KnownVersions {
@@ -40,10 +42,10 @@
 /// Members whose answer to a question brought a document.
 fn tellers(fleet: &mut Fleet, questions: &[(u32, u64)]) -> BTreeSet<u32> {
     let replies = questions.iter().filter_map(|question| {
-        let Some(Response::ObserverUpdate(news)) = fleet.replies.remove(question) else {
+        let Some(Response::ObserverUpdate(update)) = fleet.replies.remove(question) else {
             return None;
         };
-        news.document.is_some().then_some(question.0)
+        update.document.is_some().then_some(question.0)
     });
     replies.collect()
 }
@@ -62,9 +64,9 @@
     // Each observer counts on the first two members that it asks.
     let ask = |fleet: &mut Fleet, name: &str, order: [u32; 3]| -> Vec<(u32, u64)> {
         let mut ask = |(place, member)| {
-            let mut observation = observation(name, gateway(), current.clone());
-            observation.sends_document_at_once = place < 2;
-            let request = Request::Observe(Box::new(observation));
+            let mut observer_request = observer_request(name, gateway(), current.clone());
+            observer_request.sends_document_at_once = place < 2;
+            let request = Request::Observe(Box::new(observer_request));
             (member, fleet.input(member, request))
         };
         order.into_iter().enumerate().map(&mut ask).collect()
@@ -194,15 +196,15 @@
     digest: None,
 };
 
-fn news(fleet: &mut Fleet, member: u32, number: u64) -> Option<ObserverUpdate> {
+fn update(fleet: &mut Fleet, member: u32, number: u64) -> Option<ObserverUpdate> {
     match fleet.replies.remove(&(member, number))? {
-        Response::ObserverUpdate(news) => Some(*news),
+        Response::ObserverUpdate(update) => Some(*update),
         other => panic!("expected news, got {other:?}"),
     }
 }
 
-fn is_whole(news: &ObserverUpdate) -> bool {
-    let report = news.backends.as_ref();
+fn is_whole(update: &ObserverUpdate) -> bool {
+    let report = update.backends.as_ref();
     report.is_some_and(|report| matches!(report.update, BackendUpdate::Whole(_)))
 }
 
@@ -229,7 +231,7 @@
         for step in 0..5_000 {
             fleet.step();
             for (number, name) in asked.clone() {
-                if news(&mut fleet, leader, number).is_some_and(|news| is_whole(&news)) {
+                if update(&mut fleet, leader, number).is_some_and(|update| is_whole(&update)) {
                     asked.remove(&number);
                     on_their_way.push((step + slow_steps, name));
                 }
@@ -267,20 +269,21 @@
         .collect();
     fleet.step();
     for number in first {
-        assert!(news(&mut fleet, leader, number).is_some());
+        assert!(update(&mut fleet, leader, number).is_some());
     }
     let last = ask(&mut fleet, "last");
     fleet.run(2.0);
     assert!(
-        news(&mut fleet, leader, last).is_none(),
+        update(&mut fleet, leader, last).is_none(),
         "four are on their way"
     );
     let now = fleet.now;
     let node = fleet.nodes.get_mut(&leader).unwrap();
-    node.handle(Input::ClientGone { client: 7 }, now).unwrap();
+    node.handle(Input::ClientDisconnected { client: 7 }, now)
+        .unwrap();
     let last = ask(&mut fleet, "last");
     fleet.step();
-    assert!(news(&mut fleet, leader, last).is_some());
+    assert!(update(&mut fleet, leader, last).is_some());
 }
 
 /// Every member tells the list, so that the leader need not hear every gateway.
@@ -296,15 +299,15 @@
         observe("near the leader", gateway(), KnownVersions::default()),
     );
     let follow = |fleet: &mut Fleet| {
-        let word = Role::Member(MemberPresence { gateways: 41 });
+        let presence = Role::Member(MemberPresence { gateways: 41 });
         let known = fleet.nodes[&member].list().known(fleet.now);
-        let asked = fleet.input(leader, observe("member", word, knows_all_but(known)));
+        let asked = fleet.input(leader, observe("member", presence, knows_all_but(known)));
         fleet.run(1.0);
-        let news = news(fleet, leader, asked).expect("news within the hold");
+        let update = update(fleet, leader, asked).expect("news within the hold");
         let now = fleet.now;
-        let input = Input::LeaderNews {
-            report: news.backends,
-            gateways: news.gateways,
+        let input = Input::LeaderUpdate {
+            report: update.backends,
+            gateways: update.gateways,
         };
         fleet
             .nodes
@@ -322,7 +325,7 @@
     fleet.replies.remove(&(leader, said));
     let asked = fleet.input(member, observe("g", gateway(), knows_all_but(NO_LIST)));
     fleet.step();
-    let told = news(&mut fleet, member, asked).unwrap();
+    let told = update(&mut fleet, member, asked).unwrap();
     assert!(is_whole(&told));
     assert!((41..=42).contains(&told.gateways), "{}", told.gateways);
 }
@@ -360,9 +363,9 @@
     fleet.step();
     let is_told = |fleet: &Fleet, number: &u64| fleet.replies.contains_key(&(leader, *number));
     assert!(!asked.iter().any(|number| is_told(&fleet, number)));
-    let mut observation = observation("first teller", gateway(), current.clone());
-    observation.sends_document_at_once = true;
-    let told_first = fleet.input(leader, Request::Observe(Box::new(observation)));
+    let mut observer_request = observer_request("first teller", gateway(), current.clone());
+    observer_request.sends_document_at_once = true;
+    let told_first = fleet.input(leader, Request::Observe(Box::new(observer_request)));
     fleet.input(leader, Request::PutDocument(document(2, "two")));
     fleet.run(0.1);
     assert!(is_told(&fleet, &told_first));
@@ -377,17 +380,21 @@
     fleet.run(1.0);
     fleet.input(1, observe("g", gateway(), KnownVersions::default()));
     fleet.step();
-    let words = fleet.nodes[&1].gateway_reports_for_neighbours();
-    assert_eq!(words.len(), 1);
-    fleet.input(2, Request::RelayGatewayReports(words.clone()));
+    let presences = fleet.nodes[&1].presences_for_zone_peers();
+    assert_eq!(presences.len(), 1);
+    fleet.input(2, Request::RelayGatewayPresences(presences.clone()));
     fleet.step();
     assert_eq!(fleet.nodes[&2].ready_gateways().len(), 1);
     assert!(
-        fleet.nodes[&2].gateway_reports_for_neighbours().is_empty(),
+        fleet.nodes[&2].presences_for_zone_peers().is_empty(),
         "hearsay is not passed on"
     );
-    assert_eq!(fleet.nodes[&2].own_gateways(), 0, "each is counted once");
-    assert_eq!(fleet.nodes[&1].own_gateways(), 1);
+    assert_eq!(
+        fleet.nodes[&2].counted_gateways(),
+        0,
+        "each is counted once"
+    );
+    assert_eq!(fleet.nodes[&1].counted_gateways(), 1);
     // A later word of the gateway itself counts more than an earlier one that comes now.
     let leaving = Role::Gateway(GatewayPresence {
         address: address(80),
@@ -395,7 +402,7 @@
         load: GatewayLoad::default(),
     });
     fleet.input(2, observe("g", leaving, KnownVersions::default()));
-    fleet.input(2, Request::RelayGatewayReports(words));
+    fleet.input(2, Request::RelayGatewayPresences(presences));
     fleet.step();
     assert!(fleet.nodes[&2].ready_gateways().is_empty());
     fleet.run(3.0);
@@ -411,10 +418,10 @@
     let follower = *FOUNDERS.iter().find(|member| **member != leader).unwrap();
     let first = fleet.input(follower, observe("g", gateway(), KnownVersions::default()));
     fleet.step();
-    let Some(Response::ObserverUpdate(news)) = fleet.replies.remove(&(follower, first)) else {
+    let Some(Response::ObserverUpdate(update)) = fleet.replies.remove(&(follower, first)) else {
         panic!("a list of members is news for who has none");
     };
-    let list = news.members.expect("a list of members");
+    let list = update.members.expect("a list of members");
     assert_eq!(list.leader, Some(std::net::Ipv4Addr::from(leader)));
     assert_eq!(list.locations.len(), FOUNDERS.len());
     let known = KnownVersions {
@@ -432,10 +439,11 @@
     for _ in 0..50 {
         let asked = fleet.input(follower, observe("g", gateway(), known.clone()));
         fleet.run(0.1);
-        let Some(Response::ObserverUpdate(news)) = fleet.replies.remove(&(follower, asked)) else {
+        let Some(Response::ObserverUpdate(update)) = fleet.replies.remove(&(follower, asked))
+        else {
             continue;
         };
-        if let Some(newer) = news.members.filter(|newer| newer.leader.is_some()) {
+        if let Some(newer) = update.members.filter(|newer| newer.leader.is_some()) {
             assert!(newer.stamp > list.stamp && newer.leader != list.leader);
             return;
         }
--- a/crates/control/tests/managed/replica_stats.rs
+++ b/crates/control/tests/managed/replica_stats.rs
@@ -26,15 +26,15 @@
         members: MembersStamp::NEWEST,
         ..KnownVersions::default()
     };
-    let Request::Observe(mut observation) = observe(name, gateway(), known) else {
+    let Request::Observe(mut observer_request) = observe(name, gateway(), known) else {
         panic!("expected an observation");
     };
-    observation.is_counted_here = true;
+    observer_request.is_counted_here = true;
     let parts = RequestParts {
         replica_stats,
         ..RequestParts::default()
     };
-    let asked = fleet.input_with_parts(member, Request::Observe(observation), parts);
+    let asked = fleet.input_with_parts(member, Request::Observe(observer_request), parts);
     fleet.run(0.6);
     assert!(matches!(
         fleet.replies.get(&(member, asked)),
@@ -74,22 +74,22 @@
 fn words_to_neighbours_carry_what_the_gateways_counted_here_see() {
     let mut fleet = Fleet::founded();
     fleet.run(1.0);
-    assert_eq!(fleet.nodes[&1].sights_for_neighbours(), None);
+    assert_eq!(fleet.nodes[&1].stats_for_zone_peers(), None);
     ask(&mut fleet, 1, "g1", Some(busy(2)));
-    let word = fleet.nodes[&1].sights_for_neighbours().unwrap();
-    assert_eq!(word.member, 1);
-    let sums: Vec<&StatsReport> = word
+    let stats = fleet.nodes[&1].stats_for_zone_peers().unwrap();
+    assert_eq!(stats.member, 1);
+    let sums: Vec<&StatsReport> = stats
         .zones
         .values()
         .map(|zone| &zone.replica_stats)
         .collect();
     assert_eq!(sums, [&busy(2)]);
     let parts = RequestParts {
-        member_stats: Some(word),
+        member_stats: Some(stats),
         ..RequestParts::default()
     };
-    let words = fleet.nodes[&1].gateway_reports_for_neighbours();
-    fleet.input_with_parts(2, Request::RelayGatewayReports(words), parts);
+    let presences = fleet.nodes[&1].presences_for_zone_peers();
+    fleet.input_with_parts(2, Request::RelayGatewayPresences(presences), parts);
     // These three members have no stores beside them, so they know no zones and are told of no
     // neighbours: each hears all gateways by itself, and counts none by hearsay as well.
     assert_eq!(in_flight(&ask(&mut fleet, 2, "g2", Some(busy(3)))), Some(3));
--- a/crates/control/tests/managed/stores.rs
+++ b/crates/control/tests/managed/stores.rs
@@ -201,8 +201,8 @@
     fleet.put(1, "one");
     fleet.start(4, MemoryDisk::default(), true);
     fleet.run(3.0);
-    let news = match fleet.ask(observe("w", gateway(), KnownVersions::default())) {
-        Response::ObserverUpdate(news) => *news,
+    let update = match fleet.ask(observe("w", gateway(), KnownVersions::default())) {
+        Response::ObserverUpdate(update) => *update,
         other => panic!("expected news, got {other:?}"),
     };
     let ObserverUpdate {
@@ -210,7 +210,7 @@
         stores,
         members,
         ..
-    } = news;
+    } = update;
     assert_eq!(held, Some(document(1, "one")));
     assert_eq!(stores.unwrap().len(), 3);
     assert_eq!(members.unwrap().locations.len(), 4);
--- a/crates/control/tests/managed/support.rs
+++ b/crates/control/tests/managed/support.rs
@@ -116,7 +116,7 @@
         self.now = self.now.plus(STEP);
         let members: Vec<u32> = self.nodes.keys().copied().collect();
         for member in &members {
-            self.say_words(*member);
+            self.send_store_presences(*member);
             let node = self.nodes.get_mut(member).unwrap();
             node.tick(self.now).unwrap();
             let join = node.wants_to_join();
@@ -140,16 +140,16 @@
         }
     }
 
-    pub fn say_words(&mut self, member: u32) {
-        let words: Vec<Request> = self
+    pub fn send_store_presences(&mut self, member: u32) {
+        let presences: Vec<Request> = self
             .stores
             .iter()
             .map(|(name, store)| {
                 observe(name, Role::Store(store.clone()), KnownVersions::default())
             })
             .collect();
-        for word in words {
-            self.input(member, word);
+        for presence in presences {
+            self.input(member, presence);
         }
     }
 
@@ -242,12 +242,12 @@
     }
 
     pub fn store_states(&mut self) -> BTreeMap<String, StoreState> {
-        let Response::ObserverUpdate(news) =
+        let Response::ObserverUpdate(update) =
             self.ask(observe("watcher", gateway(), KnownVersions::default()))
         else {
             panic!("expected news");
         };
-        let view = news.stores.unwrap_or_default();
+        let view = update.stores.unwrap_or_default();
         let members = view.members.into_iter();
         members.map(|(name, store)| (name.0, store.state)).collect()
     }
@@ -273,10 +273,10 @@
 }
 
 pub fn observe(name: &str, role: Role, known: KnownVersions) -> Request {
-    Request::Observe(Box::new(observation(name, role, known)))
+    Request::Observe(Box::new(observer_request(name, role, known)))
 }
 
-pub fn observation(name: &str, role: Role, known: KnownVersions) -> ObserverRequest {
+pub fn observer_request(name: &str, role: Role, known: KnownVersions) -> ObserverRequest {
     ObserverRequest {
         presence: Presence {
             name: name.to_owned(),
--- a/crates/control/tests/mixed_builds.rs
+++ b/crates/control/tests/mixed_builds.rs
@@ -104,14 +104,14 @@
 
 #[test]
 fn an_older_build_reads_a_response_with_parts() {
-    let news = Response::ObserverUpdate(Box::new(ObserverUpdate {
+    let update = Response::ObserverUpdate(Box::new(ObserverUpdate {
         gateways: 9,
         ..ObserverUpdate::default()
     }));
     let parts = response_parts().encode().unwrap();
-    let bytes = encode_with_parts(&news, &parts).unwrap();
+    let bytes = encode_with_parts(&update, &parts).unwrap();
     let read: Response = decode_body(&bytes).unwrap();
-    assert_eq!(read, news);
+    assert_eq!(read, update);
 }
 
 #[test]
