--- a/crates/control-server/src/actor.rs
+++ b/crates/control-server/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the member's logic.
+//! The actor that owns the control node.
 
 use crate::peers::Peers;
 use crate::releases;
@@ -19,23 +19,23 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 
-/// The client number of requests that come from this process itself.
+/// Client number of requests from within this process.
 const LOCAL_CLIENT: u64 = 0;
 
-/// Time between looks at timers.
+/// Interval at which the timers of the node are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Messages that may wait for the actor before senders are held back.
+/// Capacity of the mailbox, above which senders are subject to backpressure.
 const MAILBOX_CAPACITY: usize = 65_536;
 
-/// Release orders that are under way at once.
+/// Maximum number of release orders in flight at the same time.
 const MAX_RELEASES_IN_FLIGHT: usize = 256;
 
-/// Where this process's clock begins: the time of day, and the steady clock's at that moment.
+/// Origin of the process's clock: the wall clock and the monotonic clock at the same moment.
 static CLOCK_ORIGIN: OnceLock<(Duration, Instant)> = OnceLock::new();
 
-/// The time in microseconds since the Unix epoch, as it was at the process's start and counted
-/// steadily from there: a step of the time of day must not run into leases and elections.
+/// Returns the time since the Unix epoch in microseconds: the wall clock when it was first read,
+/// advanced by the monotonic clock. A step of the wall clock must not affect leases and elections.
 pub(crate) fn now() -> Timestamp {
     let (at_start, start) = CLOCK_ORIGIN.get_or_init(|| {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -45,15 +45,15 @@
     Timestamp::from_micros(u64::try_from(time.as_micros()).unwrap_or(u64::MAX))
 }
 
-/// Reads the member from its disk.
+/// Loads the node from its disk.
 pub(crate) type Reopen = Box<dyn Fn() -> Result<ControlNode<FileDisk>, ControlError>>;
 
-/// Time between tries to read the member from a disk that fails.
+/// Interval of attempts to load the node from a failing disk.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Owns the node and the queues of its clients.
+/// Owns the node and the connections of its clients.
 pub(crate) struct ControlActor {
-    /// The member; `None` while its disk cannot be used.
+    /// The node; `None` while its disk cannot be used.
     node: Option<ControlNode<FileDisk>>,
     reopen: Option<Reopen>,
     reopen_at: Timestamp,
@@ -64,13 +64,13 @@
     http: awc::Client,
     releases_in_flight: BTreeSet<(ProgramId, EngineId)>,
     flush_queued: bool,
-    /// The leadership that was last written to the log.
+    /// Leadership that was last logged.
     logged_leadership: Leadership,
     failed: Option<oneshot::Sender<ControlError>>,
 }
 
 impl ControlActor {
-    /// An actor that stops when its disk fails.
+    /// Creates an actor that stops when its disk fails.
     pub(crate) fn new(
         node: ControlNode<FileDisk>,
         peers: Peers,
@@ -79,8 +79,8 @@
         Self::build(Some(node), peers, Some(failed), None)
     }
 
-    /// An actor that reads its member anew from its disk when that fails, and until then answers
-    /// that it is not available. It may start without one.
+    /// Creates an actor without a node, which loads it from the disk at the start and after each
+    /// disk failure. While there is no node, all requests are answered as unavailable.
     pub(crate) fn with_reopen(peers: Peers, reopen: Reopen) -> Self {
         Self::build(None, peers, None, Some(reopen))
     }
@@ -107,13 +107,13 @@
         }
     }
 
-    /// The member; `None` while its disk cannot be used.
+    /// Returns the node; `None` while its disk cannot be used.
     pub(crate) fn node(&self) -> Option<&ControlNode<FileDisk>> {
         self.node.as_ref()
     }
 
-    /// Gives the node an input. What it leads to comes out of the flush that is queued behind
-    /// everything that waits in the mailbox now.
+    /// Passes an input to the node. Its outputs are executed by a flush, which is queued behind all
+    /// messages that are in the mailbox now.
     fn handle_input(&mut self, input: Input, context: &mut Context<Self>) {
         let Some(node) = self.node.as_mut() else {
             self.reject(input);
@@ -124,7 +124,7 @@
         self.queue_flush(context);
     }
 
-    /// Without its disk the member knows nothing for certain.
+    /// Answers a request as unavailable: without its disk the member has no reliable state.
     fn reject(&mut self, input: Input) {
         if let Input::Request { token, .. } | Input::ExtendedRequest { token, .. } = input {
             let reason = "this member's disk cannot be used".to_owned();
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Reads the member anew, after a pause that leaves a failing disk alone.
+    /// Loads the node again if there is none, at most once per `REOPEN_INTERVAL`.
     fn try_reopen(&mut self) {
         let Some(reopen) = self.reopen.as_ref() else {
             return;
@@ -144,10 +144,10 @@
         self.reopen_at = now().plus(REOPEN_INTERVAL);
         match reopen() {
             Ok(node) => {
-                tracing::info!(peer = %node.peer(), "the control member has read its disk");
+                tracing::info!(peer = %node.peer(), "control member loaded from disk");
                 self.node = Some(node);
             }
-            Err(error) => tracing::warn!(%error, "the control member cannot use its disk"),
+            Err(error) => tracing::warn!(%error, "cannot load the control member from disk"),
         }
     }
 
@@ -158,8 +158,8 @@
         }
     }
 
-    /// After a disk failure nobody can tell what is durable: the member stops, or forgets what
-    /// it holds in memory and goes on with what its disk gives back.
+    /// Handles a failure of the node. It is unknown then which writes are durable, so the actor
+    /// either stops, or discards the node and loads it from the disk again.
     fn check_result<T>(
         &mut self,
         result: Result<T, ControlError>,
@@ -168,15 +168,15 @@
         match result {
             Ok(value) => Some(value),
             Err(error) if self.reopen.is_some() => {
-                tracing::error!(%error, "the control member lost its disk");
+                tracing::error!(%error, "control member failed, loading it from disk again");
                 self.node = None;
                 self.reopen_at = now().plus(REOPEN_INTERVAL);
-                // Those who wait for an answer of the lost state must not wait for ever.
+                // Their responses would come from the discarded node and never arrive.
                 self.local_requests.clear();
                 None
             }
             Err(error) => {
-                tracing::error!(%error, "the control member stops");
+                tracing::error!(%error, "control member failed, stopping it");
                 if let Some(failed) = self.failed.take() {
                     let _ = failed.send(error);
                 }
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Writes a changed leadership to the log.
+    /// Logs the leadership of the configuration group if it has changed.
     fn log_leadership(&mut self) {
         let Some(leadership) = self.node.as_ref().map(ControlNode::leadership) else {
             return;
@@ -200,7 +200,7 @@
             leader = leadership.leader.map(|leader| leader.to_string()),
             voters = leadership.voters,
             learners = leadership.learners,
-            "leadership of the configuration"
+            "leadership of the configuration group changed"
         );
     }
 
@@ -241,7 +241,7 @@
         if full || !self.releases_in_flight.insert(subject) {
             return;
         }
-        let work = releases::order(self.http.clone(), order).into_actor(self);
+        let work = releases::send_order(self.http.clone(), order).into_actor(self);
         context.spawn(work.map(move |confirmed, actor, context| {
             actor.releases_in_flight.remove(&subject);
             if let Some(request) = confirmed {
@@ -260,10 +260,10 @@
         }
     }
 
-    /// Answers a request that a newer build may have sent: its sender asks another member at once
-    /// instead of waiting for an answer that never comes.
+    /// Answers a request that cannot be decoded, which a newer build may have sent. Its sender then
+    /// retries with another member at once instead of running into its timeout.
     fn reject_undecodable(&mut self, token: RequestToken, error: &WireError) {
-        tracing::warn!(connection = token.client, %error, "a request cannot be understood");
+        tracing::warn!(connection = token.client, %error, "cannot decode a request");
         let reason = format!("this build does not know the request: {error}");
         self.reply(
             token,
@@ -280,7 +280,7 @@
                     let envelope = Box::new(envelope);
                     self.handle_input(Input::Peer { group, envelope }, context);
                 }
-                Err(error) => tracing::warn!(%error, "malformed consensus message"),
+                Err(error) => tracing::warn!(%error, "cannot decode a consensus message"),
             },
             Frame::Request {
                 correlation, body, ..
@@ -310,10 +310,11 @@
     }
 }
 
-/// What follows a request. A part that cannot be read is passed over: the request stands without.
+/// Decodes the optional parts of a request. If one cannot be decoded, the request is handled
+/// without parts.
 fn decode_parts(parts: &Parts) -> RequestParts {
     RequestParts::decode(parts).unwrap_or_else(|error| {
-        tracing::warn!(%error, "the parts behind a request cannot be read");
+        tracing::warn!(%error, "cannot decode the optional parts of a request");
         RequestParts::default()
     })
 }
@@ -339,7 +340,7 @@
     }
 }
 
-/// Makes everything that was taken durable and carries out what follows.
+/// Persists the handled inputs and executes the outputs.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct Flush;
@@ -362,7 +363,7 @@
     }
 }
 
-/// Something happened on the listening socket.
+/// Event of the listening socket.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct SocketEvent(pub(crate) Accepted);
@@ -390,7 +391,7 @@
     }
 }
 
-/// A request from this process.
+/// Request from within this process.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct LocalRequest {
@@ -409,7 +410,7 @@
     }
 }
 
-/// Stops the actor without a word to anyone, as a crash would.
+/// Stops the actor at once, as a crash would.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct Halt;
@@ -422,7 +423,7 @@
     }
 }
 
-/// What the leader told.
+/// Applies an update that the leader sent.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct ApplyLeaderUpdate {
@@ -447,12 +448,12 @@
     }
 }
 
-/// The platform's list as it was just read.
+/// Applies the platform's list of replicas, as it was just read.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct ApplyBackendList {
     pub(crate) list: BackendList,
-    /// Time since the reading began.
+    /// Time since the read began.
     pub(crate) age: Duration,
 }
 
--- a/crates/control-server/src/admin.rs
+++ b/crates/control-server/src/admin.rs
@@ -1,4 +1,4 @@
-//! The administration API over gRPC.
+//! Administration API over gRPC.
 
 use crate::actor::{ControlActor, LocalRequest};
 use actix::Addr;
@@ -17,13 +17,13 @@
 use tonic::metadata::MetadataValue;
 use tonic::{Request, Response, Status};
 
-/// Time after which a request that consensus has not decided is given up.
+/// Time after which a request without a decision by consensus fails.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Messages that may wait for a slow watcher.
+/// Capacity of the queue of messages to a watcher.
 const WATCH_QUEUE: usize = 16;
 
-/// Answers operators.
+/// Implementation of the administration API.
 pub(crate) struct AdminService {
     control: Addr<ControlActor>,
 }
@@ -94,7 +94,7 @@
     ) -> Result<Response<v1::GetResponse>, Status> {
         let request = request.into_inner();
         let kind = kind_from_proto(request.kind());
-        // Revision 0 has no deltas, so the whole configuration comes.
+        // No revision is this high, so the response is the whole configuration.
         let known = Revision(u64::MAX);
         let response = self
             .ask(ControlRequest::ReadConfiguration { known })
@@ -180,7 +180,7 @@
     }
 }
 
-/// Sends news until the watcher is gone.
+/// Sends changes of the configuration until the watcher disconnects or a request fails.
 async fn run_watch(
     control: Addr<ControlActor>,
     mut known: Revision,
--- a/crates/control-server/src/errors.rs
+++ b/crates/control-server/src/errors.rs
@@ -1,40 +1,40 @@
-//! Errors of this crate.
+//! Error type of the crate.
 
 use luglink_control::ControlError;
 use luglink_storage::StorageError;
 use snafu::Snafu;
 
-/// A control member cannot start or go on.
+/// A failure to start or run a control member.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlServerError {
-    /// The data folder cannot be used.
-    #[snafu(display("{source}"), context(false))]
+    /// The data folder cannot be opened.
+    #[snafu(display("cannot open the data folder: {source}"), context(false))]
     Storage {
-        /// Why not.
+        /// The failure of the disk.
         source: StorageError,
     },
-    /// The member's logic cannot start or go on.
+    /// The control node failed.
     #[snafu(display("{source}"), context(false))]
     Control {
-        /// Why not.
+        /// The failure of the node.
         source: ControlError,
     },
-    /// An address cannot be used.
+    /// The server cannot listen on an address.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: std::net::SocketAddr,
-        /// Why not.
+        /// The failure of the socket.
         source: std::io::Error,
     },
-    /// The metrics cannot be set up.
-    #[snafu(display("metrics: {source}"), context(false))]
+    /// The metrics cannot be registered.
+    #[snafu(display("cannot register the metrics: {source}"), context(false))]
     Metrics {
-        /// Why not.
+        /// The failure of the registry.
         source: luglink_telemetry::TelemetryError,
     },
-    /// The member's actor is gone.
+    /// The actor of the member has stopped.
     #[snafu(display("the control member has stopped"))]
     Stopped,
 }
--- a/crates/control-server/src/joining.rs
+++ b/crates/control-server/src/joining.rs
@@ -1,4 +1,4 @@
-//! Asks the members of a running fleet to let this one in.
+//! Requests for admission to the configuration group of a running fleet.
 
 use crate::actor::ControlActor;
 use crate::looks::GetFleetStatus;
@@ -13,23 +13,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between rounds of questions.
+/// Interval between rounds of join requests.
 const JOIN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest wait for one member.
+/// Timeout of a join request to one member.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Where to ask.
+/// Members to send join requests to.
 #[derive(Clone, Debug)]
 pub(crate) struct JoinConfig {
-    /// This member's own address, which is not asked.
+    /// Address of this member, to which no request is sent.
     pub(crate) own: SocketAddr,
-    /// Members that the settings name, now.
+    /// Members that the settings name, which may change at runtime.
     pub(crate) seeds: Rc<RefCell<Vec<SocketAddr>>>,
 }
 
-/// Asks whenever this member hears no leader. Members that are asked in vain name the one that
-/// leads, as far as they know.
+/// Sends join requests while this member has no contact with a leader. A member that does not lead
+/// responds with the leader it knows, which is then asked as well.
 pub(crate) async fn join_when_leaderless(control: Addr<ControlActor>, config: JoinConfig) {
     let mut links: BTreeMap<SocketAddr, RequestClient> = BTreeMap::new();
     let mut leader: Option<SocketAddr> = None;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Asks one member. Returns the leader that it names.
+/// Sends a join request to one member. Returns the leader if the response names one.
 async fn ask(link: &RequestClient, peer: Peer) -> Option<Ipv4Addr> {
     let body = encode_body(&Request::Join(peer)).ok()?;
     let answer = link.request(body, REQUEST_TIMEOUT).await.ok()?;
--- a/crates/control-server/src/lib.rs
+++ b/crates/control-server/src/lib.rs
@@ -1,7 +1,7 @@
-//! The shell of a control member: sockets, disk and clock around [`luglink_control::ControlNode`].
+//! Server of a control member: sockets, disk and clock around [`luglink_control::ControlNode`].
 //!
-//! One actor owns the node. Everything that arrives while it works is taken together and made
-//! durable with one sync: that is the group commit.
+//! One actor owns the node. It handles all inputs that arrive while it is busy as one batch and
+//! persists them with one sync (group commit).
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/control-server/src/list.rs
+++ b/crates/control-server/src/list.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's list of replicas, at the member that leads, or at each of them in turn
-//! while none hears a leader.
+//! Reads the platform's list of replicas. The leader reads it; while there is no leader, the
+//! members take turns.
 
 use crate::actor::{ApplyBackendList, ControlActor, now};
 use crate::looks::{FleetStatus, GetFleetStatus};
@@ -12,22 +12,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest time for one reading of a page; a list may have many.
+/// Timeout for one page of the list, which may have many pages.
 const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between looks whether to read.
+/// Interval of the checks whether a read is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How the list is read.
+/// Source of the list and limits for reading it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PollConfig {
-    /// Where the platform serves it.
+    /// Address at which the platform serves the list.
     pub(crate) address: SocketAddr,
-    /// How often.
+    /// Limits of the read rate.
     pub(crate) rates: ListReadLimits,
 }
 
-/// Reads the list for one member.
+/// Reader of the list for one member.
 #[derive(Debug)]
 pub(crate) struct Poller {
     pub(crate) control: Addr<ControlActor>,
@@ -36,7 +36,7 @@
     pub(crate) config: PollConfig,
 }
 
-/// Reads the list again and again, whenever it is this member's turn.
+/// Reads the list whenever a read by this member is due.
 pub(crate) async fn poll(poller: Poller) {
     let mut client = ListClient::new(poller.config.address);
     let mut reading = ListReadSchedule::new(poller.config.rates);
@@ -67,7 +67,7 @@
                 reading.succeeded(fetched.pages, began, rand::random());
                 if is_failing {
                     let replicas = fetched.list.len();
-                    tracing::info!(replicas, "list of replicas regained");
+                    tracing::info!(replicas, "reading the list of replicas succeeded again");
                 }
                 is_failing = false;
                 poller.count("read");
@@ -82,7 +82,7 @@
                 reading.failed(error.is_rate_limited(), began, rand::random());
                 poller.count("failed");
                 if !is_failing {
-                    tracing::warn!(%error, ?reader, "list of replicas lost");
+                    tracing::warn!(%error, ?reader, "cannot read the list of replicas");
                 }
                 is_failing = true;
             }
@@ -91,8 +91,8 @@
 }
 
 impl Poller {
-    fn count(&self, end: &str) {
-        self.metrics.list_reads.with_label_values(&[end]).inc();
+    fn count(&self, outcome: &str) {
+        self.metrics.list_reads.with_label_values(&[outcome]).inc();
     }
 
     fn update_gauges(&self, status: &FleetStatus) {
--- a/crates/control-server/src/looks.rs
+++ b/crates/control-server/src/looks.rs
@@ -1,5 +1,4 @@
-//! What the other parts of a member's process ask its actor. A look changes nothing and waits for
-//! nobody.
+//! Read-only queries to the actor of a member from within its process. They are answered at once.
 
 use crate::actor::{ControlActor, now};
 use actix::prelude::*;
@@ -11,33 +10,33 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Asks how this member sees the fleet; it changes nothing and waits for nobody.
+/// Query for the state of the fleet, as this member knows it.
 #[derive(Message)]
 #[rtype(result = "FleetStatus")]
 pub(crate) struct GetFleetStatus;
 
-/// How this member sees the fleet.
+/// State of the fleet, as this member knows it.
 #[derive(Clone, Debug, Default, actix::MessageResponse)]
 pub(crate) struct FleetStatus {
-    /// Number of gateways that take callers.
+    /// Number of ready gateways that this member knows.
     pub(crate) ready_gateways: u32,
-    /// Gateways that count on this member to say that they take callers.
+    /// Number of ready gateways that are counted at this member.
     pub(crate) counted_gateways: u32,
-    /// Whether this member leads.
+    /// True if this member leads the configuration group.
     pub(crate) leads_configuration: bool,
-    /// The leader that this member follows, when it is another one.
+    /// Leader that this member follows; `None` if it leads or knows no leader.
     pub(crate) followed_leader: Option<Ipv4Addr>,
-    /// Number of members.
+    /// Number of members of the configuration group; 0 if this member is not one of them.
     pub(crate) members: u32,
-    /// Time since the platform showed the list that this member has.
+    /// Age of this member's copy of the platform's list.
     pub(crate) list_age: Option<Duration>,
-    /// Replicas in it.
+    /// Number of replicas in the copy.
     pub(crate) replicas: usize,
-    /// Set when this member should ask others to be let in.
+    /// Peer of this member, if it should ask for admission.
     pub(crate) wants_to_join: Option<Peer>,
-    /// The configuration document that is in force as far as this member knows.
+    /// Version of the configuration document that this member has applied.
     pub(crate) document_version: u64,
-    /// Whether this member leads and has applied everything that was committed before.
+    /// True if this member leads and has committed an entry in its term.
     pub(crate) leads: bool,
 }
 
@@ -64,7 +63,7 @@
     }
 }
 
-/// Asks which gateways take callers.
+/// Query for the ready gateways.
 #[derive(Message)]
 #[rtype(result = "Directory")]
 pub(crate) struct GetGatewayDirectory {
@@ -72,14 +71,14 @@
     pub(crate) zone: Option<String>,
 }
 
-/// Where callers may go.
+/// Gateways for callers of a zone.
 #[derive(Clone, Debug, Default, actix::MessageResponse)]
 pub(crate) struct Directory {
-    /// Gateways that take callers, with their zones.
+    /// Ready gateways of all zones.
     pub(crate) gateways: Vec<GatewayLocation>,
-    /// How many of the caller's zone it is told of.
+    /// Number of gateways of the caller's zone that are advertised to it.
     pub(crate) advertised: AdvertisedCount,
-    /// Time for which callers may rely on where they are told to go.
+    /// Time for which callers may cache the result.
     pub(crate) valid_for: Duration,
 }
 
@@ -96,17 +95,19 @@
     }
 }
 
-/// Asks for the words of gateways that other members of the zone should hear.
+/// Query for the report to the other members of the zone.
 #[derive(Message)]
 #[rtype(result = "ZonePeerReport")]
 pub(crate) struct GetZonePeerReport;
 
-/// Words of gateways, and the members that should hear them.
+/// Report to the other members of the zone.
 #[derive(Clone, Debug, Default, actix::MessageResponse)]
 pub(crate) struct ZonePeerReport {
+    /// Members that receive the report.
     pub(crate) zone_peers: Vec<Ipv4Addr>,
+    /// Presences of the gateways that report to this member.
     pub(crate) presences: Vec<RelayedPresence>,
-    /// What the gateways see that this member counts.
+    /// Replica statistics of the gateways that are counted at this member.
     pub(crate) replica_stats: Option<MemberStats>,
 }
 
@@ -129,17 +130,17 @@
     }
 }
 
-/// Asks what this member would say of its list to the leader.
+/// Query for the versions of this member's copy of the list.
 #[derive(Message)]
 #[rtype(result = "ListState")]
 pub(crate) struct GetListState;
 
-/// What a member says of its list.
+/// Versions of a member's copy of the list, which it sends to the leader.
 #[derive(Clone, Debug, actix::MessageResponse)]
 pub(crate) struct ListState {
-    /// What it has of the list; `None` while it has no disk.
+    /// Version of the list; `None` while the disk of the member cannot be used.
     pub(crate) list: Option<KnownList>,
-    /// What it has of the incarnations.
+    /// Version of the incarnations; `None` while the disk of the member cannot be used.
     pub(crate) incarnations: Option<KnownIncarnations>,
 }
 
--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -1,8 +1,8 @@
-//! A control member of a managed fleet, whose members come and go by themselves.
+//! Server of a control member in a managed fleet, whose members join and leave without an operator.
 //!
-//! Members are named by their IP numbers, so that a member which knows another's name can reach
-//! it. At the fleet's first start the seeds form the configuration group; everyone else, and
-//! every empty disk later, asks to be let in.
+//! The id of a member is its IPv4 address, so that members can be reached by their ids. At the
+//! first start of the fleet the seeds bootstrap the configuration group. All other members, and
+//! later every member with an empty disk, ask for admission.
 
 use crate::actor::{ControlActor, Halt, LocalRequest, Reopen, SocketEvent, now};
 use crate::errors::{ControlServerError, ListenSnafu};
@@ -32,30 +32,30 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// Longest rest of a connection of an operator or of a caller that asks where to go.
+/// Idle timeout of connections to the operator and resolution APIs.
 const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time that a hand-over of leadership needs: a round trip and an election.
+/// Time for a transfer of leadership: a round trip and an election.
 const LEADERSHIP_TRANSFER_TIME: Duration = Duration::from_millis(400);
 
-/// Bytes of the log's segments.
+/// Size of a log segment, in bytes.
 const SEGMENT_BYTES: u64 = 8 << 20;
 
-/// How a member runs.
+/// Configuration of a member's server.
 #[derive(Clone, Debug)]
 pub struct ManagedServerConfig {
-    /// What every process of the fleet is told.
+    /// Settings of all processes of the fleet.
     pub fleet: FleetSettings,
-    /// What members are told.
+    /// Settings of the control members.
     pub member: ManagedSettings,
 }
 
 /// A running member.
 #[derive(Debug)]
 pub struct ManagedServer {
-    /// Internal address.
+    /// Address for members and observers.
     pub address: SocketAddr,
-    /// Address of the metrics, when they are served.
+    /// Address of the metrics, if they are served.
     pub metrics_address: Option<SocketAddr>,
     actor: Addr<ControlActor>,
     seeds: Rc<RefCell<Vec<SocketAddr>>>,
@@ -64,7 +64,7 @@
 /// Starts a member on the current actix thread.
 ///
 /// # Errors
-/// An address is taken.
+/// Fails if an address cannot be used or the metrics cannot be registered.
 pub async fn start_managed(
     config: &ManagedServerConfig,
     dialect: Rc<dyn Dialect>,
@@ -123,8 +123,9 @@
     })
 }
 
-/// Reads the member from its data folder. A disk that is full or fails is tried again: a member
-/// that ends instead would only be started again, and meanwhile tell nobody where to go.
+/// Returns a function that loads the node from its data folder. The actor retries it while the disk
+/// is full or fails. A process that exited instead would only be restarted, and would serve no
+/// resolutions in the meantime.
 fn reopen(config: ManagedServerConfig, member: MemberId) -> Reopen {
     Box::new(move || {
         let disk = FileDisk::open(&config.member.data_folder)?;
@@ -162,10 +163,12 @@
     control.managed = Some(ManagedConfig {
         voters: copies,
         store_copies: copies,
-        // A third each for the change's own way, for those who tell first, and for the others.
+        // Budget of `change_ms`: a third for the commit and its replication, a third for the members
+        // that send a document at once, and a third for the others.
         document_fallback_delay: Duration::from_millis(fleet.change_ms / 3),
         max_staleness: Duration::from_millis(fleet.change_ms / 3),
-        // A list is told at the latest one reading and one hold after the platform showed it.
+        // Observers receive a list at most one read interval and one hold after the platform
+        // changed it.
         max_observe_hold: fleet.list_stale_after() / 4,
         ..ManagedConfig::default()
     });
@@ -205,11 +208,11 @@
     metrics: &MemberMetrics,
     listener: TcpListener,
 ) {
-    let longest = Duration::from_secs_f64(config.fleet.resolution_s);
+    let max_validity = Duration::from_secs_f64(config.fleet.resolution_s);
     let service = ResolutionService {
         control: actor.clone(),
         dialect: Rc::clone(dialect),
-        longest,
+        max_validity,
         salt: u64::from(u32::from(config.fleet.ip)),
         metrics: metrics.clone(),
     };
@@ -219,17 +222,17 @@
 }
 
 impl ManagedServer {
-    /// Asks these members to be let in, when it must ask, instead of those named before.
+    /// Replaces the seeds, which are the members that join requests are sent to.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.borrow_mut() = seeds;
     }
 
-    /// Hands over leadership, lets that settle, and stops.
+    /// Transfers leadership, waits for the election of another leader, and stops.
     pub async fn stop(self) {
         let (answer, waiting) = oneshot::channel();
         let request = ControlRequest::TransferLeadership;
         self.actor.do_send(LocalRequest { request, answer });
-        // A member that cannot hand over stops all the same; the others elect a leader.
+        // Stops even if the transfer fails; the other members then elect a leader by timeout.
         let _ = actix_rt::time::timeout(LEADERSHIP_TRANSFER_TIME, waiting).await;
         actix_rt::time::sleep(LEADERSHIP_TRANSFER_TIME).await;
         self.actor.do_send(Halt);
--- a/crates/control-server/src/metrics.rs
+++ b/crates/control-server/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a control member of a managed fleet counts.
+//! Metrics of a control member in a managed fleet.
 
 use crate::errors::ControlServerError;
 use luglink_telemetry::Metrics;
@@ -8,23 +8,23 @@
 #[derive(Clone, Debug)]
 pub(crate) struct MemberMetrics {
     pub(crate) registry: Metrics,
-    /// Operators' calls by status.
+    /// Operator calls by status.
     pub(crate) operator_calls: IntCounterVec,
-    /// Time to answer operators.
+    /// Response time of operator calls, in seconds.
     pub(crate) operator_seconds: Histogram,
-    /// Answers to callers that ask where to go, by status.
+    /// Resolutions by status.
     pub(crate) resolutions: IntCounterVec,
-    /// Readings of the platform's list by how they ended.
+    /// Reads of the platform's list by outcome.
     pub(crate) list_reads: IntCounterVec,
-    /// Entries of the list that name no replica to use.
+    /// Entries of the list that cannot be read.
     pub(crate) skipped_entries: IntCounter,
-    /// Whether this member leads and is current.
+    /// 1 if this member leads and has committed an entry in its term, otherwise 0.
     pub(crate) leads: Gauge,
-    /// Version of the configuration that it has applied.
+    /// Version of the configuration document that it has applied.
     pub(crate) version: Gauge,
-    /// Gateways that take callers.
+    /// Number of ready gateways.
     pub(crate) gateways: Gauge,
-    /// Time since the platform showed the list of replicas, in seconds.
+    /// Age of the list of replicas, in seconds.
     pub(crate) list_age: Gauge,
 }
 
--- a/crates/control-server/src/operator.rs
+++ b/crates/control-server/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's calls: the configuration as one document, and turn stores that are to go.
+//! Operator API: the configuration as one document, and the retirement of turn stores.
 
 use crate::actor::{ControlActor, LocalRequest};
 use crate::looks::GetFleetStatus;
@@ -18,30 +18,32 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Longest body of a call, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Time after which a call that consensus has not decided gets an unclear answer.
+/// Time after which a call without a decision by consensus fails with an unknown outcome.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Answers operators.
+/// Handler of the operator API.
 #[derive(Clone, Debug)]
 pub(crate) struct OperatorService {
     pub(crate) control: Addr<ControlActor>,
     pub(crate) dialect: Rc<dyn Dialect>,
-    /// Port of the operators' calls at every member.
+    /// Port of the operator API at every member, for redirects.
     pub(crate) port: u16,
     pub(crate) metrics: MemberMetrics,
 }
 
-/// Why a call has no result here.
+/// Cause for which a call has no result.
 enum CallFailure {
+    /// Another member leads.
     NotLeader(MemberId),
+    /// The call cannot be served now.
     Unavailable(&'static str),
 }
 
 impl OperatorService {
-    /// Answers a call.
+    /// Handles, counts and logs a call.
     pub(crate) async fn handle(self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
         let began = Instant::now();
         let (head, incoming) = request.into_parts();
@@ -97,7 +99,8 @@
         }
         let version = configuration.version;
         let status = self.control.send(GetFleetStatus).await;
-        // What a member has applied was committed, so an overtaken document needs no entry.
+        // The version that a member has applied is committed, so a document that does not exceed it
+        // needs no log entry.
         let is_superseded =
             status.is_ok_and(|status| status.leads && status.document_version >= version);
         if !is_superseded {
@@ -107,7 +110,7 @@
             };
             match self.ask(ControlRequest::PutDocument(document)).await? {
                 ControlResponse::DocumentHeld { version: held } => {
-                    tracing::info!(version, held, "configuration taken");
+                    tracing::info!(version, held, "configuration document stored");
                 }
                 _ => {
                     return Err(CallFailure::Unavailable(
@@ -183,7 +186,7 @@
     }
 
     fn invalid(&self, detail: &str) -> Response<Body> {
-        tracing::info!(detail, "invalid configuration");
+        tracing::info!(detail, "rejected an invalid configuration document");
         json(StatusCode::BAD_REQUEST, self.dialect.problem(detail))
     }
 
--- a/crates/control-server/src/peers.rs
+++ b/crates/control-server/src/peers.rs
@@ -1,4 +1,4 @@
-//! Links to the other members.
+//! Links for consensus messages to the other members.
 
 use luglink_net::{Link, LinkEvent};
 use luglink_raft::Envelope;
@@ -9,30 +9,30 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-/// Time after which a link that was opened when it was needed is closed when it is not.
+/// Idle time after which a link that was opened on demand is closed.
 const UNUSED_LINK_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A link and when it was last used.
+/// A link with the time of its last use.
 struct PeerLink {
     link: Link,
-    used: Instant,
+    last_used: Instant,
 }
 
-/// One link to each other member.
+/// Links to the other members, one for each.
 pub(crate) struct Peers {
     hello: Hello,
     links: BTreeMap<MemberId, PeerLink>,
-    /// Internal port of all members, when members are named by their IP numbers.
+    /// Port of all members, if the id of a member is its IPv4 address.
     port: Option<u16>,
 }
 
 fn open(address: SocketAddr, hello: Hello) -> PeerLink {
     let ignore = |_: LinkEvent| {
-        // Links only send; the other member's messages come over its own link.
+        // Links only send. Messages of the other member arrive over a link of its own.
     };
     PeerLink {
         link: Link::open(address, hello, ignore),
-        used: Instant::now(),
+        last_used: Instant::now(),
     }
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Peers {
-    /// Links to members that the settings name.
+    /// Opens links to the members that the settings name.
     pub(crate) fn open(own: MemberId, members: &[MemberAddress]) -> Self {
         let others = members.iter().filter(|member| member.id != own.0);
         let hello = hello(own);
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Links that are opened when they are needed, to members named by their IP numbers.
+    /// Creates a set of links that are opened on demand, to members whose ids are their IPv4
+    /// addresses.
     pub(crate) fn by_address(own: MemberId, port: u16) -> Self {
         Self {
             hello: hello(own),
@@ -66,15 +67,15 @@
         }
     }
 
-    /// Closes links to members that nothing was sent to for long.
+    /// Closes the idle links that were opened on demand.
     pub(crate) fn close_unused(&mut self) {
         if self.port.is_some() {
             self.links
-                .retain(|_, peer| peer.used.elapsed() < UNUSED_LINK_TIMEOUT);
+                .retain(|_, peer| peer.last_used.elapsed() < UNUSED_LINK_TIMEOUT);
         }
     }
 
-    /// Sends a message; what cannot be sent is dropped, and consensus sends it again.
+    /// Sends a message. A message that cannot be sent is dropped; consensus retries it.
     pub(crate) fn send(&mut self, group: GroupId, envelope: &Envelope) {
         let to = envelope.to.member;
         if let (Some(port), false) = (self.port, self.links.contains_key(&to)) {
@@ -84,7 +85,7 @@
         let Some(peer) = self.links.get_mut(&to) else {
             return;
         };
-        peer.used = Instant::now();
+        peer.last_used = Instant::now();
         match encode_body(envelope) {
             Ok(body) => {
                 peer.link.send(Frame::peer(group.0, body));
--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -1,8 +1,9 @@
-//! What members tell each other beside consensus: the leader's list of replicas and number of
-//! gateways to all, and the words of gateways to the other members of a zone.
+//! State that members exchange besides consensus: followers poll the leader for the list of
+//! replicas and the number of gateways, and members of a zone relay the presences and statistics of
+//! gateways to each other.
 //!
-//! So gateways need ask only a few members near them, and the leader hears the members and not the
-//! gateways.
+//! Gateways thus report to a few members near them, and the leader handles requests of members
+//! instead of requests of all gateways.
 
 use crate::actor::{ApplyLeaderUpdate, ControlActor};
 use crate::looks::{GetFleetStatus, GetListState, GetZonePeerReport, ListState};
@@ -18,27 +19,28 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Time after which the leader counts as silent: half as much again as it ever waits for news.
+/// Timeout of a request to the leader. It exceeds the maximum hold by half, so that the response
+/// arrives in time even if nothing is new.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pause after a question that failed, or while there is no leader to ask.
+/// Pause after a failed request, or while there is no leader to ask.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shortest time between two questions to the leader.
+/// Pause between two requests to the leader.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Time between two tellings of gateways' words. A gateway that falls silent is so noticed by the
-/// members that do not hear it themselves a quarter of a second later than by those that do.
+/// Interval of the reports to the other members of the zone. It adds to the time after which the
+/// members that a gateway does not report to notice its silence.
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Who a member is, for those it asks.
+/// Identity of this member in its requests to other members.
 #[derive(Clone, Debug)]
 pub(crate) struct RelayConfig {
     /// Name of its machine.
     pub(crate) name: String,
     /// Its zone.
     pub(crate) zone: String,
-    /// Internal port of all members.
+    /// Port of all members.
     pub(crate) member_port: u16,
 }
 
@@ -53,7 +55,7 @@
     }
 }
 
-/// Follows whoever leads, for ever.
+/// Polls the current leader for updates until the actor stops.
 pub(crate) async fn follow_leader(control: Addr<ControlActor>, config: RelayConfig) {
     let mut followed: Option<(Ipv4Addr, RequestClient)> = None;
     let mut is_following = false;
@@ -78,8 +80,8 @@
             is_following = update.is_some();
             let list_age_ms = status.list_age.map(milliseconds);
             match is_following {
-                true => tracing::info!(%leader, list_age_ms, "following the leader's list"),
-                false => tracing::warn!(%leader, list_age_ms, "the leader's list is not heard"),
+                true => tracing::info!(%leader, list_age_ms, "receiving updates from the leader"),
+                false => tracing::warn!(%leader, list_age_ms, "no update from the leader"),
             }
         }
         match update {
@@ -109,7 +111,7 @@
             zone: config.zone.clone(),
             role: Role::Member(presence),
         },
-        // Everything else comes with the log.
+        // Everything else is replicated by the log, so no updates of it are requested.
         known: KnownVersions {
             document_version: u64::MAX,
             is_current: true,
@@ -133,7 +135,8 @@
     }
 }
 
-/// Tells the other members of the zone which gateways this one hears, for ever.
+/// Relays the presences and statistics of gateways to the other members of the zone, until the
+/// actor stops.
 pub(crate) async fn report_to_zone_peers(control: Addr<ControlActor>, config: RelayConfig) {
     let mut links: BTreeMap<Ipv4Addr, RequestClient> = BTreeMap::new();
     loop {
@@ -154,7 +157,7 @@
         let body = match encoded.and_then(|parts| encode_with_parts(&presences, &parts)) {
             Ok(body) => body,
             Err(error) => {
-                tracing::error!(%error, "cannot encode the words of gateways");
+                tracing::error!(%error, "cannot encode a report to the members of the zone");
                 continue;
             }
         };
@@ -162,14 +165,14 @@
             let link = links
                 .entry(zone_peer)
                 .or_insert_with(|| config.link(zone_peer));
-            tell(link, body.clone());
+            send_report(link, body.clone());
         }
     }
 }
 
-/// Sends words without a wait for the answer: later ones follow soon.
-fn tell(link: &RequestClient, body: Vec<u8>) {
+/// Sends a report without waiting for the response. A lost report is replaced by the next one.
+fn send_report(link: &RequestClient, body: Vec<u8>) {
     if !link.tell(body) {
-        tracing::debug!(address = %link.address(), "a member of the zone is not reached");
+        tracing::debug!(address = %link.address(), "cannot send a report to a member of the zone");
     }
 }
--- a/crates/control-server/src/releases.rs
+++ b/crates/control-server/src/releases.rs
@@ -1,14 +1,15 @@
-//! Release orders to engines.
+//! Delivery of release orders to engines.
 
 use luglink_control::{ReleaseOrder, Request};
 use luglink_engine_api::{EngineOrder, OrderAnswer, OrderFence, OrderKind};
 use luglink_program::{Command, ConfirmRelease};
 use std::time::Duration;
 
-/// Time an engine has to answer an order.
+/// Timeout of an order to an engine.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The order as engines take it. Fences of one program's orders are compared with each other.
+/// Converts a release order to the engine API. The program is the source of the order, so that
+/// engines compare its fence only with fences of orders for the same program.
 #[must_use]
 pub fn engine_order(release: &ReleaseOrder) -> EngineOrder {
     EngineOrder {
@@ -23,14 +24,15 @@
     }
 }
 
-/// Gives an engine the order. Returns the request that records its confirmation, if it gave one.
-pub(crate) async fn order(client: awc::Client, release: ReleaseOrder) -> Option<Request> {
+/// Sends a release order to its engine. Returns the request that records the confirmation, if the
+/// engine confirmed the order.
+pub(crate) async fn send_order(client: awc::Client, release: ReleaseOrder) -> Option<Request> {
     let confirmed = Request::Program(Command::ConfirmRelease(ConfirmRelease {
         program: release.program,
         engine: release.engine,
     }));
     let Some(address) = &release.address else {
-        // The engine is no longer configured: it serves nobody and holds nothing for us.
+        // An engine that is no longer configured serves no calls and holds no memory for programs.
         return Some(confirmed);
     };
     let order = engine_order(&release);
@@ -41,7 +43,7 @@
     let answer = match request.await {
         Ok(mut response) => response.json::<OrderAnswer>().await.ok(),
         Err(error) => {
-            tracing::debug!(%error, program = %release.program, "release order not delivered");
+            tracing::debug!(%error, program = %release.program, "cannot deliver a release order");
             None
         }
     };
--- a/crates/control-server/src/resolution.rs
+++ b/crates/control-server/src/resolution.rs
@@ -1,4 +1,4 @@
-//! Tells callers which gateways to go to.
+//! Resolution API: refers callers to gateways.
 
 use crate::actor::ControlActor;
 use crate::looks::{Directory, GetGatewayDirectory};
@@ -12,20 +12,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Answers callers that ask where to go.
+/// Handler of the resolution API.
 #[derive(Clone, Debug)]
 pub(crate) struct ResolutionService {
     pub(crate) control: Addr<ControlActor>,
     pub(crate) dialect: Rc<dyn Dialect>,
-    /// Longest time for which callers rely on an answer.
-    pub(crate) longest: Duration,
-    /// Differs between members, so that together they name more gateways than one answer holds.
+    /// Upper limit of the time for which callers may cache a resolution.
+    pub(crate) max_validity: Duration,
+    /// Salt of the choice of gateways. It differs between members, so that together they advertise
+    /// more gateways than one response holds.
     pub(crate) salt: u64,
     pub(crate) metrics: MemberMetrics,
 }
 
 impl ResolutionService {
-    /// Answers a question where to go.
+    /// Handles and counts a resolution.
     pub(crate) async fn handle(self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
         let response = self.answer(request.uri()).await;
         let status = response.status();
@@ -54,12 +55,13 @@
             let detail = self.dialect.problem("no gateway is known yet");
             return json(StatusCode::SERVICE_UNAVAILABLE, detail);
         }
-        let valid_for = directory.valid_for.min(self.longest);
+        let valid_for = directory.valid_for.min(self.max_validity);
         let answer = self.dialect.resolution_answer(&gateways, valid_for);
         json(StatusCode::OK, answer)
     }
 }
 
+/// Builds a JSON response.
 pub(crate) fn json(status: StatusCode, body: Vec<u8>) -> Response<Body> {
     let mut response = Response::new(full_body(body));
     *response.status_mut() = status;
--- a/crates/control-server/src/server.rs
+++ b/crates/control-server/src/server.rs
@@ -1,4 +1,4 @@
-//! Start and stop of a control member.
+//! Start and stop of a control member with a fixed set of members.
 
 use crate::actor::{ControlActor, Halt, LocalRequest, SocketEvent, now};
 use crate::admin::AdminService;
@@ -22,7 +22,7 @@
 /// A running control member.
 #[derive(Debug)]
 pub struct ControlServer {
-    /// Internal address.
+    /// Address for members and clients.
     pub address: SocketAddr,
     /// Address of the administration API.
     pub admin_address: SocketAddr,
@@ -35,7 +35,8 @@
 /// Starts a member on the current actix thread.
 ///
 /// # Errors
-/// The data folder is damaged, full, read-only or another member's, or an address is taken.
+/// Fails if the data folder is damaged, full, read-only or belongs to another member, or if an
+/// address cannot be used.
 pub async fn start(settings: &ControlSettings) -> Result<ControlServer, ControlServerError> {
     let listener = bind(settings.listen).await?;
     let admin_listener = bind(settings.admin_listen).await?;
@@ -75,7 +76,7 @@
             .serve_with_incoming(TcpListenerStream::new(admin_listener))
             .await;
         if let Err(error) = served {
-            tracing::error!(%error, "the administration API stopped");
+            tracing::error!(%error, "administration API failed");
         }
     });
     Ok(ControlServer {
@@ -107,17 +108,17 @@
 }
 
 impl ControlServer {
-    /// Asks the member something.
+    /// Sends a request to the member and returns its response.
     ///
     /// # Errors
-    /// The member has stopped.
+    /// Fails if the member has stopped.
     pub async fn request(&self, request: Request) -> Result<Response, ControlServerError> {
         let (answer, waiting) = oneshot::channel();
         self.actor.do_send(LocalRequest { request, answer });
         waiting.await.ok().context(StoppedSnafu)
     }
 
-    /// Waits until the member stops by itself, which it does when its disk fails.
+    /// Waits until the member stops because of a failure, and returns the failure.
     pub async fn failed(&mut self) -> Option<ControlError> {
         match self.failed.take() {
             Some(failed) => failed.await.ok(),
@@ -125,21 +126,21 @@
         }
     }
 
-    /// Stops at once, as a crash would. What was synced stays.
+    /// Stops the member at once, as a crash would. Synced data remains on disk.
     pub fn halt(self) {
         self.accepting.abort();
         self.serving.abort();
         self.actor.do_send(Halt);
     }
 
-    /// Hands over leadership, lets that settle, and stops.
+    /// Transfers leadership, waits for the election of another leader, and stops.
     pub async fn stop(self) {
-        // A member that cannot hand over stops all the same; the others elect a leader.
+        // Stops even if the transfer fails; the other members then elect a leader by timeout.
         let _ = self.request(Request::TransferLeadership).await;
         actix_rt::time::sleep(LEADERSHIP_TRANSFER_TIME).await;
         self.halt();
     }
 }
 
-/// Time that a hand-over needs: a round trip and an election.
+/// Time for a transfer of leadership: a round trip and an election.
 const LEADERSHIP_TRANSFER_TIME: Duration = Duration::from_millis(300);
