--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Messages and data folders of an earlier build are read, and it reads today's.
+//! Compatibility of messages and data folders with an earlier build, in both directions.
 
 #[path = "../../wire/tests/support/golden.rs"]
 mod golden;
@@ -39,7 +39,7 @@
     golden.finish();
 }
 
-/// A record of the log, as it is on disk.
+/// Record of the log, as the earlier build defines it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum Record {
     HardState { group: GroupId, state: HardState },
@@ -48,7 +48,7 @@
     Reset { group: GroupId, index: LogIndex },
 }
 
-/// What an entry of a group carries.
+/// Command in an entry of a group, as the earlier build defines it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 enum LoggedCommand {
     Program(Command),
@@ -100,7 +100,7 @@
         replies.next().expect("a single member answers at once")
     }
 
-    /// Takes everything that the golden folder holds.
+    /// Executes the requests whose results the golden data folder contains.
     fn fill(&mut self) {
         self.ask(Request::PutDocument(values::document()));
         for number in 0..5 {
@@ -149,15 +149,15 @@
 }
 
 #[test]
-fn the_folder_of_an_earlier_build_is_read() {
+fn reads_the_data_folder_of_an_earlier_build() {
     let disk = golden_folder();
     assert!(!snapshot_files(&disk).is_empty());
     Member::start(disk).has_everything();
 }
 
-/// A received snapshot of an earlier build takes the place of the log before it.
+/// A received snapshot of an earlier build replaces the log before it.
 #[test]
-fn a_reset_of_an_earlier_build_is_read() {
+fn reads_a_reset_record_of_an_earlier_build() {
     let mut disk = golden_folder();
     let index = records(&mut disk)
         .iter()
@@ -176,10 +176,10 @@
     assert_eq!(document, Response::Document(Some(values::document())));
 }
 
-/// The types above are those of the earlier build: it reads each record, each command and each
-/// snapshot that this build writes, and would write the same bytes.
+/// The types above are those of the earlier build. They must decode each record, command and
+/// snapshot that this build writes, and encode them to the same bytes.
 #[test]
-fn an_earlier_build_reads_the_folder_of_this_one() {
+fn an_earlier_build_reads_the_data_folder_of_this_build() {
     let mut member = Member::start(MemoryDisk::new());
     member.fill();
     let mut disk = member.node.into_disk();
@@ -226,10 +226,10 @@
 }
 
 #[test]
-fn a_record_of_a_newer_build_is_refused_and_the_log_stays_as_it_is() {
+fn a_record_of_a_newer_build_is_refused_and_the_log_is_unchanged() {
     let mut disk = golden_folder();
     let (mut wal, _) = Wal::open(&mut disk, WalConfig::default()).unwrap();
-    // One record, of a kind that is not known.
+    // One record of an unknown kind.
     wal.append(&mut disk, &[1, 4]).unwrap();
     let before = disk.read(LOG).unwrap();
     let folder = tempfile::tempdir().unwrap();
--- a/crates/control/tests/golden/responses.rs
+++ b/crates/control/tests/golden/responses.rs
@@ -1,4 +1,4 @@
-//! A value of each response.
+//! A value for each response.
 
 use super::{
     PROGRAM, backend, change, document, labelled, list, load, membership, message, spec, stamp,
--- a/crates/control/tests/golden/values.rs
+++ b/crates/control/tests/golden/values.rs
@@ -1,4 +1,5 @@
-//! A value of each message, whose labels come from matches that miss no variant.
+//! A value for each message. The labels come from exhaustive matches, so that a new variant without
+//! a value does not go unnoticed.
 
 mod responses;
 
--- a/crates/control/tests/managed/incarnations.rs
+++ b/crates/control/tests/managed/incarnations.rs
@@ -1,4 +1,4 @@
-//! Restarts of replicas under their old identifiers, as members tell them.
+//! Replica incarnations in responses to observers, after restarts with unchanged identifiers.
 
 use crate::support::{Fleet, address, gateway, observe};
 use luglink_control::{Input, RequestParts, ResponseParts};
@@ -28,7 +28,8 @@
         .unwrap();
 }
 
-/// Asks a member for whatever it lacks beside `list`; a newer build says what it knows of lives.
+/// Sends the request of an observer that has `list`. With `incarnations`, the observer also asks
+/// for newer incarnations.
 fn ask(
     fleet: &mut Fleet,
     member: u32,
@@ -59,8 +60,8 @@
 }
 
 #[test]
-fn only_those_who_ask_are_told_of_incarnations() {
-    let mut fleet = Fleet::founded();
+fn incarnations_are_sent_only_on_request() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     read(&mut fleet, 1, list([5, 6]));
     assert_eq!(ask(&mut fleet, 1, None, None), ResponseParts::default());
@@ -68,29 +69,29 @@
 }
 
 #[test]
-fn a_restart_is_told_to_those_who_have_the_same_list() {
-    let mut fleet = Fleet::founded();
+fn a_restart_is_sent_to_an_observer_with_the_same_list() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     let before = list([5, 6]);
     read(&mut fleet, 1, before.clone());
     fleet.run(1.0);
     read(&mut fleet, 1, list([5, 9]));
     let sum = before.incarnation_sum();
-    let told = ask(&mut fleet, 1, Some(&before), Some(sum)).incarnations;
-    assert_eq!(told.len(), 1);
-    assert_eq!(told[0].incarnation, Incarnation(9));
+    let received = ask(&mut fleet, 1, Some(&before), Some(sum)).incarnations;
+    assert_eq!(received.len(), 1);
+    assert_eq!(received[0].incarnation, Incarnation(9));
     let sum = list([5, 9]).incarnation_sum();
-    let told = ask(&mut fleet, 1, Some(&before), Some(sum)).incarnations;
-    assert!(told.is_empty());
+    let received = ask(&mut fleet, 1, Some(&before), Some(sum)).incarnations;
+    assert!(received.is_empty());
 }
 
 #[test]
-fn a_member_passes_on_what_the_leader_told() {
-    let mut fleet = Fleet::founded();
+fn a_member_forwards_incarnations_from_the_leader() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     read(&mut fleet, 2, list([0, 0]));
     let node = fleet.nodes.get_mut(&2).unwrap();
-    let told = Input::LeaderIncarnations(list([5, 6]).incarnations());
-    node.handle(told, fleet.now).unwrap();
+    let received = Input::LeaderIncarnations(list([5, 6]).incarnations());
+    node.handle(received, fleet.now).unwrap();
     assert_eq!(ask(&mut fleet, 2, None, Some(0)).incarnations.len(), 2);
 }
--- a/crates/control/tests/managed/main.rs
+++ b/crates/control/tests/managed/main.rs
@@ -1,4 +1,4 @@
-//! A managed fleet: members and turn stores that come, go and lose their disks.
+//! Managed fleet: members and turn stores that join, fail, lose their disks and are retired.
 
 mod incarnations;
 mod members;
--- a/crates/control/tests/managed/members.rs
+++ b/crates/control/tests/managed/members.rs
@@ -1,4 +1,4 @@
-//! Members that come, go, lose their disks and lead.
+//! Membership of the configuration group: bootstrap, admission, loss of members and of disks.
 
 use crate::support::{FOUNDERS, Fleet, config, document, members, store};
 use luglink_control::{ControlNode, Request, Response};
@@ -8,26 +8,26 @@
 use std::time::Duration;
 
 #[test]
-fn the_seeds_found_the_group_within_a_moment() {
-    let mut fleet = Fleet::founded();
+fn seeds_elect_a_leader_soon_after_the_first_start() {
+    let mut fleet = Fleet::bootstrapped();
     let time = fleet.run_until("a leader", 1.0, |fleet| fleet.leader().is_some());
-    // A start of everything must not wait for the silence that deposes a leader.
+    // The first election must not wait for the timeout that deposes a leader.
     assert!(time <= Duration::from_millis(600), "{time:?}");
     assert_eq!(fleet.voters(), members(&FOUNDERS));
 }
 
-/// What earlier terms committed is only known to be all once the leader has committed in its own.
-
+/// A leader knows that its committed state is complete only after it has committed an entry of its
+/// own term.
 #[test]
-fn a_new_leader_is_not_current_before_it_has_committed_something() {
-    let mut fleet = Fleet::founded();
+fn a_new_leader_is_not_fresh_before_it_commits_an_entry() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run_until("a leader", 1.0, |fleet| fleet.leader().is_some());
     assert!(fleet.saw_uncommitted_leader);
 }
 
 #[test]
-fn a_member_that_is_not_a_seed_is_let_in_as_a_spare() {
-    let mut fleet = Fleet::founded();
+fn a_member_that_is_not_a_seed_joins_as_a_learner() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.start(4, MemoryDisk::default(), true);
     fleet.run(3.0);
     assert_eq!(fleet.voters(), members(&FOUNDERS));
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn a_spare_takes_the_place_of_a_voter_that_is_gone() {
-    let mut fleet = Fleet::founded();
+fn a_learner_replaces_a_lost_voter() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.start(4, MemoryDisk::default(), true);
     fleet.run(3.0);
     fleet.put(1, "one");
@@ -48,15 +48,15 @@
     let mut expected = members(&[1, 2, 3, 4]);
     expected.remove(&leader);
     assert_eq!(fleet.voters(), expected);
-    // A second loss, right after the repair.
+    // A second member is lost right after the repair.
     let second = fleet.leader().unwrap();
     fleet.crash(second);
     assert_eq!(fleet.document(), Some(document(1, "one")));
 }
 
 #[test]
-fn a_member_with_an_empty_disk_never_counts_before_it_has_caught_up() {
-    let mut fleet = Fleet::founded();
+fn a_member_with_an_empty_disk_does_not_vote_before_it_has_caught_up() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     fleet.put(3, "three");
     let victim = fleet.leader().unwrap();
@@ -65,7 +65,7 @@
     fleet.run(4.0);
     assert_eq!(fleet.voters(), members(&FOUNDERS));
     assert_eq!(fleet.nodes[&victim].document_version(), 3);
-    // Now another one loses its disk, while everyone else loses power.
+    // Another member loses its disk, while all members restart.
     let others: Vec<u32> = FOUNDERS.into_iter().filter(|id| *id != victim).collect();
     let kept = fleet.crash(others[0]);
     let refilled = fleet.crash(victim);
@@ -79,8 +79,8 @@
 }
 
 #[test]
-fn an_empty_disk_founds_nothing_when_the_fleet_did_not_just_start() {
-    let mut fleet = Fleet::founded();
+fn empty_disks_do_not_bootstrap_after_the_first_start() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.nodes.clear();
     for member in FOUNDERS {
         fleet.start(member, MemoryDisk::default(), false);
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn settings_that_name_other_seeds_later_change_nothing_in_the_log() {
-    let mut fleet = Fleet::founded();
+fn later_changes_of_the_seeds_do_not_affect_the_log() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     fleet.put(2, "two");
     let disks: Vec<(u32, MemoryDisk)> = FOUNDERS
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn documents_race_and_the_first_of_a_version_holds() {
-    let mut fleet = Fleet::founded();
+fn the_first_document_of_a_version_is_kept() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     let held = |version| Response::DocumentHeld { version };
     assert_eq!(fleet.put(4, "four"), held(4));
@@ -122,12 +122,12 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_confirms_nothing_and_says_that_it_may_be_behind() {
-    let mut fleet = Fleet::founded();
+fn a_partitioned_leader_confirms_nothing_and_becomes_stale() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     fleet.put(1, "one");
     let cut = fleet.leader().unwrap();
-    fleet.cut_off.insert(cut);
+    fleet.partitioned.insert(cut);
     let put = fleet.input(cut, Request::PutDocument(document(2, "lost")));
     let read = fleet.input(cut, Request::ReadDocument);
     fleet.run(1.0);
@@ -141,17 +141,17 @@
     assert!(refused(fleet.replies.remove(&(cut, read))));
     assert!(!fleet.nodes[&cut].is_fresh());
     fleet.put(3, "three");
-    fleet.cut_off.clear();
+    fleet.partitioned.clear();
     fleet.run(2.0);
     assert_eq!(fleet.document(), Some(document(3, "three")));
     assert_eq!(fleet.nodes[&cut].document_version(), 3);
 }
 
-/// One after the other, the members and stores of a fleet of twice the size we run would take
-/// longer to come than there is before its callers do.
+/// Admitted one at a time, the members and stores of a large fleet would take longer to join than
+/// the time until the first callers arrive.
 #[test]
-fn all_members_and_stores_that_come_together_are_let_in_together() {
-    let mut fleet = Fleet::founded();
+fn members_and_stores_that_start_together_are_admitted_together() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     for member in 4..=60 {
         fleet.start(member, MemoryDisk::default(), true);
@@ -171,11 +171,11 @@
     assert!(states.values().all(is_active), "{states:?}");
 }
 
-/// A member that has just started knows the founders at the most; were it to count these, all that
-/// start together would read the platform's list as if they were three.
+/// A member that has just started knows the founders at most. If it counted them, each of the
+/// members that start together would read the platform's list as often as one of three members.
 #[test]
-fn a_member_that_was_not_let_in_counts_no_members() {
-    let mut fleet = Fleet::founded();
+fn a_member_that_is_not_admitted_reports_zero_members() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     fleet.start(4, MemoryDisk::default(), false);
     assert_eq!(fleet.nodes[&4].member_count(), 0);
--- a/crates/control/tests/managed/observers.rs
+++ b/crates/control/tests/managed/observers.rs
@@ -1,4 +1,4 @@
-//! What gateways and stores are told, and who is told what.
+//! Updates of observers: their contents, their timing, and the members that send them.
 
 use crate::support::{
     FOUNDERS, Fleet, address, document, gateway, members, observe, observer_request,
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 #[test]
-fn an_observer_hears_at_once_that_a_member_has_become_current() {
-    let mut fleet = Fleet::founded();
+fn an_observer_is_answered_as_soon_as_the_member_is_fresh() {
+    let mut fleet = Fleet::bootstrapped();
     let number = fleet.input(1, observe("g", gateway(), KnownVersions::default()));
     fleet.run_until("an answer", 3.0, |fleet| {
         let answer = fleet.replies.get(&(1, number));
@@ -39,8 +39,8 @@
     assert!(!fleet.replies.contains_key(&(1, number)), "nothing is new");
 }
 
-/// Members whose answer to a question brought a document.
-fn tellers(fleet: &mut Fleet, questions: &[(u32, u64)]) -> BTreeSet<u32> {
+/// Returns the members whose responses contain a document.
+fn document_senders(fleet: &mut Fleet, questions: &[(u32, u64)]) -> BTreeSet<u32> {
     let replies = questions.iter().filter_map(|question| {
         let Some(Response::ObserverUpdate(update)) = fleet.replies.remove(question) else {
             return None;
@@ -51,8 +51,8 @@
 }
 
 #[test]
-fn a_new_document_is_told_by_a_few_members_and_by_the_others_when_those_do_not() {
-    let mut fleet = Fleet::founded();
+fn a_new_document_is_sent_by_the_selected_members_first_and_by_the_others_later() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.put(1, "one");
     fleet.run(1.0);
     let current = KnownVersions {
@@ -61,7 +61,7 @@
         members: MembersStamp::NEWEST,
         ..KnownVersions::default()
     };
-    // Each observer counts on the first two members that it asks.
+    // Each observer selects the first two members that it asks to send a document at once.
     let ask = |fleet: &mut Fleet, name: &str, order: [u32; 3]| -> Vec<(u32, u64)> {
         let mut ask = |(place, member)| {
             let mut observer_request = observer_request(name, gateway(), current.clone());
@@ -73,26 +73,25 @@
     };
     let leader = fleet.leader().unwrap();
     fleet.input(leader, Request::PutDocument(document(2, "two")));
-    let mut told_first = BTreeMap::new();
+    let mut sent_first = BTreeMap::new();
     let mut questions = BTreeMap::new();
     for (name, order) in [("g1", [1, 2, 3]), ("g2", [2, 3, 1]), ("g3", [3, 1, 2])] {
         questions.insert(order, ask(&mut fleet, name, order));
     }
-    // Followers learn what is committed with the next heartbeat, before the questions have waited
-    // long enough to be answered without news.
+    // Followers learn the commit index with the next heartbeat, before the end of the hold.
     fleet.run(0.15);
     for (order, asked) in questions {
-        told_first.insert(order, tellers(&mut fleet, &asked));
+        sent_first.insert(order, document_senders(&mut fleet, &asked));
     }
-    for (order, told) in told_first {
-        assert_eq!(told, members(&order[..2]));
+    for (order, received) in sent_first {
+        assert_eq!(received, members(&order[..2]));
     }
-    // Those who heard nothing hear it from the others a moment later.
+    // After the fallback delay, the other members send the document too.
     fleet.run(1.0);
     let asked = ask(&mut fleet, "g1", FOUNDERS);
     fleet.run(0.1);
-    assert_eq!(tellers(&mut fleet, &asked), members(&FOUNDERS));
-    // A gateway that has just started is told by everyone at once.
+    assert_eq!(document_senders(&mut fleet, &asked), members(&FOUNDERS));
+    // All members send the document at once to a gateway that has just started.
     fleet.put(3, "three");
     let asked: Vec<(u32, u64)> = FOUNDERS
         .map(|member| {
@@ -103,12 +102,12 @@
         })
         .to_vec();
     fleet.run(0.1);
-    assert_eq!(tellers(&mut fleet, &asked), members(&FOUNDERS));
+    assert_eq!(document_senders(&mut fleet, &asked), members(&FOUNDERS));
 }
 
 #[test]
-fn gateways_that_say_no_more_words_are_not_named() {
-    let mut fleet = Fleet::founded();
+fn silent_gateways_are_not_advertised() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     fleet.input(1, observe("g", gateway(), KnownVersions::default()));
     fleet.step();
@@ -118,8 +117,8 @@
 }
 
 #[test]
-fn observers_of_a_large_fleet_wait_longer_but_never_beyond_the_bound() {
-    let mut fleet = Fleet::founded();
+fn the_hold_grows_with_the_fleet_up_to_its_maximum() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     let small = fleet.nodes[&1].resolution_validity();
     let current = KnownVersions {
@@ -137,7 +136,7 @@
             })
             .collect()
     };
-    // The first to ask are told as in a small fleet; once all are known, everybody waits longer.
+    // The first requests are held as in a small fleet; the hold grows once all processes are known.
     ask_all();
     let asked = ask_all();
     let large = fleet.nodes[&1].resolution_validity();
@@ -147,16 +146,12 @@
     let early = asked
         .iter()
         .filter(|number| fleet.replies.contains_key(&(1, **number)));
-    assert_eq!(early.count(), 0, "nothing was new");
+    assert_eq!(early.count(), 0, "answered early although nothing was new");
     fleet.run(bound.as_secs_f64() / 2.0 + 0.1);
     let late = asked
         .iter()
         .filter(|number| !fleet.replies.contains_key(&(1, **number)));
-    assert_eq!(
-        late.count(),
-        0,
-        "a list would seem too old to those who wait"
-    );
+    assert_eq!(late.count(), 0, "held so long that a list appears stale");
 }
 
 fn list_of(count: u16) -> BackendList {
@@ -179,7 +174,7 @@
     node.handle(Input::Backends { list, age }, now).unwrap();
 }
 
-/// Of an observer for which nothing is news but a list.
+/// Versions of an observer for which only a list can be new.
 fn knows_all_but(backends: KnownList) -> KnownVersions {
     KnownVersions {
         is_current: true,
@@ -199,7 +194,7 @@
 fn update(fleet: &mut Fleet, member: u32, number: u64) -> Option<ObserverUpdate> {
     match fleet.replies.remove(&(member, number))? {
         Response::ObserverUpdate(update) => Some(*update),
-        other => panic!("expected news, got {other:?}"),
+        other => panic!("expected an update, got {other:?}"),
     }
 }
 
@@ -208,19 +203,20 @@
     report.is_some_and(|report| matches!(report.update, BackendUpdate::Whole(_)))
 }
 
-/// After a start all gateways want the whole list at once. However slow their links are, no more
-/// lists are on their way than fit a member's memory, and everybody gets one.
+/// After a start all gateways request the whole list at once. The number of lists in flight must
+/// stay within the limit that bounds a member's memory, also with slow links, and each gateway must
+/// receive one.
 #[test]
-fn whole_lists_are_on_their_way_to_a_few_at_a_time_and_come_to_everybody_once() {
+fn whole_lists_in_flight_are_limited_and_each_observer_receives_one() {
     for slow_steps in [0, 10] {
-        let mut fleet = Fleet::founded();
+        let mut fleet = Fleet::bootstrapped();
         fleet.run(1.0);
         let leader = fleet.leader().unwrap();
         read(&mut fleet, leader, list_of(20));
         let mut asked: BTreeMap<u64, String> = (0..144)
             .map(|number| {
                 let name = format!("g{number}");
-                // A question that is asked again takes the place of the first one.
+                // A repeated request replaces the first one.
                 fleet.input(leader, observe(&name, gateway(), knows_all_but(NO_LIST)));
                 let question = observe(&name, gateway(), knows_all_but(NO_LIST));
                 (fleet.input(leader, question), name)
@@ -254,10 +250,10 @@
     }
 }
 
-/// A process that falls silent with a list on its way must not hold up the others.
+/// A process that disconnects with a list in flight must not block the others.
 #[test]
-fn a_connection_that_closes_makes_room_for_another_list() {
-    let mut fleet = Fleet::founded();
+fn a_closed_connection_frees_its_list_slot() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     let leader = fleet.leader().unwrap();
     read(&mut fleet, leader, list_of(20));
@@ -275,7 +271,7 @@
     fleet.run(2.0);
     assert!(
         update(&mut fleet, leader, last).is_none(),
-        "four are on their way"
+        "the limit of lists in flight is reached"
     );
     let now = fleet.now;
     let node = fleet.nodes.get_mut(&leader).unwrap();
@@ -286,10 +282,10 @@
     assert!(update(&mut fleet, leader, last).is_some());
 }
 
-/// Every member tells the list, so that the leader need not hear every gateway.
+/// All members serve the list, so that the leader need not handle the requests of all gateways.
 #[test]
-fn a_member_that_follows_the_leader_tells_its_list_and_the_number_of_gateways() {
-    let mut fleet = Fleet::founded();
+fn a_follower_forwards_the_list_and_the_gateway_count_of_the_leader() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     let leader = fleet.leader().unwrap();
     let member = *FOUNDERS.iter().find(|member| **member != leader).unwrap();
@@ -303,7 +299,7 @@
         let known = fleet.nodes[&member].list().known(fleet.now);
         let asked = fleet.input(leader, observe("member", presence, knows_all_but(known)));
         fleet.run(1.0);
-        let update = update(fleet, leader, asked).expect("news within the hold");
+        let update = update(fleet, leader, asked).expect("an update within the hold");
         let now = fleet.now;
         let input = Input::LeaderUpdate {
             report: update.backends,
@@ -325,16 +321,20 @@
     fleet.replies.remove(&(leader, said));
     let asked = fleet.input(member, observe("g", gateway(), knows_all_but(NO_LIST)));
     fleet.step();
-    let told = update(&mut fleet, member, asked).unwrap();
-    assert!(is_whole(&told));
-    assert!((41..=42).contains(&told.gateways), "{}", told.gateways);
+    let received = update(&mut fleet, member, asked).unwrap();
+    assert!(is_whole(&received));
+    assert!(
+        (41..=42).contains(&received.gateways),
+        "{}",
+        received.gateways
+    );
 }
 
-/// A question that brings nothing new must cost the same however many others wait, and news must
-/// reach all of them.
+/// Requests for which nothing is new are answered without a scan of the waiting observers. Updates
+/// must nevertheless reach all observers that wait, whether they arrived before or after a change.
 #[test]
-fn news_reach_everybody_who_waits_whether_they_came_before_or_after() {
-    let mut fleet = Fleet::founded();
+fn an_update_reaches_every_waiting_observer() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.put(1, "one");
     fleet.run(1.0);
     let leader = fleet.leader().unwrap();
@@ -345,7 +345,7 @@
         backends: None,
         members: MembersStamp::NEWEST,
     };
-    // A fleet of this size makes observers wait for as long as they ever do.
+    // In a fleet of this size the hold has its maximum.
     for number in 0..400 {
         fleet.input(
             leader,
@@ -361,22 +361,22 @@
         })
         .collect();
     fleet.step();
-    let is_told = |fleet: &Fleet, number: &u64| fleet.replies.contains_key(&(leader, *number));
-    assert!(!asked.iter().any(|number| is_told(&fleet, number)));
+    let is_answered = |fleet: &Fleet, number: &u64| fleet.replies.contains_key(&(leader, *number));
+    assert!(!asked.iter().any(|number| is_answered(&fleet, number)));
     let mut observer_request = observer_request("first teller", gateway(), current.clone());
     observer_request.sends_document_at_once = true;
-    let told_first = fleet.input(leader, Request::Observe(Box::new(observer_request)));
+    let sent_first = fleet.input(leader, Request::Observe(Box::new(observer_request)));
     fleet.input(leader, Request::PutDocument(document(2, "two")));
     fleet.run(0.1);
-    assert!(is_told(&fleet, &told_first));
+    assert!(is_answered(&fleet, &sent_first));
     let hold = ManagedConfig::default().max_observe_hold;
     fleet.run(hold.as_secs_f64() + 0.1);
-    assert!(asked.iter().all(|number| is_told(&fleet, number)));
+    assert!(asked.iter().all(|number| is_answered(&fleet, number)));
 }
 
 #[test]
-fn a_member_names_gateways_that_its_neighbours_have_heard_until_they_fall_silent() {
-    let mut fleet = Fleet::founded();
+fn relayed_gateways_are_advertised_until_they_are_silent() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     fleet.input(1, observe("g", gateway(), KnownVersions::default()));
     fleet.step();
@@ -387,7 +387,7 @@
     assert_eq!(fleet.nodes[&2].ready_gateways().len(), 1);
     assert!(
         fleet.nodes[&2].presences_for_zone_peers().is_empty(),
-        "hearsay is not passed on"
+        "relayed presences are not relayed again"
     );
     assert_eq!(
         fleet.nodes[&2].counted_gateways(),
@@ -395,7 +395,8 @@
         "each is counted once"
     );
     assert_eq!(fleet.nodes[&1].counted_gateways(), 1);
-    // A later word of the gateway itself counts more than an earlier one that comes now.
+    // A later presence of the gateway itself takes precedence over an earlier relayed one that
+    // arrives after it.
     let leaving = Role::Gateway(GatewayPresence {
         address: address(80),
         ready: false,
@@ -410,8 +411,8 @@
 }
 
 #[test]
-fn a_change_of_leader_is_told_at_once_and_an_old_list_of_members_is_not() {
-    let mut fleet = Fleet::founded();
+fn a_change_of_leader_is_sent_and_an_unchanged_member_list_is_not() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.put(1, "one");
     fleet.run(1.0);
     let leader = fleet.leader().unwrap();
@@ -419,7 +420,7 @@
     let first = fleet.input(follower, observe("g", gateway(), KnownVersions::default()));
     fleet.step();
     let Some(Response::ObserverUpdate(update)) = fleet.replies.remove(&(follower, first)) else {
-        panic!("a list of members is news for who has none");
+        panic!("no update for an observer without a member list");
     };
     let list = update.members.expect("a list of members");
     assert_eq!(list.leader, Some(std::net::Ipv4Addr::from(leader)));
@@ -448,5 +449,5 @@
             return;
         }
     }
-    panic!("nobody was told of the new leader");
+    panic!("no update names the new leader");
 }
--- a/crates/control/tests/managed/replica_stats.rs
+++ b/crates/control/tests/managed/replica_stats.rs
@@ -1,4 +1,4 @@
-//! What gateways see of the replicas, as members pass it on.
+//! Replica statistics of gateways, as members aggregate and relay them.
 
 use crate::support::{Fleet, gateway, observe};
 use luglink_control::{Request, RequestParts, Response, ResponseParts};
@@ -12,7 +12,8 @@
     }])
 }
 
-/// A gateway's question, for which nothing is news, and what it is told at the end of its hold.
+/// Sends the request of a gateway for which nothing is new, and returns the optional parts of the
+/// response at the end of the hold.
 fn ask(
     fleet: &mut Fleet,
     member: u32,
@@ -27,7 +28,7 @@
         ..KnownVersions::default()
     };
     let Request::Observe(mut observer_request) = observe(name, gateway(), known) else {
-        panic!("expected an observation");
+        panic!("expected an observer's request");
     };
     observer_request.is_counted_here = true;
     let parts = RequestParts {
@@ -46,8 +47,8 @@
         .expect("an answer")
 }
 
-fn in_flight(told: &ResponseParts) -> Option<u32> {
-    let replica_stats = &told.zone_stats.as_ref()?.replica_stats;
+fn in_flight(received: &ResponseParts) -> Option<u32> {
+    let replica_stats = &received.zone_stats.as_ref()?.replica_stats;
     replica_stats
         .0
         .first()
@@ -55,24 +56,24 @@
 }
 
 #[test]
-fn a_gateway_is_told_what_all_of_its_zone_see() {
-    let mut fleet = Fleet::founded();
+fn gateways_receive_the_aggregated_statistics_of_their_zone() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     assert_eq!(in_flight(&ask(&mut fleet, 1, "g1", Some(busy(2)))), Some(2));
     assert_eq!(in_flight(&ask(&mut fleet, 1, "g2", Some(busy(3)))), Some(5));
 }
 
 #[test]
-fn a_gateway_of_an_older_build_is_told_nothing_of_it() {
-    let mut fleet = Fleet::founded();
+fn a_gateway_of_an_older_build_receives_no_statistics() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     ask(&mut fleet, 1, "g1", Some(busy(2)));
     assert_eq!(ask(&mut fleet, 1, "older", None), ResponseParts::default());
 }
 
 #[test]
-fn words_to_neighbours_carry_what_the_gateways_counted_here_see() {
-    let mut fleet = Fleet::founded();
+fn reports_to_zone_peers_carry_the_statistics_of_counted_gateways() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     assert_eq!(fleet.nodes[&1].stats_for_zone_peers(), None);
     ask(&mut fleet, 1, "g1", Some(busy(2)));
@@ -90,7 +91,7 @@
     };
     let presences = fleet.nodes[&1].presences_for_zone_peers();
     fleet.input_with_parts(2, Request::RelayGatewayPresences(presences), parts);
-    // These three members have no stores beside them, so they know no zones and are told of no
-    // neighbours: each hears all gateways by itself, and counts none by hearsay as well.
+    // These members have no stores on their machines, so their zones are unknown and they have no
+    // zone peers: each counts only the gateways that report to it, and no relayed ones.
     assert_eq!(in_flight(&ask(&mut fleet, 2, "g2", Some(busy(3)))), Some(3));
 }
--- a/crates/control/tests/managed/stores.rs
+++ b/crates/control/tests/managed/stores.rs
@@ -1,4 +1,4 @@
-//! Turn stores that come, go, lose their disks and are retired.
+//! Registry of turn stores: stores that join, fail, lose their disks and are retired.
 
 use crate::support::{Fleet, document, gateway, members, observe, store};
 use luglink_control::{Request, Response};
@@ -11,8 +11,8 @@
 use std::net::SocketAddr;
 
 #[test]
-fn stores_found_the_registry_and_a_wiped_one_is_filled_before_it_counts() {
-    let mut fleet = Fleet::founded();
+fn a_wiped_store_is_joining_until_the_others_have_handed_over() {
+    let mut fleet = Fleet::bootstrapped();
     for name in ["a", "b", "c"] {
         fleet.stores.insert(name.to_owned(), store(1, true));
     }
@@ -22,7 +22,7 @@
     };
     let states = fleet.store_states();
     assert!(states.len() == 3 && active(&states), "{states:?}");
-    // The others have not handed over yet.
+    // The other stores have not completed their handover yet.
     for name in ["a", "b"] {
         fleet.stores.get_mut(name).unwrap().handed_over_epoch = 0;
     }
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn a_store_is_retired_once_all_have_handed_over() {
-    let mut fleet = Fleet::founded();
+fn a_retirement_completes_after_all_stores_have_handed_over() {
+    let mut fleet = Fleet::bootstrapped();
     for name in ["a", "b", "c"] {
         fleet.stores.insert(name.to_owned(), store(1, true));
     }
@@ -61,12 +61,12 @@
     }
     fleet.run(2.0);
     assert_eq!(fleet.ask(look), state(RetireState::Completed));
-    // It still says its word, but it is not taken in again.
+    // The retired store still reports, but does not join again.
     fleet.run(2.0);
     assert!(!fleet.store_states().contains_key("a"));
 }
 
-/// A store on the machine of a member.
+/// Presence of a store on the machine of a member.
 fn store_beside(member: u32) -> StorePresence {
     StorePresence {
         address: SocketAddr::from((std::net::Ipv4Addr::from(member), 90)),
@@ -75,8 +75,8 @@
 }
 
 #[test]
-fn a_machine_is_retired_only_once_another_member_votes_in_its_place() {
-    let mut fleet = Fleet::founded();
+fn a_retirement_completes_only_after_the_voter_on_the_machine_is_replaced() {
+    let mut fleet = Fleet::bootstrapped();
     fleet.start(4, MemoryDisk::default(), false);
     for member in [1, 2, 3, 4] {
         let name = format!("store-{member}");
@@ -87,25 +87,25 @@
     let leader = fleet.leader().unwrap();
     let name = StoreName(format!("store-{leader}"));
     let state = |state| Response::Retirement(RetireResponse::State(state));
-    // The spare cannot be reached: until it can, the machine stays.
-    fleet.cut_off.insert(4);
+    // While the only learner is unreachable, the retirement does not complete.
+    fleet.partitioned.insert(4);
     fleet.run(2.0);
     let running = state(RetireState::Running);
     assert_eq!(fleet.ask(Request::Retire(name.clone())), running);
     fleet.run(3.0);
     let look = Request::ReadRetirement(name);
     assert_eq!(fleet.ask(look.clone()), running);
-    fleet.cut_off.clear();
+    fleet.partitioned.clear();
     fleet.run(4.0);
     assert_eq!(fleet.ask(look), state(RetireState::Completed));
     assert!(!fleet.voters().contains(&leader));
     assert_eq!(fleet.voters().len(), 3);
-    // It asks to be let in until its machine is taken away, in vain.
+    // The removed member asks for admission until its machine is shut down, and is not admitted.
     fleet.run(3.0);
     let status = fleet.nodes[&fleet.leader().unwrap()].status();
     let membership = &status.groups[0].membership;
     assert!(membership.peers().all(|peer| peer.member.0 != leader));
-    // One more may be lost now.
+    // The group tolerates the loss of another member now.
     fleet.crash(leader);
     let other = *fleet.voters().first().unwrap();
     fleet.crash(other);
@@ -114,15 +114,15 @@
 }
 
 #[test]
-fn no_more_stores_are_passed_over_at_once_than_may_be_lost() {
-    let mut fleet = Fleet::founded();
+fn at_most_the_tolerated_number_of_stores_is_marked_lost() {
+    let mut fleet = Fleet::bootstrapped();
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
     for name in names {
         fleet.stores.insert(name.to_owned(), store(1, true));
     }
     fleet.run(3.0);
-    // Half of the stores cannot be heard: a cut, since so many are not lost at once. Gateways may
-    // reach them all the same.
+    // Half of the stores are silent. So many are not lost at once, so the cause is a network
+    // partition, and gateways may still reach the stores.
     for name in &names[..4] {
         fleet.stores.remove(*name);
     }
@@ -132,7 +132,7 @@
     };
     for _ in 0..6 {
         fleet.run(1.0);
-        assert!(lost(&mut fleet) <= 1, "one disk may be lost here");
+        assert!(lost(&mut fleet) <= 1, "more stores lost than tolerated");
     }
     assert_eq!(lost(&mut fleet), 1);
     for name in &names[..4] {
@@ -141,12 +141,12 @@
     fleet.run(2.0);
     let states = fleet.store_states().into_values();
     let active = states.filter(|state| *state == StoreState::Active);
-    assert_eq!(active.count(), names.len(), "all are back");
+    assert_eq!(active.count(), names.len(), "stores that are not active");
 }
 
 #[test]
-fn a_silent_store_is_passed_over_only_while_enough_others_are_there() {
-    let mut fleet = Fleet::founded();
+fn a_silent_store_is_marked_lost_only_while_enough_others_are_writable() {
+    let mut fleet = Fleet::bootstrapped();
     for name in ["a", "b", "c"] {
         fleet.stores.insert(name.to_owned(), store(1, true));
     }
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn a_store_that_is_gone_for_good_leaves_the_view_once_others_have_its_share() {
-    let mut fleet = Fleet::founded();
+fn a_lost_store_is_removed_after_the_others_have_taken_over_its_share() {
+    let mut fleet = Fleet::bootstrapped();
     for name in ["a", "b", "c", "d"] {
         fleet.stores.insert(name.to_owned(), store(1, true));
     }
@@ -179,7 +179,7 @@
     }
     fleet.run(2.0);
     assert!(!fleet.store_states().contains_key("a"));
-    // It was only away for long: it joins anew and is filled with what it missed.
+    // The store was only unreachable: it joins again and receives its share from the others.
     fleet.stores.insert("a".to_owned(), store(1, true));
     for store in fleet.stores.values_mut() {
         store.handed_over_epoch = 0;
@@ -189,8 +189,8 @@
 }
 
 #[test]
-fn snapshots_carry_documents_and_the_registry() {
-    let mut fleet = Fleet::founded();
+fn snapshots_contain_the_document_and_the_store_registry() {
+    let mut fleet = Fleet::bootstrapped();
     for node in fleet.nodes.values() {
         assert!(node.status().groups.len() == 1);
     }
@@ -203,7 +203,7 @@
     fleet.run(3.0);
     let update = match fleet.ask(observe("w", gateway(), KnownVersions::default())) {
         Response::ObserverUpdate(update) => *update,
-        other => panic!("expected news, got {other:?}"),
+        other => panic!("expected an update, got {other:?}"),
     };
     let ObserverUpdate {
         document: held,
--- a/crates/control/tests/managed/support.rs
+++ b/crates/control/tests/managed/support.rs
@@ -1,4 +1,4 @@
-//! A fleet of members in memory, over a network without delay.
+//! In-memory fleet of members, connected by a network without delay.
 
 use luglink_control::{
     ControlConfig, ControlNode, Input, ManagedConfig, Output, Request, RequestParts, RequestToken,
@@ -31,30 +31,30 @@
     config
 }
 
-/// Members over a network without delay, where some may be cut off.
+/// Members connected by a network without delay, some of which may be partitioned.
 pub struct Fleet {
     pub now: Timestamp,
     pub nodes: BTreeMap<u32, ControlNode<MemoryDisk>>,
-    pub cut_off: BTreeSet<u32>,
-    pub mail: VecDeque<(u32, Envelope)>,
+    pub partitioned: BTreeSet<u32>,
+    pub messages: VecDeque<(u32, Envelope)>,
     pub replies: BTreeMap<(u32, u64), Response>,
-    /// What followed them.
+    /// Optional parts of the replies.
     pub reply_parts: BTreeMap<(u32, u64), ResponseParts>,
     pub requests: u64,
     pub starts: u64,
-    /// Whether a member was seen that led but had not committed in its term.
+    /// True if a member led without having committed an entry of its term.
     pub saw_uncommitted_leader: bool,
-    /// Stores that say their word each step.
+    /// Stores that report their presence to all members in each step.
     pub stores: BTreeMap<String, StorePresence>,
 }
 
 impl Fleet {
-    pub fn founded() -> Self {
+    pub fn bootstrapped() -> Self {
         let mut fleet = Self {
             now: Timestamp::from_millis(1_000_000),
             nodes: BTreeMap::new(),
-            cut_off: BTreeSet::new(),
-            mail: VecDeque::new(),
+            partitioned: BTreeSet::new(),
+            messages: VecDeque::new(),
             replies: BTreeMap::new(),
             reply_parts: BTreeMap::new(),
             requests: 0,
@@ -95,7 +95,7 @@
         self.requests
     }
 
-    /// Asks as a newer build does.
+    /// Sends a request with optional parts, as a newer build does.
     pub fn input_with_parts(&mut self, member: u32, request: Request, parts: RequestParts) -> u64 {
         self.requests += 1;
         let token = RequestToken {
@@ -121,15 +121,15 @@
             node.tick(self.now).unwrap();
             let join = node.wants_to_join();
             self.flush(*member);
-            if let Some(peer) = join.filter(|_| !self.cut_off.contains(member)) {
+            if let Some(peer) = join.filter(|_| !self.partitioned.contains(member)) {
                 for other in members.iter().filter(|other| *other != member) {
-                    if !self.cut_off.contains(other) {
+                    if !self.partitioned.contains(other) {
                         self.input(*other, Request::Join(peer));
                     }
                 }
             }
         }
-        while let Some((to, envelope)) = self.mail.pop_front() {
+        while let Some((to, envelope)) = self.messages.pop_front() {
             if let Some(node) = self.nodes.get_mut(&to) {
                 let envelope = Box::new(envelope);
                 let group = GROUP;
@@ -161,9 +161,10 @@
             match output {
                 Output::Peer { envelope, .. } => {
                     let to = envelope.to.member.0;
-                    let is_cut = self.cut_off.contains(&member) != self.cut_off.contains(&to);
+                    let is_cut =
+                        self.partitioned.contains(&member) != self.partitioned.contains(&to);
                     if !is_cut {
-                        self.mail.push_back((to, *envelope));
+                        self.messages.push_back((to, *envelope));
                     }
                 }
                 Output::Reply {
@@ -203,7 +204,7 @@
 
     pub fn leader(&self) -> Option<u32> {
         let leads = |(member, node): (&u32, &ControlNode<MemoryDisk>)| {
-            (node.is_fresh() && node.leads(GROUP) && !self.cut_off.contains(member))
+            (node.is_fresh() && node.leads(GROUP) && !self.partitioned.contains(member))
                 .then_some(*member)
         };
         self.nodes.iter().find_map(leads)
@@ -245,7 +246,7 @@
         let Response::ObserverUpdate(update) =
             self.ask(observe("watcher", gateway(), KnownVersions::default()))
         else {
-            panic!("expected news");
+            panic!("expected an update");
         };
         let view = update.stores.unwrap_or_default();
         let members = view.members.into_iter();
--- a/crates/control/tests/member.rs
+++ b/crates/control/tests/member.rs
@@ -1,4 +1,4 @@
-//! A member and its disk: what survives, what is refused, and what stops it.
+//! Durability of a member: crashes, failing disks, and data folders that are refused.
 
 use luglink_control::{
     ControlConfig, ControlError, ControlNode, Input, Output, Request, RequestToken, Response,
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn everything_acknowledged_survives_a_crash_and_snapshots() {
+fn acknowledged_requests_survive_snapshots_and_a_crash() {
     let mut member = Member::start(MemoryDisk::new());
     for number in 0..60 {
         member.create(number);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_sync_that_fails_stops_the_member_and_what_it_acknowledged_survives() {
+fn a_failed_sync_stops_the_member_and_acknowledged_requests_survive() {
     let mut member = Member::start(MemoryDisk::new());
     member.create(1);
     member.node.disk_mut().set_sync_fails(true);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_log_with_a_damaged_middle_is_refused() {
+fn a_corrupt_record_before_the_end_of_the_log_is_refused() {
     let mut member = Member::start(MemoryDisk::new());
     for number in 0..4 {
         member.create(number);
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_folder_of_another_member_is_refused() {
+fn a_data_folder_of_another_member_is_refused() {
     let member = Member::start(MemoryDisk::new());
     let disk = member.node.into_disk();
     let mut other = config();
@@ -230,9 +230,9 @@
     assert!(message.contains("no space left"), "{message}");
 }
 
-/// A member that nobody has added to a running cluster answers nothing but that.
+/// A member that has not been added to a running cluster must not elect itself.
 #[test]
-fn an_empty_disk_does_not_found_a_second_cluster() {
+fn an_empty_disk_does_not_bootstrap_a_second_cluster() {
     let mut joining = config();
     joining.bootstrap = false;
     let mut node = ControlNode::start(joining, MemoryDisk::new(), 9, Timestamp::ZERO).unwrap();
--- a/crates/control/tests/mixed_builds.rs
+++ b/crates/control/tests/mixed_builds.rs
@@ -1,4 +1,4 @@
-//! Messages between builds that know of the parts behind them and builds that do not.
+//! Compatibility of messages between builds with and without optional parts.
 
 use luglink_control::{Request, RequestParts, Response, ResponseParts};
 use luglink_fleet::{
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A replica as builds without incarnations lay it out.
+/// Layout of a replica in builds without incarnations.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct OlderBackend {
     id: String,
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn lists_are_laid_out_as_older_builds_read_and_write_them() {
+fn the_layout_of_lists_matches_older_builds() {
     let newer = encode_body(&BackendList::new(vec![backend()])).unwrap();
     let older = encode_body(&vec![older_backend()]).unwrap();
     assert_eq!(newer, older);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn parts_come_over_whole() {
+fn parts_round_trip() {
     let bytes = encode_with_parts(&Request::Status, &request_parts().encode().unwrap()).unwrap();
     let (_, parts) = decode_with_parts::<Request>(&bytes).unwrap();
     assert_eq!(RequestParts::decode(&parts).unwrap(), request_parts());
@@ -135,11 +135,11 @@
     assert_eq!(ResponseParts::decode(&parts).unwrap(), response_parts());
 }
 
-/// Bytes of a word, at the most.
-const MOST_SIGHTS_BYTES: usize = 2_048;
+/// Maximum size of an encoded statistics report, in bytes.
+const MAX_STATS_BYTES: usize = 2_048;
 
 #[test]
-fn a_word_of_sights_stays_small() {
+fn a_stats_report_stays_small() {
     let largest = ReplicaStats {
         replica: ReplicaKey(u32::MAX),
         in_flight_tenths: 40_000,
@@ -149,5 +149,5 @@
         reporting_gateways: 864,
     };
     let bytes = encode_body(&StatsReport(vec![largest; MAX_REPLICA_STATS])).unwrap();
-    assert!(bytes.len() <= MOST_SIGHTS_BYTES, "{}", bytes.len());
+    assert!(bytes.len() <= MAX_STATS_BYTES, "{}", bytes.len());
 }
