--- a/crates/control-server/src/joining.rs
+++ b/crates/control-server/src/joining.rs
@@ -1,7 +1,7 @@
 //! Requests for admission to the configuration group of a running fleet.
 
 use crate::actor::ControlActor;
-use crate::looks::GetFleetStatus;
+use crate::queries::GetFleetStatus;
 use actix::Addr;
 use luglink_control::{Request, Response};
 use luglink_net::RequestClient;
--- a/crates/control-server/src/list.rs
+++ b/crates/control-server/src/list.rs
@@ -2,8 +2,8 @@
 //! members take turns.
 
 use crate::actor::{ApplyBackendList, ControlActor, now};
-use crate::looks::{FleetStatus, GetFleetStatus};
 use crate::metrics::MemberMetrics;
+use crate::queries::{FleetStatus, GetFleetStatus};
 use actix::Addr;
 use luglink_edge::Dialect;
 use luglink_fleet::{ListReadLimits, ListReadSchedule, ListReader};
--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -163,8 +163,8 @@
     control.managed = Some(ManagedConfig {
         voters: copies,
         store_copies: copies,
-        // Budget of `change_ms`: a third for the commit and its replication, a third for the members
-        // that send a document at once, and a third for the others.
+        // A third of `change_ms` each for the commit of a change, for the members that send it at
+        // once, and for the others.
         document_fallback_delay: Duration::from_millis(fleet.change_ms / 3),
         max_staleness: Duration::from_millis(fleet.change_ms / 3),
         // Observers receive a list at most one read interval and one hold after the platform
--- a/crates/control-server/src/operator.rs
+++ b/crates/control-server/src/operator.rs
@@ -1,8 +1,8 @@
 //! Operator API: the configuration as one document, and the retirement of turn stores.
 
 use crate::actor::{ControlActor, LocalRequest};
-use crate::looks::GetFleetStatus;
 use crate::metrics::MemberMetrics;
+use crate::queries::GetFleetStatus;
 use crate::resolution::json;
 use actix::Addr;
 use http::{HeaderValue, Request, Response, StatusCode, header};
--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -6,7 +6,7 @@
 //! instead of requests of all gateways.
 
 use crate::actor::{ApplyLeaderUpdate, ControlActor};
-use crate::looks::{GetFleetStatus, GetListState, GetZonePeerReport, ListState};
+use crate::queries::{GetFleetStatus, GetListState, GetZonePeerReport, ListState};
 use actix::Addr;
 use luglink_control::{Request, RequestParts, Response, ResponseParts};
 use luglink_fleet::{
@@ -19,8 +19,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Timeout of a request to the leader. It exceeds the maximum hold by half, so that the response
-/// arrives in time even if nothing is new.
+/// Timeout of a request to the leader. It must exceed the maximum hold, after which the leader
+/// answers even if nothing is new.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Pause after a failed request, or while there is no leader to ask.
--- a/crates/control-server/src/resolution.rs
+++ b/crates/control-server/src/resolution.rs
@@ -1,8 +1,8 @@
 //! Resolution API: refers callers to gateways.
 
 use crate::actor::ControlActor;
-use crate::looks::{Directory, GetGatewayDirectory};
 use crate::metrics::MemberMetrics;
+use crate::queries::{Directory, GetGatewayDirectory};
 use actix::Addr;
 use http::{HeaderValue, Request, Response, StatusCode, Uri, header};
 use hyper::body::Incoming;
--- a/crates/control-server/src/server.rs
+++ b/crates/control-server/src/server.rs
@@ -61,7 +61,13 @@
     let disk = FileDisk::open(&settings.data_folder)?;
     let seed = rand::rng().next_u64();
     let node = ControlNode::start(config(settings), disk, seed, now())?;
-    tracing::info!(member = settings.id, peer = %node.peer(), %address, %admin_address, "control member started");
+    tracing::info!(
+        member = settings.id,
+        peer = %node.peer(),
+        %address,
+        %admin_address,
+        "control member started"
+    );
     let peers = Peers::open(MemberId(settings.id), &settings.members);
     let (failed_sender, failed) = oneshot::channel();
     let actor = ControlActor::new(node, peers, failed_sender).start();
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -20,15 +20,15 @@
     /// Replicas of each turn and account. A silent store is marked as lost only while more than
     /// this number of stores are writable.
     pub store_copies: usize,
-    /// Time without a report after which a turn store is marked as lost.
+    /// Time without a report after which a turn store counts as silent and may be marked as lost.
     pub store_timeout: Duration,
     /// Time without a report after which the state of a process is dropped.
     pub forget_timeout: Duration,
     /// Maximum time for which a member of a small fleet holds an observer's request open while
     /// nothing is new. An observer reports its presence with each request.
     pub observe_hold: Duration,
-    /// Hold time per known process. Where its sum over all processes exceeds `observe_hold`, it
-    /// sets the hold, so that the request rate of a member does not grow with the fleet.
+    /// Hold time per known process. The hold is at least this value times the number of processes,
+    /// so that the request rate of a member does not grow with the fleet.
     pub observe_hold_per_process: Duration,
     /// Upper limit of the hold in a fleet of any size. A response without changes also refreshes
     /// the age of the list of replicas; with a longer hold the list appears stale to gateways and
@@ -144,13 +144,13 @@
         ensure!(
             self.managed.is_some() || self.program_groups > 0,
             InvalidConfigSnafu {
-                rule: "program_groups must be greater than zero"
+                rule: "program_groups must be positive"
             }
         );
         ensure!(
             self.replication > 0 && self.configuration_voters > 0 && self.snapshot_entries > 0,
             InvalidConfigSnafu {
-                rule: "replication, configuration_voters and snapshot_entries must be greater than zero"
+                rule: "replication, configuration_voters and snapshot_entries must be positive"
             }
         );
         if self.raft.validate().is_err() {
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -192,7 +192,7 @@
         peers.any(|peer| Some(peer.member) == at_address)
     }
 
-    /// Returns the commands to propose in this round. All new stores join together: one per round
+    /// Returns the commands to propose in this round. All new stores join together; one per round
     /// would leave a large fleet without most of its stores for longer than its start may take.
     /// All other changes are made one at a time.
     fn due_store_commands(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
@@ -263,9 +263,9 @@
             })
     }
 
-    /// Removes a lost store that this member has no presence of and whose share the other stores have
-    /// taken over. While a lost store is in the view, no lookup can conclude that a turn does not
-    /// exist. A store that comes back joins again.
+    /// Returns the removal of a lost store that has not reported for long and whose share the other
+    /// stores have taken over. While a lost store is in the view, no lookup can conclude that a
+    /// turn does not exist. A store that comes back joins again.
     fn next_lost_removal(&self, view: &StoreView) -> Option<StoreCommand> {
         if view.members.values().any(is_joining) {
             return None;
@@ -278,7 +278,7 @@
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
 
-    /// Activates a joining store that the other stores have handed its share to.
+    /// Returns the activation of a joining store, to which the other stores have handed its share.
     fn next_activation(&self, view: &StoreView) -> Option<StoreCommand> {
         view.members
             .iter()
@@ -290,8 +290,9 @@
             })
     }
 
-    /// Removes a leaving store whose share the other stores have taken over and whose machine runs
-    /// no member of the group. After the removal the machine and its disk may be discarded.
+    /// Returns the removal of a leaving store whose share the other stores have taken over and
+    /// whose machine runs no member of the group. After the removal the store is reported as
+    /// empty, and its machine and disk are discarded.
     fn next_retired_removal(&self, view: &StoreView) -> Option<StoreCommand> {
         if view.members.values().any(is_joining) {
             return None;
@@ -305,10 +306,10 @@
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
 
-    /// Marks a silent store as lost, if enough other stores are writable and fewer than
-    /// `tolerated_losses` are lost. When more stores are silent, the cause is rather a network
-    /// partition around the leader: gateways may still reach these stores, and the other stores
-    /// could not take over their data.
+    /// Returns the command that marks a silent store as lost, if enough other stores are writable
+    /// and fewer than `tolerated_losses` are lost. More silent stores than that rather indicate a
+    /// network partition around the leader: gateways may still reach these stores, and the other
+    /// stores could not take over their data.
     fn next_silent_store(&self, view: &StoreView, managed: &ManagedConfig) -> Option<StoreCommand> {
         let members = view.members.values();
         let lost = members.filter(|member| member.state == StoreState::Lost);
@@ -316,7 +317,7 @@
         if !may_lose || view.writable().count() <= managed.store_copies {
             return None;
         }
-        // A store that this member has never heard counts as silent from the time it became leader.
+        // A store without a report counts as silent from the time this member became leader.
         let leading_long = self
             .leads_since
             .is_some_and(|since| self.now.since(since) >= managed.store_timeout);
