--- a/crates/control-server/src/actor.rs
+++ b/crates/control-server/src/actor.rs
@@ -25,7 +25,7 @@
 /// Interval at which the timers of the node are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Capacity of the mailbox, above which senders are subject to backpressure.
+/// Capacity of the mailbox. While it is full, queries wait and operator calls are refused.
 const MAILBOX_CAPACITY: usize = 65_536;
 
 /// Maximum number of release orders in flight at the same time.
--- a/crates/control-server/src/list.rs
+++ b/crates/control-server/src/list.rs
@@ -24,7 +24,7 @@
     /// Address at which the platform serves the list.
     pub(crate) address: SocketAddr,
     /// Limits of the read rate.
-    pub(crate) rates: ListReadLimits,
+    pub(crate) limits: ListReadLimits,
 }
 
 /// Reader of the list for one member.
@@ -39,7 +39,7 @@
 /// Reads the list whenever a read by this member is due.
 pub(crate) async fn poll(poller: Poller) {
     let mut client = ListClient::new(poller.config.address);
-    let mut reading = ListReadSchedule::new(poller.config.rates);
+    let mut schedule = ListReadSchedule::new(poller.config.limits);
     let mut is_failing = false;
     loop {
         actix_rt::time::sleep(CHECK_INTERVAL).await;
@@ -51,20 +51,20 @@
             true => ListReader::Leader,
             false => ListReader::Member(status.members),
         };
-        reading.expect_replicas(status.replicas);
-        if !reading.is_due(reader, status.list_age, now(), rand::random()) {
+        schedule.expect_replicas(status.replicas);
+        if !schedule.is_due(reader, status.list_age, now(), rand::random()) {
             continue;
         }
-        let at_refusal = match reader {
+        let rate_limit_policy = match reader {
             ListReader::Leader => RateLimitPolicy::Wait,
             _ => RateLimitPolicy::GiveUp,
         };
         let began = now();
         let started = Instant::now();
-        let fetched = client.fetch(&*poller.dialect, PAGE_TIMEOUT, at_refusal);
+        let fetched = client.fetch(&*poller.dialect, PAGE_TIMEOUT, rate_limit_policy);
         match fetched.await {
             Ok(fetched) => {
-                reading.succeeded(fetched.pages, began, rand::random());
+                schedule.succeeded(fetched.pages, began, rand::random());
                 if is_failing {
                     let replicas = fetched.list.len();
                     tracing::info!(replicas, "reading the list of replicas succeeded again");
@@ -79,7 +79,7 @@
                 });
             }
             Err(error) => {
-                reading.failed(error.is_rate_limited(), began, rand::random());
+                schedule.failed(error.is_rate_limited(), began, rand::random());
                 poller.count("failed");
                 if !is_failing {
                     tracing::warn!(%error, ?reader, "cannot read the list of replicas");
--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -89,7 +89,7 @@
     serve_resolutions(config, &actor, &dialect, &metrics, resolutions);
     let poll = PollConfig {
         address: fleet.list_address,
-        rates: ListReadLimits {
+        limits: ListReadLimits {
             calls_per_s: fleet.list_calls_per_s,
             min_interval: Duration::from_millis(config.member.list_interval_ms),
             stale_after: fleet.list_stale_after(),
--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -141,18 +141,18 @@
     let mut links: BTreeMap<Ipv4Addr, RequestClient> = BTreeMap::new();
     loop {
         actix_rt::time::sleep(REPORT_INTERVAL).await;
-        let Ok(taken) = control.send(GetZonePeerReport).await else {
+        let Ok(report) = control.send(GetZonePeerReport).await else {
             return;
         };
-        links.retain(|member, _| taken.zone_peers.contains(member));
-        if taken.zone_peers.is_empty() {
+        links.retain(|member, _| report.zone_peers.contains(member));
+        if report.zone_peers.is_empty() {
             continue;
         }
         let parts = RequestParts {
-            member_stats: taken.replica_stats,
+            member_stats: report.replica_stats,
             ..RequestParts::default()
         };
-        let presences = Request::RelayGatewayPresences(taken.presences);
+        let presences = Request::RelayGatewayPresences(report.presences);
         let encoded = parts.encode();
         let body = match encoded.and_then(|parts| encode_with_parts(&presences, &parts)) {
             Ok(body) => body,
@@ -161,7 +161,7 @@
                 continue;
             }
         };
-        for zone_peer in taken.zone_peers {
+        for zone_peer in report.zone_peers {
             let link = links
                 .entry(zone_peer)
                 .or_insert_with(|| config.link(zone_peer));
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -411,7 +411,7 @@
                 Some(self.change_membership(group, change))
             }
             Request::TransferLeadership => {
-                self.hand_over();
+                self.transfer_all_leadership();
                 Some(Response::Done)
             }
             Request::PutDocument(document) => {
@@ -500,7 +500,7 @@
 
     /// Transfers leadership of every group to the voter that was heard from last. Voters on
     /// machines that are being taken out of service are only used if there is no other.
-    fn hand_over(&mut self) {
+    fn transfer_all_leadership(&mut self) {
         let now = self.now;
         let leaving = self.leaving_members();
         for group in self
--- a/crates/control/src/observers.rs
+++ b/crates/control/src/observers.rs
@@ -84,12 +84,14 @@
             .clone()
             .filter(|_| parts.replica_stats.is_some());
         if let Some(replica_stats) = parts.replica_stats {
-            let of = StatsSource {
+            let source = StatsSource {
                 name: &observer_request.presence.name,
                 zone,
                 is_counted_here,
             };
-            self.fleet.replica_stats.note(of, replica_stats, self.now);
+            self.fleet
+                .replica_stats
+                .note(source, replica_stats, self.now);
         }
         let presence = &mut self.fleet.presence;
         presence.note(observer_request.presence, is_counted_here, self.now);
@@ -148,8 +150,8 @@
     fn observe_hold(&self) -> Duration {
         let managed = self.config.managed_or_default();
         let processes = u32::try_from(self.fleet.presence.len()).unwrap_or(u32::MAX);
-        let shared = managed.observe_hold_per_process.saturating_mul(processes);
-        let hold = managed.observe_hold.max(shared);
+        let scaled = managed.observe_hold_per_process.saturating_mul(processes);
+        let hold = managed.observe_hold.max(scaled);
         hold.min(managed.max_observe_hold)
     }
 
