--- a/crates/control/tests/managed/incarnations.rs
+++ b/crates/control/tests/managed/incarnations.rs
@@ -91,7 +91,7 @@
     fleet.run(1.0);
     read(&mut fleet, 2, list([0, 0]));
     let node = fleet.nodes.get_mut(&2).unwrap();
-    let received = Input::LeaderIncarnations(list([5, 6]).incarnations());
-    node.handle(received, fleet.now).unwrap();
+    let input = Input::LeaderIncarnations(list([5, 6]).incarnations());
+    node.handle(input, fleet.now).unwrap();
     assert_eq!(ask(&mut fleet, 2, None, Some(0)).incarnations.len(), 2);
 }
--- a/crates/control/tests/managed/observers.rs
+++ b/crates/control/tests/managed/observers.rs
@@ -363,7 +363,7 @@
     fleet.step();
     let is_answered = |fleet: &Fleet, number: &u64| fleet.replies.contains_key(&(leader, *number));
     assert!(!asked.iter().any(|number| is_answered(&fleet, number)));
-    let mut observer_request = observer_request("first teller", gateway(), current.clone());
+    let mut observer_request = observer_request("first sender", gateway(), current.clone());
     observer_request.sends_document_at_once = true;
     let sent_first = fleet.input(leader, Request::Observe(Box::new(observer_request)));
     fleet.input(leader, Request::PutDocument(document(2, "two")));
--- a/crates/control/tests/managed/replica_stats.rs
+++ b/crates/control/tests/managed/replica_stats.rs
@@ -52,7 +52,7 @@
     replica_stats
         .0
         .first()
-        .map(|sight| sight.in_flight_tenths / 10)
+        .map(|stats| stats.in_flight_tenths / 10)
 }
 
 #[test]
