--- a/crates/control-server/src/actor.rs
+++ b/crates/control-server/src/actor.rs
@@ -48,7 +48,8 @@
 /// Loads the node from its disk.
 pub(crate) type Reopen = Box<dyn Fn() -> Result<ControlNode<FileDisk>, ControlError>>;
 
-/// Interval of attempts to load the node from a failing disk.
+/// Interval of attempts to load the node from a failing disk. The pause spares the disk further
+/// load.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Owns the node and the connections of its clients.
--- a/crates/control-server/src/list.rs
+++ b/crates/control-server/src/list.rs
@@ -1,5 +1,5 @@
-//! Reads the platform's list of replicas. The leader reads it; while there is no leader, the
-//! members take turns.
+//! Reads the platform's list of replicas. The leader reads it for all. A member whose copy is stale,
+//! because no list of a leader arrives, reads it too; the members share a limit of the read rate.
 
 use crate::actor::{ApplyBackendList, ControlActor, now};
 use crate::metrics::MemberMetrics;
--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -15,7 +15,7 @@
     pub voters: usize,
     /// Time without a message after which a voter is replaced, if a learner can take its place.
     pub member_timeout: Duration,
-    /// Time without a message of a leader after which a member asks to join the group.
+    /// Time without confirmation by a leader after which a member asks to join the group.
     pub join_timeout: Duration,
     /// Replicas of each turn and account. A silent store is marked as lost only while more than
     /// this number of stores are writable.
--- a/crates/control/src/errors.rs
+++ b/crates/control/src/errors.rs
@@ -4,7 +4,8 @@
 use luglink_types::GroupId;
 use snafu::Snafu;
 
-/// A failure after which the member must stop, because its state may differ from its disk.
+/// A failure to start or run a member. After it the member must stop or be loaded from its disk
+/// again.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ControlError {
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -251,7 +251,7 @@
     }
 
     /// Returns true if every store that may hold data, other than `except`, has completed its
-    /// handover for the view of `epoch`.
+    /// handover for the view of `epoch` or of a later one.
     fn all_handed_over(&self, view: &StoreView, epoch: u64, except: &StoreName) -> bool {
         let holds = |state| matches!(state, StoreState::Active | StoreState::Leaving);
         view.members
@@ -263,9 +263,9 @@
             })
     }
 
-    /// Returns the removal of a lost store that has not reported for long and whose share the other
+    /// Returns the removal of a lost store whose presence has expired and whose share the other
     /// stores have taken over. While a lost store is in the view, no lookup can conclude that a
-    /// turn does not exist. A store that comes back joins again.
+    /// turn does not exist. A removed store that reports again joins again.
     fn next_lost_removal(&self, view: &StoreView) -> Option<StoreCommand> {
         if view.members.values().any(is_joining) {
             return None;
@@ -306,10 +306,10 @@
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
 
-    /// Returns the command that marks a silent store as lost, if enough other stores are writable
-    /// and fewer than `tolerated_losses` are lost. More silent stores than that rather indicate a
-    /// network partition around the leader: gateways may still reach these stores, and the other
-    /// stores could not take over their data.
+    /// Returns the command that marks a silent store as lost, if more than `store_copies` stores
+    /// are writable and fewer than `tolerated_losses` are lost. If more stores are silent, the
+    /// leader is probably partitioned from them: gateways may still reach these stores, and the
+    /// other stores could not take over their data.
     fn next_silent_store(&self, view: &StoreView, managed: &ManagedConfig) -> Option<StoreCommand> {
         let members = view.members.values();
         let lost = members.filter(|member| member.state == StoreState::Lost);
--- a/crates/control/src/parts.rs
+++ b/crates/control/src/parts.rs
@@ -7,7 +7,7 @@
 use luglink_fleet::{KnownIncarnations, MemberStats, ReplicaIncarnation, StatsReport, ZoneStats};
 use luglink_wire::{PartNumber, Parts, WireError};
 
-/// Request part: fingerprint of the replica incarnations that the observer knows.
+/// Request part: sum over the replica incarnations that the observer knows.
 const KNOWN_INCARNATIONS: PartNumber = PartNumber(1);
 
 /// Response part: replica incarnations that the observer lacks.
--- a/crates/control/tests/golden/values.rs
+++ b/crates/control/tests/golden/values.rs
@@ -1,5 +1,5 @@
-//! A value for each message. The labels come from exhaustive matches, so that a new variant without
-//! a value does not go unnoticed.
+//! A value for each message. The labels come from exhaustive matches, so that a new variant does not
+//! compile without a label.
 
 mod responses;
 
--- a/crates/control/tests/managed/observers.rs
+++ b/crates/control/tests/managed/observers.rs
@@ -330,8 +330,8 @@
     );
 }
 
-/// Requests for which nothing is new are answered without a scan of the waiting observers. Updates
-/// must nevertheless reach all observers that wait, whether they arrived before or after a change.
+/// A request for which nothing is new costs the same however many observers wait. An update must
+/// nevertheless reach all of them, whether their requests arrived before or after the change.
 #[test]
 fn an_update_reaches_every_waiting_observer() {
     let mut fleet = Fleet::bootstrapped();
