--- a/crates/control-server/src/actor.rs
+++ b/crates/control-server/src/actor.rs
@@ -305,7 +305,7 @@
                 }
             }
             Frame::Hello(_) | Frame::Response { .. } => {
-                tracing::warn!(connection, "unexpected frame");
+                tracing::warn!(connection, "ignored an unexpected frame of a client");
             }
         }
     }
@@ -403,10 +403,10 @@
 impl Handler<LocalRequest> for ControlActor {
     type Result = ();
 
-    fn handle(&mut self, own: LocalRequest, context: &mut Self::Context) {
+    fn handle(&mut self, local: LocalRequest, context: &mut Self::Context) {
         let token = self.local_token();
-        self.local_requests.insert(token.request, own.answer);
-        let request = Box::new(own.request);
+        self.local_requests.insert(token.request, local.answer);
+        let request = Box::new(local.request);
         self.handle_input(Input::Request { token, request }, context);
     }
 }
@@ -461,8 +461,8 @@
 impl Handler<ApplyBackendList> for ControlActor {
     type Result = ();
 
-    fn handle(&mut self, taken: ApplyBackendList, context: &mut Self::Context) {
-        let ApplyBackendList { list, age } = taken;
+    fn handle(&mut self, update: ApplyBackendList, context: &mut Self::Context) {
+        let ApplyBackendList { list, age } = update;
         self.handle_input(Input::Backends { list, age }, context);
     }
 }
--- a/crates/control-server/src/admin.rs
+++ b/crates/control-server/src/admin.rs
@@ -188,8 +188,8 @@
 ) {
     loop {
         let watch = ControlRequest::WatchConfiguration { known, hold: true };
-        let asked = ask(&control, watch).await;
-        let messages = match asked {
+        let response = ask(&control, watch).await;
+        let messages = match response {
             Ok(ControlResponse::Configuration(catch_up)) => watch_messages(catch_up),
             Ok(_) => vec![Err(unexpected())],
             Err(status) => vec![Err(status)],
--- a/crates/control-server/src/joining.rs
+++ b/crates/control-server/src/joining.rs
@@ -46,7 +46,7 @@
             let link = links
                 .entry(target)
                 .or_insert_with(|| RequestClient::open(target, hello(peer)));
-            if let Some(leader_ip) = ask(link, peer).await {
+            if let Some(leader_ip) = send_join_request(link, peer).await {
                 leader = Some(SocketAddr::from((leader_ip, config.own.port())));
             }
         }
@@ -62,7 +62,7 @@
 }
 
 /// Sends a join request to one member. Returns the leader if the response names one.
-async fn ask(link: &RequestClient, peer: Peer) -> Option<Ipv4Addr> {
+async fn send_join_request(link: &RequestClient, peer: Peer) -> Option<Ipv4Addr> {
     let body = encode_body(&Request::Join(peer)).ok()?;
     let answer = link.request(body, REQUEST_TIMEOUT).await.ok()?;
     match decode_body(&answer).ok()? {
--- a/crates/control-server/src/list.rs
+++ b/crates/control-server/src/list.rs
@@ -96,7 +96,9 @@
     }
 
     fn update_gauges(&self, status: &FleetStatus) {
-        self.metrics.leads.set(f64::from(u8::from(status.leads)));
+        self.metrics
+            .leads
+            .set(f64::from(u8::from(status.is_fresh_leader)));
         if let Some(age) = status.list_age {
             self.metrics.list_age.set(age.as_secs_f64());
         }
--- a/crates/control-server/src/operator.rs
+++ b/crates/control-server/src/operator.rs
@@ -102,7 +102,7 @@
         // The version that a member has applied is committed, so a document that does not exceed it
         // needs no log entry.
         let is_superseded =
-            status.is_ok_and(|status| status.leads && status.document_version >= version);
+            status.is_ok_and(|status| status.is_fresh_leader && status.document_version >= version);
         if !is_superseded {
             let document = VersionedDocument {
                 version,
--- a/crates/control-server/src/queries.rs
+++ b/crates/control-server/src/queries.rs
@@ -32,12 +32,12 @@
     pub(crate) list_age: Option<Duration>,
     /// Number of replicas in the copy.
     pub(crate) replicas: usize,
-    /// Peer of this member, if it should ask for admission.
+    /// Id and incarnation of this member, if it should ask for admission.
     pub(crate) wants_to_join: Option<Peer>,
     /// Version of the configuration document that this member has applied.
     pub(crate) document_version: u64,
     /// True if this member leads and has committed an entry in its term.
-    pub(crate) leads: bool,
+    pub(crate) is_fresh_leader: bool,
 }
 
 impl Handler<GetFleetStatus> for ControlActor {
@@ -58,7 +58,7 @@
             replicas: list.list().len(),
             wants_to_join: node.wants_to_join(),
             document_version: node.document_version(),
-            leads: node.leads(CONFIGURATION_GROUP) && node.is_fresh(),
+            is_fresh_leader: node.leads(CONFIGURATION_GROUP) && node.is_fresh(),
         }
     }
 }
@@ -108,7 +108,7 @@
     /// Presences of the gateways that report to this member.
     pub(crate) presences: Vec<RelayedPresence>,
     /// Replica statistics of the gateways that are counted at this member.
-    pub(crate) replica_stats: Option<MemberStats>,
+    pub(crate) member_stats: Option<MemberStats>,
 }
 
 impl Handler<GetZonePeerReport> for ControlActor {
@@ -125,22 +125,22 @@
         ZonePeerReport {
             zone_peers,
             presences: node.presences_for_zone_peers(),
-            replica_stats: node.stats_for_zone_peers(),
+            member_stats: node.stats_for_zone_peers(),
         }
     }
 }
 
-/// Query for the versions of this member's copy of the list.
+/// Query for the state of this member's copy of the list of replicas.
 #[derive(Message)]
 #[rtype(result = "ListState")]
 pub(crate) struct GetListState;
 
-/// Versions of a member's copy of the list, which it sends to the leader.
+/// State of this member's copy of the list, which it sends to the leader to receive updates.
 #[derive(Clone, Debug, actix::MessageResponse)]
 pub(crate) struct ListState {
-    /// Version of the list; `None` while the disk of the member cannot be used.
+    /// Fingerprint and age of the list; `None` while the disk of the member cannot be used.
     pub(crate) list: Option<KnownList>,
-    /// Version of the incarnations; `None` while the disk of the member cannot be used.
+    /// Sum over the incarnations of the list; `None` while the disk of the member cannot be used.
     pub(crate) incarnations: Option<KnownIncarnations>,
 }
 
--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -149,12 +149,12 @@
             continue;
         }
         let parts = RequestParts {
-            member_stats: report.replica_stats,
+            member_stats: report.member_stats,
             ..RequestParts::default()
         };
-        let presences = Request::RelayGatewayPresences(report.presences);
+        let request = Request::RelayGatewayPresences(report.presences);
         let encoded = parts.encode();
-        let body = match encoded.and_then(|parts| encode_with_parts(&presences, &parts)) {
+        let body = match encoded.and_then(|parts| encode_with_parts(&request, &parts)) {
             Ok(body) => body,
             Err(error) => {
                 tracing::error!(%error, "cannot encode a report to the members of the zone");
--- a/crates/control-server/src/resolution.rs
+++ b/crates/control-server/src/resolution.rs
@@ -41,10 +41,10 @@
             return json(StatusCode::NOT_FOUND, self.dialect.problem("no such call"));
         };
         let zone = query.zone;
-        let asked = self
+        let response = self
             .control
             .send(GetGatewayDirectory { zone: zone.clone() });
-        let directory = asked.await.unwrap_or_default();
+        let directory = response.await.unwrap_or_default();
         let Directory {
             gateways,
             advertised,
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -36,7 +36,7 @@
     candidates: BTreeMap<Peer, Timestamp>,
     /// Version of the document that this member applied last.
     document_version: u64,
-    /// Time at which it was applied.
+    /// Time at which this member applied that document.
     pub(crate) document_applied_at: Timestamp,
 }
 
@@ -67,8 +67,8 @@
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// Returns this member's peer if it should ask for admission, because it has not been up to
-    /// date with a leader for `join_timeout`.
+    /// Returns the id and incarnation of this member if it should ask for admission, because no
+    /// leader has confirmed its state for `join_timeout`.
     #[must_use]
     pub fn wants_to_join(&self) -> Option<Peer> {
         let managed = self.config.managed.as_ref()?;
@@ -103,7 +103,7 @@
         let now = self.now;
         self.fleet
             .candidates
-            .retain(|_, asked| now.since(*asked) < managed.forget_timeout);
+            .retain(|_, requested_at| now.since(*requested_at) < managed.forget_timeout);
         if !self.leads(CONFIGURATION_GROUP) {
             return Ok(());
         }
@@ -166,7 +166,7 @@
             .filter(|(_, member)| member.state == StoreState::Leaving)
             .map(|(_, member)| member.address);
         // A store that was removed from the view reports until its machine is shut down.
-        let gone = self
+        let removed = self
             .fleet
             .presence
             .stores(self.now)
@@ -177,7 +177,7 @@
             })
             .map(|presence| presence.store.address);
         in_view
-            .chain(gone)
+            .chain(removed)
             .filter_map(|address| member_at(address.ip()))
             .collect()
     }
@@ -240,7 +240,7 @@
         let view = self.configuration()?.state_machine.state()?.stores.view();
         self.next_activation(view)
             .or_else(|| self.next_retired_removal(view))
-            .or_else(|| self.next_silent_store(view, managed))
+            .or_else(|| self.next_loss(view, managed))
             .or_else(|| self.next_lost_removal(view))
     }
 
@@ -278,7 +278,8 @@
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
 
-    /// Returns the activation of a joining store, to which the other stores have handed its share.
+    /// Returns the activation of a joining store to which the other stores have handed over its
+    /// share.
     fn next_activation(&self, view: &StoreView) -> Option<StoreCommand> {
         view.members
             .iter()
@@ -310,7 +311,7 @@
     /// are writable and fewer than `tolerated_losses` are lost. If more stores are silent, the
     /// leader is probably partitioned from them: gateways may still reach these stores, and the
     /// other stores could not take over their data.
-    fn next_silent_store(&self, view: &StoreView, managed: &ManagedConfig) -> Option<StoreCommand> {
+    fn next_loss(&self, view: &StoreView, managed: &ManagedConfig) -> Option<StoreCommand> {
         let members = view.members.values();
         let lost = members.filter(|member| member.state == StoreState::Lost);
         let may_lose = lost.count() < managed.tolerated_losses();
--- a/crates/control/src/member_plan.rs
+++ b/crates/control/src/member_plan.rs
@@ -36,7 +36,7 @@
             return Some(MembershipStep::Change(change));
         }
         self.voter_step()
-            .or_else(|| self.silent_learner().map(MembershipStep::Change))
+            .or_else(|| self.expired_learner().map(MembershipStep::Change))
     }
 
     fn is_leaving(&self, peer: Peer) -> bool {
@@ -51,8 +51,8 @@
                 .is_none_or(|silence| silence >= self.managed.member_timeout)
     }
 
-    /// Adds all candidates as learners. An earlier incarnation of a candidate cannot return, so it
-    /// is removed first.
+    /// Returns the addition of all candidates as learners. An earlier incarnation of a candidate
+    /// cannot return, so its removal comes first.
     fn admission(&self) -> Option<MembershipChange> {
         let membership = self.raft.membership();
         let wanted = self
@@ -81,6 +81,8 @@
             .map(MembershipChange::Remove)
     }
 
+    /// Returns the next step towards the target number of voters that are neither silent nor
+    /// leaving.
     fn voter_step(&self) -> Option<MembershipStep> {
         let membership = self.raft.membership();
         let mut voters = membership.voters.iter().copied();
@@ -89,12 +91,12 @@
         let too_many = membership.voters.len() > self.managed.voters;
         match (outgoing, self.promotable_learner()) {
             (Some(voter), _) if too_many => self.voter_removal(voter),
-            (_, Some(promotable_learner)) if too_few => Some(MembershipStep::Change(
-                MembershipChange::Promote(promotable_learner),
-            )),
-            (Some(_), Some(promotable_learner)) if !too_many => Some(MembershipStep::Change(
-                MembershipChange::Promote(promotable_learner),
-            )),
+            (_, Some(learner)) if too_few => {
+                Some(MembershipStep::Change(MembershipChange::Promote(learner)))
+            }
+            (Some(_), Some(learner)) if !too_many => {
+                Some(MembershipStep::Change(MembershipChange::Promote(learner)))
+            }
             _ => None,
         }
     }
@@ -107,8 +109,8 @@
         })
     }
 
-    /// Removes a voter that has been replaced. The leader does not remove itself: it transfers
-    /// leadership to another voter first.
+    /// Returns the removal of a voter that has been replaced. The leader does not remove itself: it
+    /// transfers leadership to another voter first.
     fn voter_removal(&self, voter: Peer) -> Option<MembershipStep> {
         if voter != self.raft.me() {
             return Some(MembershipStep::Change(MembershipChange::Remove(voter)));
@@ -118,7 +120,8 @@
             .map(MembershipStep::TransferLeadership)
     }
 
-    fn silent_learner(&self) -> Option<MembershipChange> {
+    /// Returns the removal of a learner that has been silent for `forget_timeout`.
+    fn expired_learner(&self) -> Option<MembershipChange> {
         let mut learners = self.raft.membership().learners.iter().copied();
         learners
             .find(|peer| {
--- a/crates/control/src/observers.rs
+++ b/crates/control/src/observers.rs
@@ -115,7 +115,8 @@
         presence.direct_gateways(self.now, self.resolution_validity())
     }
 
-    /// Returns the members that presences and statistics of gateways are relayed to.
+    /// Returns the members that presences and statistics of gateways are relayed to: the others of
+    /// the zone, or none if they are so few that gateways report to all of them.
     #[must_use]
     pub fn zone_peers(&self) -> Vec<Ipv4Addr> {
         let own = Ipv4Addr::from(self.peer().member.0);
@@ -126,12 +127,12 @@
     pub(crate) fn on_relayed_presences(
         &mut self,
         presences: Vec<RelayedPresence>,
-        replica_stats: Option<MemberStats>,
+        member_stats: Option<MemberStats>,
     ) {
-        if let Some(replica_stats) = replica_stats {
+        if let Some(member_stats) = member_stats {
             self.fleet
                 .replica_stats
-                .note_neighbour(replica_stats, self.now);
+                .note_neighbour(member_stats, self.now);
         }
         for presence in presences {
             self.fleet.presence.note_relayed(presence, self.now);
@@ -252,8 +253,9 @@
         }
     }
 
-    /// Returns true if this member is up to date: a leader has committed an entry in its term; a
-    /// follower was recently in contact with the leader and has committed what the leader had.
+    /// Returns true if this member is up to date. A leader is fresh once it has committed an entry
+    /// of its term. A follower is fresh for `max_staleness` after a message of the leader at which
+    /// it had committed everything that the leader had.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         let Some(group) = self.configuration() else {
@@ -277,8 +279,8 @@
     }
 
     fn sends_document_to_all(&self) -> bool {
-        let patience = self.config.managed_or_default().document_fallback_delay;
-        self.now.since(self.fleet.document_applied_at) >= patience
+        let delay = self.config.managed_or_default().document_fallback_delay;
+        self.now.since(self.fleet.document_applied_at) >= delay
     }
 
     /// Returns the current document, if it is new for an observer and this member sends it.
@@ -303,7 +305,7 @@
             .flatten()
             .map(|store| (store.address.ip(), store.zone.as_str()))
             .collect();
-        let place = |peer: Peer| {
+        let location = |peer: Peer| {
             let ip = Ipv4Addr::from(peer.member.0);
             let zone = zones.get(&IpAddr::V4(ip)).copied().unwrap_or_default();
             MemberLocation {
@@ -315,7 +317,7 @@
         MemberList {
             stamp,
             leader: leader.map(|peer| Ipv4Addr::from(peer.member.0)),
-            locations: group.raft.membership().peers().map(place).collect(),
+            locations: group.raft.membership().peers().map(location).collect(),
         }
     }
 
@@ -398,11 +400,11 @@
             return;
         }
         let forget_timeout = self.config.managed_or_default().forget_timeout;
-        let elsewhere = self
+        let reported = self
             .fleet
             .presence
             .total_counted_gateways(self.now, forget_timeout);
-        self.fleet.gateway_count = self.counted_gateways() + elsewhere;
+        self.fleet.gateway_count = self.counted_gateways() + reported;
     }
 
     /// Returns the number of members of the configuration group; 0 if this member is not one of
--- a/crates/control/src/parts.rs
+++ b/crates/control/src/parts.rs
@@ -38,7 +38,7 @@
     /// Encodes the parts for the wire.
     ///
     /// # Errors
-    /// A part cannot be encoded.
+    /// Fails if a part cannot be encoded.
     pub fn encode(&self) -> Result<Parts, WireError> {
         let mut parts = Parts::default();
         if let Some(known) = &self.known_incarnations {
@@ -47,8 +47,8 @@
         if let Some(replica_stats) = &self.replica_stats {
             parts.put(REPLICA_STATS, replica_stats)?;
         }
-        if let Some(replica_stats) = &self.member_stats {
-            parts.put(MEMBER_STATS, replica_stats)?;
+        if let Some(member_stats) = &self.member_stats {
+            parts.put(MEMBER_STATS, member_stats)?;
         }
         Ok(parts)
     }
@@ -79,14 +79,14 @@
     /// Encodes the parts for the wire.
     ///
     /// # Errors
-    /// A part cannot be encoded.
+    /// Fails if a part cannot be encoded.
     pub fn encode(&self) -> Result<Parts, WireError> {
         let mut parts = Parts::default();
         if !self.incarnations.is_empty() {
             parts.put(INCARNATIONS, &self.incarnations)?;
         }
-        if let Some(replica_stats) = &self.zone_stats {
-            parts.put(ZONE_STATS, replica_stats)?;
+        if let Some(zone_stats) = &self.zone_stats {
+            parts.put(ZONE_STATS, zone_stats)?;
         }
         Ok(parts)
     }
--- a/crates/control/src/persistence.rs
+++ b/crates/control/src/persistence.rs
@@ -1,4 +1,5 @@
-//! Processing of the work that consensus hands out: persists, sends and applies it.
+//! Processes the pending work of consensus: persists entries, sends messages, applies committed
+//! entries.
 
 use crate::errors::ControlError;
 use crate::machine::encode;
--- a/crates/control/src/watches.rs
+++ b/crates/control/src/watches.rs
@@ -46,8 +46,8 @@
     /// up to date by its leader.
     pub(crate) fn configuration_is_fresh(&self) -> bool {
         let leads = self.leads(CONFIGURATION_GROUP);
-        let silence = self.now.since(self.configuration_confirmed_at);
-        leads || silence < self.config.max_configuration_staleness
+        let staleness = self.now.since(self.configuration_confirmed_at);
+        leads || staleness < self.config.max_configuration_staleness
     }
 
     pub(crate) fn catch_up(&self, known: Revision) -> CatchUp {
--- a/crates/control/tests/managed/members.rs
+++ b/crates/control/tests/managed/members.rs
@@ -126,10 +126,10 @@
     let mut fleet = Fleet::bootstrapped();
     fleet.run(1.0);
     fleet.put(1, "one");
-    let cut = fleet.leader().unwrap();
-    fleet.partitioned.insert(cut);
-    let put = fleet.input(cut, Request::PutDocument(document(2, "lost")));
-    let read = fleet.input(cut, Request::ReadDocument);
+    let isolated = fleet.leader().unwrap();
+    fleet.partitioned.insert(isolated);
+    let put = fleet.input(isolated, Request::PutDocument(document(2, "lost")));
+    let read = fleet.input(isolated, Request::ReadDocument);
     fleet.run(1.0);
     let refused = |response: Option<Response>| {
         matches!(
@@ -137,14 +137,14 @@
             None | Some(Response::NotLeader { .. } | Response::Unavailable { .. })
         )
     };
-    assert!(refused(fleet.replies.remove(&(cut, put))));
-    assert!(refused(fleet.replies.remove(&(cut, read))));
-    assert!(!fleet.nodes[&cut].is_fresh());
+    assert!(refused(fleet.replies.remove(&(isolated, put))));
+    assert!(refused(fleet.replies.remove(&(isolated, read))));
+    assert!(!fleet.nodes[&isolated].is_fresh());
     fleet.put(3, "three");
     fleet.partitioned.clear();
     fleet.run(2.0);
     assert_eq!(fleet.document(), Some(document(3, "three")));
-    assert_eq!(fleet.nodes[&cut].document_version(), 3);
+    assert_eq!(fleet.nodes[&isolated].document_version(), 3);
 }
 
 /// Admitted one at a time, the members and stores of a large fleet would take longer to join than
--- a/crates/control/tests/managed/observers.rs
+++ b/crates/control/tests/managed/observers.rs
@@ -40,12 +40,12 @@
 }
 
 /// Returns the members whose responses contain a document.
-fn document_senders(fleet: &mut Fleet, questions: &[(u32, u64)]) -> BTreeSet<u32> {
-    let replies = questions.iter().filter_map(|question| {
-        let Some(Response::ObserverUpdate(update)) = fleet.replies.remove(question) else {
+fn document_senders(fleet: &mut Fleet, requests: &[(u32, u64)]) -> BTreeSet<u32> {
+    let replies = requests.iter().filter_map(|request| {
+        let Some(Response::ObserverUpdate(update)) = fleet.replies.remove(request) else {
             return None;
         };
-        update.document.is_some().then_some(question.0)
+        update.document.is_some().then_some(request.0)
     });
     replies.collect()
 }
@@ -63,9 +63,9 @@
     };
     // Each observer selects the first two members that it asks to send a document at once.
     let ask = |fleet: &mut Fleet, name: &str, order: [u32; 3]| -> Vec<(u32, u64)> {
-        let mut ask = |(place, member)| {
+        let mut ask = |(position, member)| {
             let mut observer_request = observer_request(name, gateway(), current.clone());
-            observer_request.sends_document_at_once = place < 2;
+            observer_request.sends_document_at_once = position < 2;
             let request = Request::Observe(Box::new(observer_request));
             (member, fleet.input(member, request))
         };
@@ -74,17 +74,17 @@
     let leader = fleet.leader().unwrap();
     fleet.input(leader, Request::PutDocument(document(2, "two")));
     let mut sent_first = BTreeMap::new();
-    let mut questions = BTreeMap::new();
+    let mut requests = BTreeMap::new();
     for (name, order) in [("g1", [1, 2, 3]), ("g2", [2, 3, 1]), ("g3", [3, 1, 2])] {
-        questions.insert(order, ask(&mut fleet, name, order));
+        requests.insert(order, ask(&mut fleet, name, order));
     }
     // Followers learn the commit index with the next heartbeat, before the end of the hold.
     fleet.run(0.15);
-    for (order, asked) in questions {
+    for (order, asked) in requests {
         sent_first.insert(order, document_senders(&mut fleet, &asked));
     }
-    for (order, received) in sent_first {
-        assert_eq!(received, members(&order[..2]));
+    for (order, senders) in sent_first {
+        assert_eq!(senders, members(&order[..2]));
     }
     // After the fallback delay, the other members send the document too.
     fleet.run(1.0);
@@ -218,22 +218,22 @@
                 let name = format!("g{number}");
                 // A repeated request replaces the first one.
                 fleet.input(leader, observe(&name, gateway(), knows_all_but(NO_LIST)));
-                let question = observe(&name, gateway(), knows_all_but(NO_LIST));
-                (fleet.input(leader, question), name)
+                let request = observe(&name, gateway(), knows_all_but(NO_LIST));
+                (fleet.input(leader, request), name)
             })
             .collect();
-        let mut on_their_way: Vec<(u32, String)> = Vec::new();
+        let mut in_flight: Vec<(u32, String)> = Vec::new();
         let mut arrived = BTreeSet::new();
         for step in 0..5_000 {
             fleet.step();
             for (number, name) in asked.clone() {
                 if update(&mut fleet, leader, number).is_some_and(|update| is_whole(&update)) {
                     asked.remove(&number);
-                    on_their_way.push((step + slow_steps, name));
+                    in_flight.push((step + slow_steps, name));
                 }
             }
-            assert!(on_their_way.len() <= 4, "{on_their_way:?}");
-            for (_, name) in on_their_way.extract_if(.., |(due, _)| *due <= step) {
+            assert!(in_flight.len() <= 4, "{in_flight:?}");
+            for (_, name) in in_flight.extract_if(.., |(due, _)| *due <= step) {
                 let has_it = KnownList {
                     fingerprint: list_of(20).fingerprint(),
                     age: Some(Duration::ZERO),
@@ -312,13 +312,13 @@
             .handle(input, now)
             .unwrap();
     };
-    let said = fleet.input(
+    let gateway_request = fleet.input(
         leader,
         observe("near the leader", gateway(), KnownVersions::default()),
     );
     follow(&mut fleet);
     follow(&mut fleet);
-    fleet.replies.remove(&(leader, said));
+    fleet.replies.remove(&(leader, gateway_request));
     let asked = fleet.input(member, observe("g", gateway(), knows_all_but(NO_LIST)));
     fleet.step();
     let received = update(&mut fleet, member, asked).unwrap();
--- a/crates/control/tests/managed/stores.rs
+++ b/crates/control/tests/managed/stores.rs
@@ -54,20 +54,20 @@
     let state = |state| Response::Retirement(RetireResponse::State(state));
     assert_eq!(fleet.ask(retire), state(RetireState::Running));
     fleet.run(2.0);
-    let look = Request::ReadRetirement(StoreName("a".to_owned()));
-    assert_eq!(fleet.ask(look.clone()), state(RetireState::Running));
+    let read_state = Request::ReadRetirement(StoreName("a".to_owned()));
+    assert_eq!(fleet.ask(read_state.clone()), state(RetireState::Running));
     for store in fleet.stores.values_mut() {
         store.handed_over_epoch = u64::MAX;
     }
     fleet.run(2.0);
-    assert_eq!(fleet.ask(look), state(RetireState::Completed));
+    assert_eq!(fleet.ask(read_state), state(RetireState::Completed));
     // The retired store still reports, but does not join again.
     fleet.run(2.0);
     assert!(!fleet.store_states().contains_key("a"));
 }
 
 /// Presence of a store on the machine of a member.
-fn store_beside(member: u32) -> StorePresence {
+fn store_on_machine_of(member: u32) -> StorePresence {
     StorePresence {
         address: SocketAddr::from((std::net::Ipv4Addr::from(member), 90)),
         ..store(1, member <= 3)
@@ -80,7 +80,7 @@
     fleet.start(4, MemoryDisk::default(), false);
     for member in [1, 2, 3, 4] {
         let name = format!("store-{member}");
-        fleet.stores.insert(name, store_beside(member));
+        fleet.stores.insert(name, store_on_machine_of(member));
     }
     fleet.run(4.0);
     assert_eq!(fleet.voters(), members(&[1, 2, 3]));
@@ -93,11 +93,11 @@
     let running = state(RetireState::Running);
     assert_eq!(fleet.ask(Request::Retire(name.clone())), running);
     fleet.run(3.0);
-    let look = Request::ReadRetirement(name);
-    assert_eq!(fleet.ask(look.clone()), running);
+    let read_state = Request::ReadRetirement(name);
+    assert_eq!(fleet.ask(read_state.clone()), running);
     fleet.partitioned.clear();
     fleet.run(4.0);
-    assert_eq!(fleet.ask(look), state(RetireState::Completed));
+    assert_eq!(fleet.ask(read_state), state(RetireState::Completed));
     assert!(!fleet.voters().contains(&leader));
     assert_eq!(fleet.voters().len(), 3);
     // The removed member asks for admission until its machine is shut down, and is not admitted.
@@ -141,7 +141,7 @@
     fleet.run(2.0);
     let states = fleet.store_states().into_values();
     let active = states.filter(|state| *state == StoreState::Active);
-    assert_eq!(active.count(), names.len(), "stores that are not active");
+    assert_eq!(active.count(), names.len(), "some stores are not active");
 }
 
 #[test]
--- a/crates/control/tests/managed/support.rs
+++ b/crates/control/tests/managed/support.rs
@@ -161,9 +161,9 @@
             match output {
                 Output::Peer { envelope, .. } => {
                     let to = envelope.to.member.0;
-                    let is_cut =
+                    let is_partitioned =
                         self.partitioned.contains(&member) != self.partitioned.contains(&to);
-                    if !is_cut {
+                    if !is_partitioned {
                         self.messages.push_back((to, *envelope));
                     }
                 }
