--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -1,12 +1,12 @@
-//! A control member of a managed fleet, whose members come and go by themselves.
+//! Server of a control member in a managed fleet, whose members join and leave without an operator.
 //!
-//! Members are named by their IP numbers, so that a member which knows another's name can reach
-//! it. At the fleet's first start the seeds form the configuration group; everyone else, and
-//! every empty disk later, asks to be let in.
+//! The id of a member is its IPv4 address, so that members can be reached by their ids. At the
+//! first start of the fleet the seeds bootstrap the configuration group. All other members, and
+//! later every member with an empty disk, ask for admission.
 
-use crate::actor::{ControlActor, Halt, OwnRequest, Reopen, SocketEvent, now};
+use crate::actor::{ControlActor, Halt, LocalRequest, Reopen, SocketEvent, now};
 use crate::errors::{ControlServerError, ListenSnafu};
-use crate::joining::{JoinConfig, ask_when_alone};
+use crate::joining::{JoinConfig, join_when_leaderless};
 use crate::list::{self, PollConfig, Poller};
 use crate::metrics::MemberMetrics;
 use crate::operator::OperatorService;
@@ -16,7 +16,7 @@
 use actix::{Actor, Addr};
 use http::Request;
 use hyper::body::Incoming;
-use luglink_control::{ControlConfig, ControlNode, ManagedConfig, Request as Ask};
+use luglink_control::{ControlConfig, ControlNode, ManagedConfig, Request as ControlRequest};
 use luglink_edge::Dialect;
 use luglink_fleet::ListReadLimits;
 use luglink_http::{ServeOptions, serve, stopper};
@@ -32,30 +32,30 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// Longest rest of a connection of an operator or of a caller that asks where to go.
-const CONNECTION_IDLE: Duration = Duration::from_secs(30);
+/// Idle timeout of connections to the operator and resolution APIs.
+const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Time that a hand-over of leadership needs: a round trip and an election.
-const HAND_OVER_TIME: Duration = Duration::from_millis(400);
+/// Time for a transfer of leadership: a round trip and an election.
+const LEADERSHIP_TRANSFER_TIME: Duration = Duration::from_millis(400);
 
-/// Bytes of the log's segments.
+/// Size of a log segment, in bytes.
 const SEGMENT_BYTES: u64 = 8 << 20;
 
-/// How a member runs.
+/// Configuration of a member's server.
 #[derive(Clone, Debug)]
 pub struct ManagedServerConfig {
-    /// What every process of the fleet is told.
+    /// Settings of all processes of the fleet.
     pub fleet: FleetSettings,
-    /// What members are told.
+    /// Settings of the control members.
     pub member: ManagedSettings,
 }
 
 /// A running member.
 #[derive(Debug)]
 pub struct ManagedServer {
-    /// Internal address.
+    /// Address for members and observers.
     pub address: SocketAddr,
-    /// Address of the metrics, when they are served.
+    /// Address of the metrics, if they are served.
     pub metrics_address: Option<SocketAddr>,
     actor: Addr<ControlActor>,
     seeds: Rc<RefCell<Vec<SocketAddr>>>,
@@ -64,7 +64,7 @@
 /// Starts a member on the current actix thread.
 ///
 /// # Errors
-/// An address is taken.
+/// Fails if an address cannot be used or the metrics cannot be registered.
 pub async fn start_managed(
     config: &ManagedServerConfig,
     dialect: Rc<dyn Dialect>,
@@ -80,7 +80,7 @@
         luglink_metrics_server::start(config.member.metrics_listen, &metrics.registry).await;
     tracing::info!(name = fleet.name, %address, "control member started");
     let peers = Peers::by_address(member, fleet.member_port());
-    let actor = ControlActor::reopening(peers, reopen(config.clone(), member)).start();
+    let actor = ControlActor::with_reopen(peers, reopen(config.clone(), member)).start();
     actix_rt::spawn(luglink_net::serve(listener, {
         let actor = actor.clone();
         move |event| actor.do_send(SocketEvent(event))
@@ -89,7 +89,7 @@
     serve_resolutions(config, &actor, &dialect, &metrics, resolutions);
     let poll = PollConfig {
         address: fleet.list_address,
-        rates: ListReadLimits {
+        limits: ListReadLimits {
             calls_per_s: fleet.list_calls_per_s,
             min_interval: Duration::from_millis(config.member.list_interval_ms),
             stale_after: fleet.list_stale_after(),
@@ -108,13 +108,13 @@
         member_port: fleet.member_port(),
     };
     actix_rt::spawn(relay::follow_leader(actor.clone(), relay.clone()));
-    actix_rt::spawn(relay::tell_neighbours(actor.clone(), relay));
+    actix_rt::spawn(relay::report_to_zone_peers(actor.clone(), relay));
     let seeds = Rc::new(RefCell::new(fleet.member_seeds()));
     let join = JoinConfig {
         own: address,
         seeds: Rc::clone(&seeds),
     };
-    actix_rt::spawn(ask_when_alone(actor.clone(), join));
+    actix_rt::spawn(join_when_leaderless(actor.clone(), join));
     Ok(ManagedServer {
         address,
         metrics_address,
@@ -123,8 +123,9 @@
     })
 }
 
-/// Reads the member from its data folder. A disk that is full or fails is tried again: a member
-/// that ends instead would only be started again, and meanwhile tell nobody where to go.
+/// Returns a function that loads the node from its data folder. The actor retries it while the disk
+/// is full or fails. A process that exited instead would only be restarted, and would serve no
+/// resolutions in the meantime.
 fn reopen(config: ManagedServerConfig, member: MemberId) -> Reopen {
     Box::new(move || {
         let disk = FileDisk::open(&config.member.data_folder)?;
@@ -162,11 +163,13 @@
     control.managed = Some(ManagedConfig {
         voters: copies,
         store_copies: copies,
-        // A third each for the change's own way, for those who tell first, and for the others.
-        document_patience: Duration::from_millis(fleet.change_ms / 3),
-        freshness: Duration::from_millis(fleet.change_ms / 3),
-        // A list is told at the latest one reading and one hold after the platform showed it.
-        longest_observe_hold: fleet.list_stale_after() / 4,
+        // A third of `change_ms` each for the commit of a change, for the members that send it at
+        // once, and for the others.
+        document_fallback_delay: Duration::from_millis(fleet.change_ms / 3),
+        max_staleness: Duration::from_millis(fleet.change_ms / 3),
+        // Observers receive a list at most one read interval and one hold after the platform
+        // changed it.
+        max_observe_hold: fleet.list_stale_after() / 4,
         ..ManagedConfig::default()
     });
     control
@@ -175,7 +178,7 @@
 fn serve_options() -> ServeOptions {
     ServeOptions {
         header_bytes: 16 << 10,
-        idle: CONNECTION_IDLE,
+        idle: CONNECTION_IDLE_TIMEOUT,
         unread: None,
     }
 }
@@ -205,11 +208,11 @@
     metrics: &MemberMetrics,
     listener: TcpListener,
 ) {
-    let longest = Duration::from_secs_f64(config.fleet.resolution_s);
+    let max_validity = Duration::from_secs_f64(config.fleet.resolution_s);
     let service = ResolutionService {
         control: actor.clone(),
         dialect: Rc::clone(dialect),
-        longest,
+        max_validity,
         salt: u64::from(u32::from(config.fleet.ip)),
         metrics: metrics.clone(),
     };
@@ -219,19 +222,19 @@
 }
 
 impl ManagedServer {
-    /// Asks these members to be let in, when it must ask, instead of those named before.
+    /// Replaces the seeds, which are the members that join requests are sent to.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.borrow_mut() = seeds;
     }
 
-    /// Hands over leadership, lets that settle, and stops.
+    /// Transfers leadership, waits for the election of another leader, and stops.
     pub async fn stop(self) {
         let (answer, waiting) = oneshot::channel();
-        let request = Ask::TransferLeadership;
-        self.actor.do_send(OwnRequest { request, answer });
-        // A member that cannot hand over stops all the same; the others elect a leader.
-        let _ = actix_rt::time::timeout(HAND_OVER_TIME, waiting).await;
-        actix_rt::time::sleep(HAND_OVER_TIME).await;
+        let request = ControlRequest::TransferLeadership;
+        self.actor.do_send(LocalRequest { request, answer });
+        // Stops even if the transfer fails; the other members then elect a leader by timeout.
+        let _ = actix_rt::time::timeout(LEADERSHIP_TRANSFER_TIME, waiting).await;
+        actix_rt::time::sleep(LEADERSHIP_TRANSFER_TIME).await;
         self.actor.do_send(Halt);
     }
 }
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -1,7 +1,7 @@
 //! One replication group at one member.
 
 use crate::errors::ControlError;
-use crate::machine::{Applied, LoggedCommand, Machine, decode};
+use crate::machine::{Applied, LoggedCommand, StateMachine, decode};
 use crate::protocol::{GroupStatus, Request, RequestToken, Response};
 use luglink_fleet::RetireResponse;
 use luglink_program::Release;
@@ -9,32 +9,33 @@
 use luglink_types::{GroupId, MemberId, Timestamp};
 use std::collections::BTreeMap;
 
-/// A request whose entry is in the log but not committed yet.
+/// A client's command whose entry is in the log but not committed yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingCommand {
     term: Term,
     token: RequestToken,
 }
 
-/// A group: consensus, state, and the requests that wait for them.
+/// A replica of a group: its Raft node, its state machine, and the requests that wait for them.
 #[derive(Debug)]
 pub(crate) struct Group {
     pub(crate) id: GroupId,
     pub(crate) raft: RaftNode,
-    pub(crate) machine: Machine,
+    pub(crate) state_machine: StateMachine,
     commands: BTreeMap<LogIndex, PendingCommand>,
     reads: BTreeMap<ReadId, (RequestToken, Request)>,
-    /// Term in which this member last noticed that it leads, for numbering orders.
+    /// Term in which release orders are numbered.
     pub(crate) order_term: Term,
+    /// Sequence number of the last release order of that term.
     pub(crate) order_sequence: u64,
 }
 
 impl Group {
-    pub(crate) fn new(id: GroupId, raft: RaftNode, machine: Machine) -> Self {
+    pub(crate) fn new(id: GroupId, raft: RaftNode, state_machine: StateMachine) -> Self {
         Self {
             id,
             raft,
-            machine,
+            state_machine,
             commands: BTreeMap::new(),
             reads: BTreeMap::new(),
             order_term: 0,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Appends a command on behalf of a client.
+    /// Proposes a command. Returns a response at once only if this member does not lead.
     pub(crate) fn propose(
         &mut self,
         command: Vec<u8>,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Asks for a linearizable read.
+    /// Starts a linearizable read. Returns a response at once only if this member does not lead.
     pub(crate) fn read(
         &mut self,
         request: Request,
@@ -100,12 +101,12 @@
                 continue;
             };
             let command: LoggedCommand = decode("a logged command", bytes)?;
-            let applied = self.machine.apply(entry.at, &command);
+            let applied = self.state_machine.apply(entry.at, &command);
             if let Some(pending) = waiting {
                 let response = if pending.term == entry.term {
                     response_of(applied)
                 } else {
-                    // Another leader's entry took the place.
+                    // The entry of another leader replaced the proposed one at this index.
                     self.not_leader()
                 };
                 answers.push((pending.token, response));
@@ -114,7 +115,7 @@
         Ok(answers)
     }
 
-    /// Answers reads that consensus has decided.
+    /// Answers the reads that consensus has confirmed or given up.
     pub(crate) fn answer_reads(
         &mut self,
         outcomes: &[ReadOutcome],
@@ -138,20 +139,20 @@
     }
 
     fn answer_read(&self, request: &Request) -> Response {
-        match (request, &self.machine) {
-            (Request::View(program), Machine::Programs(store)) => {
+        match (request, &self.state_machine) {
+            (Request::View(program), StateMachine::Programs(store)) => {
                 let view = store
                     .program(*program)
                     .map(|program| Box::new(program.view()));
                 Response::View(view)
             }
-            (Request::ReadConfiguration { known }, Machine::Configuration(state)) => {
+            (Request::ReadConfiguration { known }, StateMachine::Configuration(state)) => {
                 Response::Configuration(state.resources.catch_up(*known))
             }
-            (Request::ReadDocument, Machine::Configuration(state)) => {
+            (Request::ReadDocument, StateMachine::Configuration(state)) => {
                 Response::Document(state.document.held().cloned())
             }
-            (Request::ReadRetirement(name), Machine::Configuration(state)) => {
+            (Request::ReadRetirement(name), StateMachine::Configuration(state)) => {
                 let state = state.stores.retirement(name);
                 Response::Retirement(state.map_or(RetireResponse::Unknown, RetireResponse::State))
             }
@@ -161,8 +162,9 @@
         }
     }
 
-    /// Once this member no longer leads, its uncommitted entries may never commit: the clients
-    /// are told to ask the new leader, which is safe because requests can be repeated.
+    /// Returns a not-leader response for each pending command, if this member no longer leads.
+    /// Its uncommitted entries may never commit, and clients may safely retry any request with the
+    /// new leader.
     pub(crate) fn abandon_pending(&mut self) -> Vec<(RequestToken, Response)> {
         if self.raft.is_leader() || self.commands.is_empty() {
             return Vec::new();
@@ -173,16 +175,16 @@
         tokens.map(|token| (token, response.clone())).collect()
     }
 
-    /// Replaces the state by a received snapshot.
+    /// Replaces the state with that of a received snapshot.
     pub(crate) fn install(&mut self, snapshot: &Snapshot) -> Result<(), ControlError> {
         if !snapshot.state.is_empty() {
-            self.machine = decode("a snapshot's state", &snapshot.state)?;
+            self.state_machine = decode("a snapshot's state", &snapshot.state)?;
         }
         Ok(())
     }
 
     pub(crate) fn releases(&self) -> Vec<Release> {
-        self.machine
+        self.state_machine
             .programs()
             .map(|store| store.releases().collect())
             .unwrap_or_default()
@@ -206,7 +208,7 @@
         Applied::Change(answer) => Response::Change(answer),
         Applied::Document(version) => Response::DocumentHeld { version },
         Applied::Store(answer) => Response::Retirement(answer),
-        Applied::Misplaced => Response::Unavailable {
+        Applied::WrongGroup => Response::Unavailable {
             reason: "the command does not belong to this group".to_owned(),
         },
     }
