--- a/crates/fleet/src/backend.rs
+++ b/crates/fleet/src/backend.rs
@@ -13,7 +13,7 @@
 impl BackendId {
     /// Spreads identifiers evenly over 64 bits, the same in every process.
     #[must_use]
-    pub fn spread(&self) -> u64 {
+    pub fn stable_hash(&self) -> u64 {
         xxh3_64(self.0.as_bytes())
     }
 }
--- a/crates/fleet/src/backend_list.rs
+++ b/crates/fleet/src/backend_list.rs
@@ -137,7 +137,7 @@
 
     /// Takes incarnations of replicas that it names, where they are later than those that it
     /// knows. Returns the replicas that have changed.
-    pub(crate) fn take_incarnations(&mut self, told: &[ReplicaIncarnation]) -> Vec<Backend> {
+    pub(crate) fn merge_incarnations(&mut self, told: &[ReplicaIncarnation]) -> Vec<Backend> {
         let mut changed = Vec::new();
         for told in told {
             let Some(mut backend) = self.older_than(told).cloned() else {
@@ -243,7 +243,7 @@
 
 /// The bucket of a replica among `buckets`, which is a power of two.
 fn bucket_of(id: &BackendId, buckets: usize) -> usize {
-    (id.spread() as usize) & (buckets - 1)
+    (id.stable_hash() as usize) & (buckets - 1)
 }
 
 impl Serialize for BackendList {
--- a/crates/fleet/src/list_copy.rs
+++ b/crates/fleet/src/list_copy.rs
@@ -162,11 +162,11 @@
 
     /// Takes incarnations that another process knows. Returns what has changed, when something
     /// has; nothing in it but incarnations differs from before.
-    pub fn take_incarnations(&mut self, told: &[ReplicaIncarnation]) -> Option<BackendChanges> {
+    pub fn merge_incarnations(&mut self, told: &[ReplicaIncarnation]) -> Option<BackendChanges> {
         if !self.list.lacks_any(told) {
             return None;
         }
-        let changed = Arc::make_mut(&mut self.list).take_incarnations(told);
+        let changed = Arc::make_mut(&mut self.list).merge_incarnations(told);
         let fingerprint = self.list.fingerprint();
         Some(BackendChanges {
             base: fingerprint,
@@ -178,7 +178,7 @@
 
     fn take(&mut self, mut list: BackendList, seen: Timestamp) -> Option<BackendChanges> {
         // A list that came over the wire names no incarnations.
-        list.take_incarnations(&self.list.incarnations());
+        list.merge_incarnations(&self.list.incarnations());
         let changes = self.list.changes_to(&list);
         let is_first = self.seen.is_none();
         self.note_current(seen);
--- a/crates/fleet/src/list_history.rs
+++ b/crates/fleet/src/list_history.rs
@@ -49,8 +49,8 @@
     }
 
     /// Takes incarnations that another member knows.
-    pub fn take_incarnations(&mut self, told: &[ReplicaIncarnation]) {
-        let changes = self.copy.take_incarnations(told);
+    pub fn merge_incarnations(&mut self, told: &[ReplicaIncarnation]) {
+        let changes = self.copy.merge_incarnations(told);
         self.remember(changes);
     }
 
@@ -142,14 +142,14 @@
 
     /// Whether what an asker lacks may be as large as the list itself.
     #[must_use]
-    pub fn lacks_much(&self, known: &KnownList) -> bool {
+    pub fn needs_large_update(&self, known: &KnownList) -> bool {
         let has_none = known.age.is_none() && self.copy.seen().is_some();
         has_none || known.digest.is_some()
     }
 
     /// Whether this list is news for an asker.
     #[must_use]
-    pub fn is_news(&self, known: &KnownList, now: Timestamp) -> bool {
+    pub fn has_update_for(&self, known: &KnownList, now: Timestamp) -> bool {
         let Some(age) = self.copy.age(now) else {
             return false;
         };
--- a/crates/fleet/src/list_reading.rs
+++ b/crates/fleet/src/list_reading.rs
@@ -56,19 +56,19 @@
 
 /// What the settings say of reading.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ReadingRates {
+pub struct ListReadLimits {
     /// Calls that the platform answers to everyone together, per second.
     pub calls_per_s: f64,
     /// Shortest time between two readings.
-    pub shortest: Duration,
+    pub min_interval: Duration,
     /// Age from which a list is too old to wait for others.
     pub stale_after: Duration,
 }
 
 /// One process's readings.
 #[derive(Clone, Debug)]
-pub struct ListReading {
-    rates: ReadingRates,
+pub struct ListReadSchedule {
+    rates: ListReadLimits,
     /// Calls that a reading takes.
     pages: u32,
     /// Whether `pages` was counted and not estimated.
@@ -79,10 +79,10 @@
     due: Option<(ListReader, Timestamp)>,
 }
 
-impl ListReading {
+impl ListReadSchedule {
     /// Nothing read yet.
     #[must_use]
-    pub fn new(rates: ReadingRates) -> Self {
+    pub fn new(rates: ListReadLimits) -> Self {
         Self {
             rates,
             pages: 1,
@@ -171,7 +171,7 @@
             ListReader::Leader => self.rates.stale_after.mul_f64(LEADER_INTERVAL),
             _ => Duration::MAX,
         };
-        paced.min(longest).max(self.rates.shortest)
+        paced.min(longest).max(self.rates.min_interval)
     }
 }
 
--- a/crates/gateway-server/src/attempts.rs
+++ b/crates/gateway-server/src/attempts.rs
@@ -2,13 +2,15 @@
 
 use crate::failure::Failure;
 use crate::gateway::Gateway;
-use crate::inbound::Inbound;
+use crate::inbound::InboundRequest;
 use crate::refusal::Refusal;
 use http::Response;
 use luglink_edge::{Retryable, RouteKind};
 use luglink_fleet::{Backend, BackendId};
 use luglink_http::Body;
-use luglink_scheduling::{Choice, Expected, Grounds, Wish, Work, room_patience, room_pause};
+use luglink_scheduling::{
+    Choice, ChoiceBasis, Expected, RoutingRequest, Work, capacity_retry_delay, max_capacity_wait,
+};
 use luglink_telemetry::milliseconds;
 use std::cell::Cell;
 
@@ -72,7 +74,7 @@
     /// again.
     pub(crate) fn note(
         &mut self,
-        inbound: &Inbound,
+        inbound: &InboundRequest,
         backend: &Backend,
         failure: Failure,
     ) -> Result<(), Refusal> {
@@ -111,7 +113,7 @@
     /// elsewhere.
     pub(crate) fn should_retry_server_error(
         &self,
-        inbound: &Inbound,
+        inbound: &InboundRequest,
         response: &Response<Body>,
     ) -> bool {
         inbound.route.kind == RouteKind::Safe
@@ -121,7 +123,7 @@
     }
 
     /// Returns true if the request may be hedged while `in_flight` replicas are working on it.
-    pub(crate) fn may_hedge(&self, inbound: &Inbound, in_flight: usize) -> bool {
+    pub(crate) fn may_hedge(&self, inbound: &InboundRequest, in_flight: usize) -> bool {
         let replicas = self.runs as usize + in_flight;
         inbound.route.kind == RouteKind::Safe
             && !self.has_hedged
@@ -130,11 +132,11 @@
 
     /// Pauses and then allows the replicas that had no capacity to be tried again. Returns false
     /// without a pause if no replica lacked capacity or the request has used up its waiting time.
-    async fn wait_for_capacity(&mut self, inbound: &Inbound) -> bool {
-        let pause = room_pause(self.pauses);
+    async fn wait_for_capacity(&mut self, inbound: &InboundRequest) -> bool {
+        let pause = capacity_retry_delay(self.pauses);
         let allowed = inbound.deadline.saturating_duration_since(inbound.arrived);
         let waited = inbound.arrived.elapsed() + pause;
-        if self.full.is_empty() || waited > room_patience(allowed) {
+        if self.full.is_empty() || waited > max_capacity_wait(allowed) {
             return false;
         }
         self.pauses += 1;
@@ -170,18 +172,16 @@
 /// Chooses a replica that has not been tried.
 pub(crate) fn choose(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     attempts: &Attempts,
     cached_at: Option<&BackendId>,
 ) -> Result<Backend, Refusal> {
     let choice = choose_excluding(gateway, inbound, attempts, &attempts.tried, cached_at)
         .ok_or_else(|| attempts.no_replica_left("no replica can take the request"))?;
-    let grounds = choice.grounds.as_ref();
-    attempts
-        .expected
-        .set(grounds.map(|grounds| grounds.expected));
-    if let Some(grounds) = grounds {
-        log_relocation(inbound, &choice, grounds);
+    let basis = choice.basis.as_ref();
+    attempts.expected.set(basis.map(|basis| basis.expected));
+    if let Some(basis) = basis {
+        log_relocation(inbound, &choice, basis);
     }
     Ok(choice.backend)
 }
@@ -189,12 +189,12 @@
 /// Chooses a replica that is not in `tried`. Returns `None` if there is none.
 pub(crate) fn choose_excluding(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     attempts: &Attempts,
     tried: &[BackendId],
     cached_at: Option<&BackendId>,
 ) -> Option<Choice> {
-    let wish = Wish {
+    let wish = RoutingRequest {
         service: &inbound.service,
         cached_at,
         tried,
@@ -208,8 +208,8 @@
     )
 }
 
-fn log_relocation(inbound: &Inbound, choice: &Choice, grounds: &Grounds) {
-    let Some(leaving) = &grounds.leaving else {
+fn log_relocation(inbound: &InboundRequest, choice: &Choice, basis: &ChoiceBasis) {
+    let Some(leaving) = &basis.leaving else {
         return;
     };
     tracing::info!(
@@ -217,8 +217,8 @@
         from = %leaving.from,
         from_ms = milliseconds(leaving.expected.finish()),
         to = %choice.backend.id,
-        to_ms = milliseconds(grounds.expected.finish()),
-        view_age_ms = milliseconds(grounds.view_age),
+        to_ms = milliseconds(basis.expected.finish()),
+        view_age_ms = milliseconds(basis.view_age),
         "turn routed away from the replica that caches its prompt"
     );
 }
@@ -228,7 +228,7 @@
 
 pub(crate) async fn next_replica(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     attempts: &mut Attempts,
     cached_at: Option<&BackendId>,
 ) -> Result<Backend, Refusal> {
--- a/crates/gateway-server/src/exchange.rs
+++ b/crates/gateway-server/src/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::failure::Failure;
 use crate::gateway::Gateway;
-use crate::inbound::{Inbound, strip_hop_by_hop};
+use crate::inbound::{InboundRequest, strip_hop_by_hop};
 use crate::upstream::{AcquireError, Lease};
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Request, Response, Uri, header};
@@ -77,7 +77,7 @@
 /// Sends a request to a replica and waits for the head of its response.
 pub(crate) async fn send(
     gateway: &Rc<Gateway>,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     backend: &Backend,
     overrides: &SendOverrides,
 ) -> Result<Answer, Failure> {
@@ -120,7 +120,7 @@
 
 async fn send_with_reconnect(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     backend: &Backend,
     overrides: &SendOverrides,
 ) -> Result<(Response<Incoming>, Lease), Failure> {
@@ -187,7 +187,7 @@
 
 /// Returns the number of connections that this gateway may open to one replica of a service.
 pub(crate) fn connection_limit(gateway: &Gateway, service: &str) -> u32 {
-    let limit = gateway.of_service(service, |service| service.connection_limit);
+    let limit = gateway.with_service(service, |service| service.connection_limit);
     let limit = limit.unwrap_or(MIN_CONNECTIONS);
     let share = f64::from(limit) * CONNECTION_RATIO / f64::from(gateway.gateways.get().max(1));
     (share as u32).max(MIN_CONNECTIONS)
@@ -195,7 +195,7 @@
 
 async fn send_on_connection(
     lease: &mut Lease,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     request: Request<Body>,
 ) -> Result<Response<Incoming>, Failure> {
     let Some(connection) = lease.connection() else {
@@ -217,7 +217,7 @@
 /// for declined requests, the connection is closed.
 fn validate_head(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     response: Response<Incoming>,
     lease: Lease,
 ) -> Result<(Response<Incoming>, Lease), Failure> {
@@ -253,7 +253,7 @@
 
 fn build_request(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     backend: &Backend,
     overrides: &SendOverrides,
 ) -> Result<Request<Body>, Failure> {
--- a/crates/gateway-server/src/first_event.rs
+++ b/crates/gateway-server/src/first_event.rs
@@ -1,7 +1,7 @@
 //! Measurement of the time to a stream's first event.
 
 use crate::gateway::Gateway;
-use crate::inbound::Inbound;
+use crate::inbound::InboundRequest;
 use luglink_edge::Route;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 impl FirstEventWait {
     /// Starts the timer. It must be called right before the turn is sent, because earlier waits do
     /// not depend on the engines.
-    pub(crate) fn begin(gateway: &Rc<Gateway>, inbound: &Inbound) -> Self {
+    pub(crate) fn begin(gateway: &Rc<Gateway>, inbound: &InboundRequest) -> Self {
         Self {
             gateway: Rc::clone(gateway),
             route: Rc::clone(&inbound.route),
--- a/crates/gateway-server/src/hedging.rs
+++ b/crates/gateway-server/src/hedging.rs
@@ -1,7 +1,7 @@
 //! Hedging of unary requests: when a request is also sent to a second replica.
 
 use crate::gateway::Gateway;
-use crate::inbound::Inbound;
+use crate::inbound::InboundRequest;
 use luglink_edge::RouteKind;
 use luglink_fleet::Backend;
 use luglink_scheduling::hedge_after;
@@ -23,7 +23,7 @@
 }
 
 impl Hedging {
-    pub(crate) fn begin(gateway: &Gateway, inbound: &Inbound) -> Self {
+    pub(crate) fn begin(gateway: &Gateway, inbound: &InboundRequest) -> Self {
         let max_delay = max_hedge_delay(inbound);
         let in_force = gateway.in_force.borrow();
         let uses_learned_delay = inbound.route.kind == RouteKind::Safe
@@ -40,14 +40,14 @@
     }
 
     /// Returns the delay until the request should be hedged.
-    pub(crate) fn delay(&self, inbound: &Inbound) -> Duration {
+    pub(crate) fn delay(&self, inbound: &InboundRequest) -> Duration {
         let max_delay = max_hedge_delay(inbound).saturating_sub(self.waited);
         self.early_delay.unwrap_or(max_delay)
     }
 
     /// Returns true if the request may be hedged now that the delay has passed. An early hedge
     /// that the budget does not allow is postponed to the maximum delay.
-    pub(crate) fn try_hedge(&mut self, gateway: &Gateway, inbound: &Inbound) -> bool {
+    pub(crate) fn try_hedge(&mut self, gateway: &Gateway, inbound: &InboundRequest) -> bool {
         let Some(early) = self.early_delay else {
             return true;
         };
@@ -60,7 +60,7 @@
         is_taken
     }
 
-    pub(crate) fn note_hedge(&self, gateway: &Gateway, inbound: &Inbound, to: &Backend) {
+    pub(crate) fn note_hedge(&self, gateway: &Gateway, inbound: &InboundRequest, to: &Backend) {
         let when = if self.early_delay.is_some() {
             "early"
         } else {
@@ -77,7 +77,7 @@
     }
 
     /// Records the time to the response that the caller receives.
-    pub(crate) fn note_answer(&self, gateway: &Gateway, inbound: &Inbound, wait: Duration) {
+    pub(crate) fn note_answer(&self, gateway: &Gateway, inbound: &InboundRequest, wait: Duration) {
         if self.uses_learned_delay {
             let mut waits = gateway.waits.borrow_mut();
             let waits = waits.route(&inbound.route);
@@ -87,7 +87,7 @@
 }
 
 /// Returns the delay after which a repeatable request is hedged regardless of the budget.
-fn max_hedge_delay(inbound: &Inbound) -> Duration {
+fn max_hedge_delay(inbound: &InboundRequest) -> Duration {
     let expected = inbound
         .route
         .target_latency()
@@ -96,9 +96,9 @@
 }
 
 /// Adds to the route's hedging budget and returns the learned delay, at most `max_delay`.
-fn early_hedge_delay(gateway: &Gateway, inbound: &Inbound, max_delay: Duration) -> Duration {
+fn early_hedge_delay(gateway: &Gateway, inbound: &InboundRequest, max_delay: Duration) -> Duration {
     let mut waits = gateway.waits.borrow_mut();
     let waits = waits.route(&inbound.route);
     waits.hedges.earn();
-    hedge_after(waits.usual_answer(gateway.now()), max_delay)
+    hedge_after(waits.p90_answer_time(gateway.now()), max_delay)
 }
--- a/crates/gateway-server/src/held.rs
+++ b/crates/gateway-server/src/held.rs
@@ -13,7 +13,7 @@
 
 /// Bytes held by all requests of the gateway.
 #[derive(Debug)]
-pub(crate) struct Ledger {
+pub(crate) struct HeldBytesLedger {
     bytes: RefCell<HeldBytes>,
     requests: RefCell<HashMap<HolderId, Rc<HeldRequest>>>,
     metrics: GatewayMetrics,
@@ -27,7 +27,7 @@
     abort_signal: Notify,
 }
 
-impl Ledger {
+impl HeldBytesLedger {
     /// Creates a ledger with a limit in bytes. Without a limit, bytes are only counted.
     pub(crate) fn new(limit: Option<u64>, metrics: GatewayMetrics) -> Rc<Self> {
         let bytes = limit.map_or_else(HeldBytes::unbounded, HeldBytes::new);
@@ -124,7 +124,7 @@
 /// Bytes held by one request. Dropping the guard releases all of them.
 #[derive(Debug)]
 pub(crate) struct HeldBytesGuard {
-    ledger: Rc<Ledger>,
+    ledger: Rc<HeldBytesLedger>,
     holder: HolderId,
     request: Rc<HeldRequest>,
     /// Bytes of the request's body and prompt, without the response.
--- a/crates/gateway-server/src/inbound.rs
+++ b/crates/gateway-server/src/inbound.rs
@@ -1,7 +1,7 @@
 //! Reading, authentication and routing of a caller's request.
 
 use crate::caller_watch::CallerWatch;
-use crate::gateway::{Gateway, InForce};
+use crate::gateway::{ActiveConfiguration, Gateway};
 use crate::held::HeldBytesGuard;
 use crate::refusal::Refusal;
 use bytes::{Bytes, BytesMut};
@@ -9,7 +9,7 @@
 use http::{HeaderMap, HeaderName, Request, StatusCode, header};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body as _, Incoming};
-use luglink_edge::{Caller, Route, RouteKind, UnknownKey};
+use luglink_edge::{Caller, KeyError, Route, RouteKind};
 use luglink_scheduling::PromptParts;
 use luglink_turns::{ProgramName, TurnId};
 use luglink_types::TenantName;
@@ -41,7 +41,7 @@
 
 /// Request of a caller with its complete body and its route.
 #[derive(Debug)]
-pub(crate) struct Inbound {
+pub(crate) struct InboundRequest {
     pub(crate) id: String,
     pub(crate) route: Rc<Route>,
     /// Authenticated caller.
@@ -69,7 +69,7 @@
     pub(crate) draw: u64,
 }
 
-impl Inbound {
+impl InboundRequest {
     /// Returns the time left until the deadline.
     pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
@@ -117,9 +117,9 @@
 /// Reads a request, authenticates its caller and finds its route.
 pub(crate) async fn read(
     gateway: &Gateway,
-    in_force: &InForce,
+    in_force: &ActiveConfiguration,
     request: Request<Incoming>,
-) -> Result<Inbound, Refusal> {
+) -> Result<InboundRequest, Refusal> {
     let arrived = Instant::now();
     let (mut head, incoming) = request.into_parts();
     let headers = gateway.dialect.headers();
@@ -152,7 +152,7 @@
     let held = admit_body(gateway, &caller, &id, &incoming, limit)?;
     let body = tokio::select! {
         body = read_body(gateway, incoming, limit, deadline, &held) => body?,
-        _ = held.wait_for_abort() => return Err(Refusal::no_room()),
+        _ = held.wait_for_abort() => return Err(Refusal::memory_exhausted()),
     };
     held.set_can_be_cut(false);
     let program = program_fields(gateway, &caller, &head);
@@ -175,7 +175,7 @@
         program_left.and_then(|left| arrived.checked_add(Duration::from_millis(left)));
     let watch = CallerWatch::begin(&gateway.metrics, &id, &route, arrived);
     let service = route.service_for(share).unwrap_or_default().to_owned();
-    Ok(Inbound {
+    Ok(InboundRequest {
         id,
         service,
         route,
@@ -197,12 +197,12 @@
 /// Authenticates the caller of a request before its body is read.
 fn authenticate(
     gateway: &Gateway,
-    in_force: &InForce,
+    in_force: &ActiveConfiguration,
     route: &Route,
     head: &Parts,
     id: &str,
 ) -> Result<Caller, Refusal> {
-    if in_force.keys.guards(route) && gateway.keys_are_expired() {
+    if in_force.keys.requires_key(route) && gateway.keys_are_expired() {
         return Err(Refusal::recovering(
             "the API keys cannot be verified: no recent update from a control member",
         ));
@@ -213,8 +213,8 @@
         Err(unknown) => unknown,
     };
     let (shown, fingerprint) = match unknown {
-        UnknownKey::Missing => ("none", None),
-        UnknownKey::Unknown(fingerprint) => ("unknown", Some(fingerprint)),
+        KeyError::Missing => ("none", None),
+        KeyError::Unknown(fingerprint) => ("unknown", Some(fingerprint)),
     };
     gateway
         .metrics
@@ -252,7 +252,7 @@
     };
     let tenant = tenant_name(caller).cloned();
     let held = gateway.held.admit(id, tenant, announced);
-    let held = held.map_err(|_| Refusal::no_room())?;
+    let held = held.map_err(|_| Refusal::memory_exhausted())?;
     held.set_can_be_cut(true);
     Ok(held)
 }
@@ -287,7 +287,7 @@
                 BodyFailure::Broken => {
                     Refusal::new(StatusCode::BAD_REQUEST, "the body is incomplete")
                 }
-                BodyFailure::MemoryLimit => Refusal::no_room(),
+                BodyFailure::MemoryLimit => Refusal::memory_exhausted(),
             })
         }
         Err(_) => Err(Refusal::new(
--- a/crates/gateway-server/src/move_watch.rs
+++ b/crates/gateway-server/src/move_watch.rs
@@ -4,12 +4,13 @@
 use crate::exchange::{Answer, SendOverrides, send};
 use crate::failure::Failure;
 use crate::gateway::Gateway;
-use crate::inbound::Inbound;
+use crate::inbound::InboundRequest;
 use crate::refusal::Refusal;
 use luglink_edge::Route;
 use luglink_fleet::Backend;
 use luglink_scheduling::{
-    Awaited, MoveDecision, Reruns, Restart, RouteWaits, Stay, Waiting, decide_move, is_hopeless,
+    AwaitedEvent, MoveDecision, RerunLimits, Restart, RouteWaits, Stay, Waiting,
+    cannot_meet_deadline, decide_move,
 };
 use luglink_telemetry::milliseconds;
 use std::rc::Rc;
@@ -49,7 +50,7 @@
 /// Refuses a stream that no replica can answer before the deadline.
 pub(crate) fn refuse_unreachable_deadline(
     gateway: &Gateway,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
 ) -> Result<(), Refusal> {
     if !gateway.config.features.moves(&inbound.route) {
         return Ok(());
@@ -58,7 +59,7 @@
     let quickest = waits
         .route(&inbound.route)
         .quickest_first_event(gateway.now());
-    if !is_hopeless(inbound.remaining(), quickest) {
+    if !cannot_meet_deadline(inbound.remaining(), quickest) {
         return Ok(());
     }
     tracing::info!(
@@ -76,7 +77,11 @@
 }
 
 impl MoveWatch {
-    pub(crate) fn begin(gateway: &Rc<Gateway>, inbound: &Inbound, tokens_per_event: u64) -> Self {
+    pub(crate) fn begin(
+        gateway: &Rc<Gateway>,
+        inbound: &InboundRequest,
+        tokens_per_event: u64,
+    ) -> Self {
         let is_enabled = gateway.config.features.moves(&inbound.route);
         if is_enabled {
             let mut waits = gateway.waits.borrow_mut();
@@ -100,7 +105,7 @@
     /// Sends the request, and cancels the send if the request should move.
     pub(crate) async fn send(
         &mut self,
-        inbound: &Inbound,
+        inbound: &InboundRequest,
         backend: &Backend,
         overrides: &SendOverrides,
         attempts: &Attempts,
@@ -134,7 +139,7 @@
     }
 
     /// Records that the request is being sent to a replica, and schedules the next check.
-    pub(crate) fn note_sent(&mut self, inbound: &Inbound, attempts: &Attempts) {
+    pub(crate) fn note_sent(&mut self, inbound: &InboundRequest, attempts: &Attempts) {
         self.sent_at = Instant::now();
         self.runs = attempts.runs;
         self.last_event = None;
@@ -146,12 +151,12 @@
     /// Records that the send to the current replica failed.
     pub(crate) fn note_failed(&mut self, failure: Failure) {
         self.awaits_first_event &= failure == Failure::NoAnswerInTime;
-        self.note_vain();
+        self.note_abandoned();
         self.next_check = None;
     }
 
     /// Records an event from the current replica.
-    pub(crate) fn note_event(&mut self, inbound: &Inbound) {
+    pub(crate) fn note_event(&mut self, inbound: &InboundRequest) {
         if !self.is_enabled {
             return;
         }
@@ -178,7 +183,7 @@
     /// Decides whether the waiting request moves. Returns the replica that it moves to.
     pub(crate) fn check_move(
         &mut self,
-        inbound: &Inbound,
+        inbound: &InboundRequest,
         current: &Backend,
         attempts: &Attempts,
     ) -> Option<Backend> {
@@ -204,17 +209,17 @@
             return None;
         }
         let other = other?.backend;
-        self.note_vain();
+        self.note_abandoned();
         self.note_moved(inbound, current, &other, &waiting, gain);
         Some(other)
     }
 
-    fn spend_move(&self, inbound: &Inbound) -> bool {
+    fn spend_move(&self, inbound: &InboundRequest) -> bool {
         let mut waits = self.gateway.waits.borrow_mut();
         waits.route(&inbound.route).moves.spend()
     }
 
-    fn schedule_check(&mut self, inbound: &Inbound) {
+    fn schedule_check(&mut self, inbound: &InboundRequest) {
         self.next_check = None;
         if !self.is_enabled {
             return;
@@ -224,7 +229,7 @@
         }
     }
 
-    fn waiting(&self, inbound: &Inbound, has_other: bool) -> Waiting {
+    fn waiting(&self, inbound: &InboundRequest, has_untried_replica: bool) -> Waiting {
         let now = self.gateway.now();
         let mut waits = self.gateway.waits.borrow_mut();
         let waits = waits.route(&inbound.route);
@@ -236,37 +241,37 @@
             waited: self.last_event.unwrap_or(self.sent_at).elapsed(),
             left: inbound.remaining(),
             first_event: waits.first_event(inbound.route.target_latency(), now),
-            unusual_share: waits.unusual_share(),
+            outlier_ratio: waits.outlier_ratio(),
             restart: Restart {
                 tokens: prompt_tokens + self.events * self.tokens_per_event,
                 step: pause.map(|pause| pause / tokens_per_event.max(1)),
             },
-            reruns: Reruns {
+            reruns: RerunLimits {
                 is_repeatable: inbound.route.is_repeatable(),
                 may_have_run: self.runs + 1,
                 max_attempts: inbound.route.max_attempts,
-                has_other,
+                has_untried_replica,
             },
         }
     }
 
-    fn awaited(&self, inbound: &Inbound, waits: &RouteWaits) -> Awaited {
+    fn awaited(&self, inbound: &InboundRequest, waits: &RouteWaits) -> AwaitedEvent {
         if self.last_event.is_none() {
             let until = inbound.program_deadline;
-            return Awaited::FirstEvent {
+            return AwaitedEvent::FirstEvent {
                 program: until.map(|until| until.saturating_duration_since(self.sent_at)),
             };
         }
-        Awaited::NextEvent {
+        AwaitedEvent::NextEvent {
             longest: self.longest_pause,
-            usual: waits.usual_pause(self.gateway.now()),
-            bearable: inbound.route.bearable_pause(),
+            usual: waits.p90_pause(self.gateway.now()),
+            bearable: inbound.route.target_event_gap(),
         }
     }
 
     fn note_moved(
         &self,
-        inbound: &Inbound,
+        inbound: &InboundRequest,
         from: &Backend,
         to: &Backend,
         waiting: &Waiting,
@@ -293,7 +298,13 @@
         );
     }
 
-    fn note_stayed(&self, inbound: &Inbound, current: &Backend, waiting: &Waiting, reason: &str) {
+    fn note_stayed(
+        &self,
+        inbound: &InboundRequest,
+        current: &Backend,
+        waiting: &Waiting,
+        reason: &str,
+    ) {
         let metrics = &self.gateway.metrics;
         let is_late = reason == Stay::TooLate.as_str();
         let counter = if is_late {
@@ -329,19 +340,19 @@
 
     /// Records the wait for the first event as abandoned, if no event has arrived.
 
-    fn note_vain(&mut self) {
+    fn note_abandoned(&mut self) {
         if !std::mem::take(&mut self.awaits_first_event) {
             return;
         }
         let now = self.gateway.now();
         let mut waits = self.gateway.waits.borrow_mut();
         let waits = waits.route(&self.route);
-        waits.note_vain(self.sent_at.elapsed(), now);
+        waits.note_abandoned(self.sent_at.elapsed(), now);
     }
 }
 
 impl Drop for MoveWatch {
     fn drop(&mut self) {
-        self.note_vain();
+        self.note_abandoned();
     }
 }
--- a/crates/gateway-server/src/proxy.rs
+++ b/crates/gateway-server/src/proxy.rs
@@ -1,7 +1,7 @@
 //! Entry point of callers' requests: configuration, dispatch by route kind, and logging.
 
-use crate::gateway::{Gateway, InForce};
-use crate::inbound::{self, Inbound};
+use crate::gateway::{ActiveConfiguration, Gateway};
+use crate::inbound::{self, InboundRequest};
 use crate::refusal::Refusal;
 use crate::{quota, stream, unary};
 use http::{HeaderValue, Request, Response, header};
@@ -9,7 +9,7 @@
 use luglink_edge::RouteKind;
 use luglink_http::{Abort, Body};
 use luglink_quota::Purpose;
-use luglink_scheduling::start_patience;
+use luglink_scheduling::max_startup_wait;
 use luglink_telemetry::milliseconds;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Abort> {
     let arrived = Instant::now();
-    let in_flight = gateway.track();
+    let in_flight = gateway.track_request();
     let id = inbound::header_text(request.headers(), &gateway.dialect.headers().request_id)
         .unwrap_or_default()
         .to_owned();
@@ -65,8 +65,8 @@
 async fn wait_for_configuration(
     gateway: &Gateway,
     request: &Request<Incoming>,
-) -> Option<Rc<InForce>> {
-    let deadline = Instant::now() + start_patience(caller_timeout(gateway, request));
+) -> Option<Rc<ActiveConfiguration>> {
+    let deadline = Instant::now() + max_startup_wait(caller_timeout(gateway, request));
     loop {
         if let Some(in_force) = gateway.in_force().filter(|_| gateway.turns.has_quorum()) {
             return Some(in_force);
@@ -104,7 +104,10 @@
     result
 }
 
-async fn serve_unary(gateway: &Rc<Gateway>, inbound: &Inbound) -> Result<Response<Body>, Refusal> {
+async fn serve_unary(
+    gateway: &Rc<Gateway>,
+    inbound: &InboundRequest,
+) -> Result<Response<Body>, Refusal> {
     quota::take(gateway, inbound, Purpose::Continues).await?;
     let response = unary::serve(gateway, inbound).await?;
     let elapsed = inbound.arrived.elapsed();
--- a/crates/gateway-server/src/refusal.rs
+++ b/crates/gateway-server/src/refusal.rs
@@ -40,7 +40,7 @@
     }
 
     /// Creates a refusal of a request that has not run and may be retried after `pause`.
-    pub(crate) fn not_run_until(detail: &'static str, pause: Duration) -> Self {
+    pub(crate) fn not_run_retry_after(detail: &'static str, pause: Duration) -> Self {
         Self {
             retry_after: Some(pause),
             ..Self::not_run(detail)
@@ -48,7 +48,7 @@
     }
 
     /// Creates a refusal of a request that does not fit into the memory limit. It has not run.
-    pub(crate) fn no_room() -> Self {
+    pub(crate) fn memory_exhausted() -> Self {
         Self::not_run("the gateway has no memory left for the request")
     }
 
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -5,9 +5,9 @@
 use crate::failure::Failure;
 use crate::first_event::FirstEventWait;
 use crate::gateway::{Gateway, InFlight};
-use crate::inbound::{Inbound, strip_hop_by_hop};
+use crate::inbound::{InboundRequest, strip_hop_by_hop};
 use crate::move_watch::{MoveWatch, SendResult, refuse_unreachable_deadline};
-use crate::program::{self, TurnStart};
+use crate::program::{self, PreparedTurn};
 use crate::refusal::Refusal;
 use crate::unary::read_whole_response;
 use crate::upstream::Lease;
@@ -45,7 +45,7 @@
 /// Serves a streaming request. A separate task passes the response's events on.
 pub(crate) async fn serve(
     gateway: &Rc<Gateway>,
-    inbound: Inbound,
+    inbound: InboundRequest,
     in_flight: InFlight,
 ) -> Result<Response<Body>, Refusal> {
     refuse_unreachable_deadline(gateway, &inbound)?;
@@ -56,7 +56,7 @@
         last_event_id: None,
     };
     let wait = FirstEventWait::begin(gateway, &inbound);
-    let work = work::of_turn(gateway, &inbound, &start);
+    let work = work::estimate_turn(gateway, &inbound, &start);
     let mut attempts = Attempts::default().with_work(work);
     let cached_at = cached_at(gateway, &inbound, &start);
     let tokens_per_event = tokens_per_event(gateway, &inbound);
@@ -112,7 +112,11 @@
 
 /// Returns the replica that likely caches the beginning of the prompt: the one that served the
 /// previous turn, or else the program's home replica, which is the same for all gateways.
-fn cached_at(gateway: &Gateway, inbound: &Inbound, start: &TurnStart) -> Option<BackendId> {
+fn cached_at(
+    gateway: &Gateway,
+    inbound: &InboundRequest,
+    start: &PreparedTurn,
+) -> Option<BackendId> {
     let pool = gateway.pool.borrow();
     let known = start.place.clone();
     known
@@ -122,7 +126,7 @@
 
 /// State of a turn whose response head has arrived.
 struct StartedStream {
-    start: TurnStart,
+    start: PreparedTurn,
     overrides: SendOverrides,
     wait: FirstEventWait,
     attempts: Attempts,
@@ -134,7 +138,7 @@
 
 fn relay(
     gateway: &Rc<Gateway>,
-    inbound: Inbound,
+    inbound: InboundRequest,
     in_flight: InFlight,
     started: StartedStream,
     answer: Answer,
@@ -176,12 +180,12 @@
     Response::from_parts(caller_head, body)
 }
 
-fn tokens_per_event(gateway: &Gateway, inbound: &Inbound) -> u64 {
+fn tokens_per_event(gateway: &Gateway, inbound: &InboundRequest) -> u64 {
     let of_engine = |service: &Service| {
         let engine = service.engine.as_ref();
         engine.map(|engine| engine.tokens_per_event)
     };
-    let tokens = gateway.of_service(&inbound.service, of_engine).flatten();
+    let tokens = gateway.with_service(&inbound.service, of_engine).flatten();
     tokens.unwrap_or(1).max(1)
 }
 
@@ -211,8 +215,8 @@
 /// Task that passes the events of one response on to the caller.
 struct Relay {
     gateway: Rc<Gateway>,
-    inbound: Inbound,
-    start: TurnStart,
+    inbound: InboundRequest,
+    start: PreparedTurn,
     overrides: SendOverrides,
     wait: FirstEventWait,
     attempts: Attempts,
@@ -395,7 +399,7 @@
         if let Some(time) = self.wait.note_event() {
             self.note_expected(time);
             if let Some(reservation) = &self.start.reservation {
-                reservation.note_replica(&source.backend.id);
+                reservation.record_replica(&source.backend.id);
             }
             let mut pool = self.gateway.pool.borrow_mut();
             if !pool.has_restarted(&source.backend) {
--- a/crates/gateway-server/src/unary.rs
+++ b/crates/gateway-server/src/unary.rs
@@ -5,7 +5,7 @@
 use crate::failure::Failure;
 use crate::gateway::Gateway;
 use crate::hedging::Hedging;
-use crate::inbound::{Inbound, strip_hop_by_hop};
+use crate::inbound::{InboundRequest, strip_hop_by_hop};
 use crate::refusal::Refusal;
 use bytes::{Bytes, BytesMut};
 use futures_util::StreamExt;
@@ -21,7 +21,7 @@
 /// Sends a request to one replica and reads the complete response.
 async fn attempt(
     gateway: &Rc<Gateway>,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     backend: Backend,
 ) -> (Backend, Result<Response<Body>, Failure>) {
     let began = Instant::now();
@@ -51,7 +51,7 @@
 /// Serves a unary request and records its response time.
 pub(crate) async fn serve(
     gateway: &Rc<Gateway>,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
 ) -> Result<Response<Body>, Refusal> {
     let mut hedging = Hedging::begin(gateway, inbound);
     let began = Instant::now();
@@ -67,7 +67,7 @@
 /// first complete response is used.
 async fn serve_hedged(
     gateway: &Rc<Gateway>,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     hedging: &mut Hedging,
 ) -> Result<Response<Body>, Refusal> {
     let mut attempts = Attempts::default();
@@ -119,7 +119,7 @@
 /// reach the caller as a success.
 pub(crate) async fn read_whole_response(
     gateway: &Rc<Gateway>,
-    inbound: &Inbound,
+    inbound: &InboundRequest,
     answer: Answer,
 ) -> Result<Response<Body>, Failure> {
     let Answer {
@@ -164,7 +164,7 @@
     MemoryLimit,
 }
 
-async fn collect(inbound: &Inbound, mut incoming: Incoming) -> Result<Bytes, AnswerFailure> {
+async fn collect(inbound: &InboundRequest, mut incoming: Incoming) -> Result<Bytes, AnswerFailure> {
     let mut bytes = BytesMut::new();
     while let Some(frame) = incoming.frame().await {
         let frame = frame.map_err(|source| AnswerFailure::Broken { source })?;
--- a/crates/gateway-server/tests/gateway/held_bytes.rs
+++ b/crates/gateway-server/tests/gateway/held_bytes.rs
@@ -2,9 +2,9 @@
 //! requests stays bounded, and other callers are served.
 
 use crate::metrics::{metrics, value};
-use crate::support::caller::Ask;
+use crate::support::caller::TestRequest;
 use crate::support::replica::{Replica, Script};
-use crate::support::{Fleet, HELD_BYTES_LIMIT, HOST, configuration, until};
+use crate::support::{Fleet, HELD_BYTES_LIMIT, HOST, configuration, wait_until};
 use futures_util::future::join_all;
 use std::net::SocketAddr;
 use tokio::io::AsyncWriteExt;
@@ -49,20 +49,20 @@
         unread.push(send_without_reading(fleet.gateway_address, id).await);
     }
     let stalled = "streams_total{end=\"caller_stalled\"}";
-    until("all stalled callers are aborted", || async {
+    wait_until("all stalled callers are aborted", || async {
         assert!(held(&fleet).await <= HELD_BYTES_LIMIT as f64);
-        let other = Ask::get("/safe/x", "other").send(fleet.gateway_address);
+        let other = TestRequest::get("/safe/x", "other").send(fleet.gateway_address);
         assert_eq!(other.await.status, 200);
         metric(&fleet, stalled).await == STALLED_CALLERS as f64
     })
     .await;
     let cut = "held_cuts_total{reason=\"caller_stalled\"}";
     assert_eq!(metric(&fleet, cut).await, STALLED_CALLERS as f64);
-    until("all held bytes are released", || async {
+    wait_until("all held bytes are released", || async {
         held(&fleet).await == 0.0
     })
     .await;
-    until("the replica's connections are closed", || async {
+    wait_until("the replica's connections are closed", || async {
         replica.closed.get() >= STALLED_CALLERS as u32
     })
     .await;
@@ -71,7 +71,7 @@
 #[actix_rt::test]
 async fn endless_response_kept_as_history_is_aborted_at_the_request_limit() {
     let (fleet, _replica) = fleet(Script::Flood).await;
-    let got = Ask::post("/kept/x", "t1", "input")
+    let got = TestRequest::post("/kept/x", "t1", "input")
         .with("luglink-program", "program")
         .with("luglink-token-usage", "100,50")
         .send(fleet.gateway_address)
@@ -81,7 +81,7 @@
     assert_eq!(metric(&fleet, end).await, 1.0);
     let cut = "held_cuts_total{reason=\"request_memory\"}";
     assert_eq!(metric(&fleet, cut).await, 1.0);
-    until("all held bytes are released", || async {
+    wait_until("all held bytes are released", || async {
         held(&fleet).await == 0.0
     })
     .await;
@@ -91,7 +91,7 @@
 async fn bodies_that_a_replica_does_not_read_block_further_bodies_until_they_end() {
     let (fleet, replica) = fleet(Script::Unread).await;
     let long = |id: &str| {
-        Ask::post("/unsafe/x", id, vec![b'x'; LONG_BODY_BYTES])
+        TestRequest::post("/unsafe/x", id, vec![b'x'; LONG_BODY_BYTES])
             .with("luglink-deadline-ms", "2500")
             .send(fleet.gateway_address)
     };
@@ -99,7 +99,7 @@
     let ids: Vec<String> = (0..most).map(|number| format!("long-{number}")).collect();
     let waiting = join_all(ids.iter().map(|id| long(id)));
     let meanwhile = async {
-        until("the bodies fill the limit", || async {
+        wait_until("the bodies fill the limit", || async {
             held(&fleet).await == HELD_BYTES_LIMIT as f64
         })
         .await;
@@ -117,13 +117,13 @@
         replica.requests() <= most,
         "the refused request reached the replica"
     );
-    until("all held bytes are released", || async {
+    wait_until("all held bytes are released", || async {
         held(&fleet).await == 0.0
     })
     .await;
     replica.set(Script::Answer);
-    until("the gateway serves again", || async {
-        let got = Ask::get("/safe/x", "after").send(fleet.gateway_address);
+    wait_until("the gateway serves again", || async {
+        let got = TestRequest::get("/safe/x", "after").send(fleet.gateway_address);
         got.await.status == 200
     })
     .await;
