--- a/crates/gateway-server/src/attempts.rs
+++ b/crates/gateway-server/src/attempts.rs
@@ -72,7 +72,7 @@
 
     /// Records a failed send. Returns the refusal for the caller if the request must not be sent
     /// again.
-    pub(crate) fn note(
+    pub(crate) fn note_failure(
         &mut self,
         inbound: &InboundRequest,
         backend: &Backend,
@@ -194,7 +194,7 @@
     tried: &[BackendId],
     cached_at: Option<&BackendId>,
 ) -> Option<Choice> {
-    let wish = RoutingRequest {
+    let routing_request = RoutingRequest {
         service: &inbound.service,
         cached_at,
         tried,
@@ -202,7 +202,7 @@
         work: attempts.work,
     };
     gateway.pool.borrow().choose(
-        &wish,
+        &routing_request,
         |replica| gateway.upstream.has_idle_connection(replica),
         gateway.now(),
     )
@@ -225,7 +225,6 @@
 
 /// Chooses a replica that has not been tried. If only replicas without capacity are left, the
 /// request pauses and tries them again, because a refusal uses up one of the caller's few retries.
-
 pub(crate) async fn next_replica(
     gateway: &Gateway,
     inbound: &InboundRequest,
--- a/crates/gateway-server/src/exchange.rs
+++ b/crates/gateway-server/src/exchange.rs
@@ -106,7 +106,11 @@
     }
     if gateway.pool.borrow().has_restarted(backend) {
         let reason = failure.as_str();
-        tracing::info!(replica = %backend.id, reason, "send to a replica that has since restarted failed");
+        tracing::info!(
+            replica = %backend.id,
+            reason,
+            "send failed at a replica that has restarted since"
+        );
         return;
     }
     let until = gateway.pool.borrow_mut().failed(&backend.id, gateway.now());
@@ -126,13 +130,13 @@
 ) -> Result<(Response<Incoming>, Lease), Failure> {
     let limit = connection_limit(gateway, &inbound.service);
     for _ in 0..MAX_CONNECTION_ATTEMPTS {
-        let patience = inbound.remaining();
+        let remaining = inbound.remaining();
         let acquired = gateway
             .upstream
             .acquire(
                 backend,
                 limit,
-                patience.min(MIN_CONNECTION_TIMEOUT.max(patience / 8)),
+                remaining.min(MIN_CONNECTION_TIMEOUT.max(remaining / 8)),
             )
             .await;
         let mut lease = acquired.map_err(|error| unreachable(&error))?;
@@ -206,7 +210,12 @@
         Ok(Ok(response)) => Ok(response),
         Ok(Err(SendError::NotSent { .. })) => Err(Failure::ConnectionClosed),
         Ok(Err(SendError::Broken { source })) => {
-            tracing::debug!(id = inbound.id, error = %source, "connection broke after the request was sent");
+            tracing::debug!(
+                id = inbound.id,
+                error = %source,
+                "connection broke after the request was sent"
+            );
+
             Err(Failure::Broken)
         }
         Err(_) => Err(Failure::NoAnswerInTime),
@@ -279,7 +288,6 @@
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
     }
     // Rounded down, so that the replica stops no later than the caller.
-
     let left = milliseconds(inbound.remaining());
     headers.insert(names.deadline_ms.clone(), HeaderValue::from(left.max(1)));
     set_header(headers, &names.expected_replica, &backend.id.0).ok_or(Failure::Unsendable)?;
--- a/crates/gateway-server/src/failure.rs
+++ b/crates/gateway-server/src/failure.rs
@@ -64,7 +64,6 @@
     }
 
     /// Returns the name used in logs and metrics.
-
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Unreachable => "unreachable",
--- a/crates/gateway-server/src/first_event.rs
+++ b/crates/gateway-server/src/first_event.rs
@@ -41,7 +41,6 @@
     }
 
     /// Returns the time to the first event, once it has arrived.
-
     pub(crate) fn delay(&self) -> Option<Duration> {
         self.delay.get()
     }
--- a/crates/gateway-server/src/held.rs
+++ b/crates/gateway-server/src/held.rs
@@ -185,7 +185,6 @@
 
     /// Counts and logs that the request is aborted for the memory that it holds: because it
     /// exceeds a bound, or because the caller does not read the response.
-
     pub(crate) fn note_aborted(&self, reason: &str) {
         let bytes = self.ledger.bytes.borrow().of_holder(self.holder);
         let bytes = bytes.unwrap_or_default();
--- a/crates/gateway-server/src/inbound.rs
+++ b/crates/gateway-server/src/inbound.rs
@@ -339,7 +339,6 @@
 
 /// Returns one number of the caller's token usage header: part 0 is the prompt's tokens, part 1
 /// the maximum number of generated tokens. Returns 0 if the header does not contain it.
-
 fn token_usage_part(gateway: &Gateway, head: &Parts, part: usize) -> u64 {
     let usage = header_text(&head.headers, &gateway.dialect.headers().token_usage);
     usage
--- a/crates/gateway-server/src/move_watch.rs
+++ b/crates/gateway-server/src/move_watch.rs
@@ -334,12 +334,11 @@
         let now = self.gateway.now();
         let mut waits = self.gateway.waits.borrow_mut();
         let waits = waits.route(&self.route);
-        let aim = self.route.target_latency();
-        waits.note_first_event(self.sent_at.elapsed(), aim, now);
+        let target_latency = self.route.target_latency();
+        waits.note_first_event(self.sent_at.elapsed(), target_latency, now);
     }
 
     /// Records the wait for the first event as abandoned, if no event has arrived.
-
     fn note_abandoned(&mut self) {
         if !std::mem::take(&mut self.awaits_first_event) {
             return;
--- a/crates/gateway-server/src/proxy.rs
+++ b/crates/gateway-server/src/proxy.rs
@@ -39,7 +39,11 @@
                 status = refusal.status.as_u16(),
                 detail = refusal.detail,
                 retry_after_ms = refusal.retry_after.map(milliseconds),
-                version = gateway.in_force.borrow().as_ref().map(|held| held.version),
+                version = gateway
+                    .in_force
+                    .borrow()
+                    .as_ref()
+                    .map(|active| active.version),
                 list_age_ms,
                 ms = milliseconds(arrived.elapsed()),
                 "request refused"
--- a/crates/gateway-server/src/refusal.rs
+++ b/crates/gateway-server/src/refusal.rs
@@ -67,7 +67,6 @@
     }
 
     /// Creates a refusal of a request that may have run and whose deadline has passed.
-
     pub(crate) fn timed_out(detail: &'static str) -> Self {
         Self::new(StatusCode::GATEWAY_TIMEOUT, detail)
     }
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -36,29 +36,29 @@
 const MAX_RESUMPTIONS: u32 = 3;
 
 /// Delay before a broken stream is resumed at the same replica.
-const RESUMPTION_PAUSE: Duration = Duration::from_millis(10);
+const RESUMPTION_DELAY: Duration = Duration::from_millis(10);
 
-/// Interval without data after which, repeatedly, a replica is reported as troubled. Shorter gaps
-/// also occur at healthy replicas, when a prompt is processed again.
+/// Interval of silence at which a replica is repeatedly reported as troubled. Shorter gaps also
+/// occur at healthy replicas, when a prompt is processed again.
 const SILENCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves a streaming request. A separate task passes the response's events on.
+/// Serves a streaming request. A separate task forwards the response's events.
 pub(crate) async fn serve(
     gateway: &Rc<Gateway>,
     inbound: InboundRequest,
     in_flight: InFlight,
 ) -> Result<Response<Body>, Refusal> {
     refuse_unreachable_deadline(gateway, &inbound)?;
-    let start = program::begin(gateway, &inbound).await?;
+    let prepared = program::begin(gateway, &inbound).await?;
     refuse_unreachable_deadline(gateway, &inbound)?;
     let overrides = SendOverrides {
-        body: start.prompt.clone(),
+        body: prepared.prompt.clone(),
         last_event_id: None,
     };
     let wait = FirstEventWait::begin(gateway, &inbound);
-    let work = work::estimate_turn(gateway, &inbound, &start);
+    let work = work::estimate_turn(gateway, &inbound, &prepared);
     let mut attempts = Attempts::default().with_work(work);
-    let cached_at = cached_at(gateway, &inbound, &start);
+    let cached_at = cached_at(gateway, &inbound, &prepared);
     let tokens_per_event = tokens_per_event(gateway, &inbound);
     let mut move_watch = MoveWatch::begin(gateway, &inbound, tokens_per_event);
     let mut move_target = None;
@@ -75,10 +75,10 @@
             SendResult::Answered(answer) => {
                 match read_whole_response(gateway, &inbound, *answer).await {
                     Ok(response) => return Ok(response),
-                    Err(failure) => attempts.note(&inbound, &backend, failure)?,
+                    Err(failure) => attempts.note_failure(&inbound, &backend, failure)?,
                 }
             }
-            SendResult::Failed(failure) => attempts.note(&inbound, &backend, failure)?,
+            SendResult::Failed(failure) => attempts.note_failure(&inbound, &backend, failure)?,
             SendResult::MovedTo(other) => {
                 attempts.note_moved(&backend);
                 move_target = Some(other);
@@ -90,7 +90,7 @@
     // The prediction is only comparable if the request was sent once.
     let expected = expected.filter(|_| attempts.tried.is_empty());
     let started = StartedStream {
-        start,
+        prepared,
         overrides,
         wait,
         attempts,
@@ -115,10 +115,10 @@
 fn cached_at(
     gateway: &Gateway,
     inbound: &InboundRequest,
-    start: &PreparedTurn,
+    prepared: &PreparedTurn,
 ) -> Option<BackendId> {
     let pool = gateway.pool.borrow();
-    let known = start.place.clone();
+    let known = prepared.place.clone();
     known
         .filter(|id| pool.usable(id).is_some())
         .or_else(|| pool.home(&inbound.service, inbound.draw))
@@ -126,7 +126,7 @@
 
 /// State of a turn whose response head has arrived.
 struct StartedStream {
-    start: PreparedTurn,
+    prepared: PreparedTurn,
     overrides: SendOverrides,
     wait: FirstEventWait,
     attempts: Attempts,
@@ -151,7 +151,7 @@
     let relay = Relay {
         gateway: Rc::clone(gateway),
         inbound,
-        start: started.start,
+        prepared: started.prepared,
         overrides: started.overrides,
         wait: started.wait,
         attempts: started.attempts,
@@ -212,11 +212,11 @@
     Aborted(HeldBound),
 }
 
-/// Task that passes the events of one response on to the caller.
+/// Task that forwards the events of one response to the caller.
 struct Relay {
     gateway: Rc<Gateway>,
     inbound: InboundRequest,
-    start: PreparedTurn,
+    prepared: PreparedTurn,
     overrides: SendOverrides,
     wait: FirstEventWait,
     attempts: Attempts,
@@ -242,7 +242,7 @@
             match self.next_step(&mut source, &sender).await {
                 Step::Data(bytes) => {
                     self.splitter.push(&bytes);
-                    if let Err(reason) = self.pass_events_on(&source, &sender).await {
+                    if let Err(reason) = self.forward_events(&source, &sender).await {
                         break self.log_end(reason);
                     }
                 }
@@ -310,7 +310,6 @@
 
     /// Reports the replica as troubled, so that other requests avoid it. Does nothing where
     /// replicas are not chosen by expected finish.
-
     fn note_silence(&self, source: &Source) {
         if self.work.is_none() {
             return;
@@ -342,16 +341,16 @@
         metrics.expectation_error_seconds.observe(error);
     }
 
-    /// Passes complete events on to the caller. Returns the end reason if the stream cannot
+    /// Forwards complete events to the caller. Returns the end reason if the stream cannot
     /// continue.
-    async fn pass_events_on(
+    async fn forward_events(
         &mut self,
         source: &Source,
         sender: &BodySender,
     ) -> Result<(), &'static str> {
         let mut batch = Vec::new();
         while let Some(event) = self.splitter.next_event() {
-            self.note(&event, source);
+            self.note_event(&event, source);
             batch.extend_from_slice(&event.raw);
         }
         let held = &self.inbound.held;
@@ -381,7 +380,7 @@
         actix_rt::time::sleep(UNREAD_TIMEOUT).await;
     }
 
-    fn note(&mut self, event: &StreamEvent, source: &Source) {
+    fn note_event(&mut self, event: &StreamEvent, source: &Source) {
         if event.id.is_some() {
             self.last_event_id.clone_from(&event.id);
         }
@@ -389,7 +388,7 @@
         self.events += 1;
         self.move_watch.note_event(&self.inbound);
         self.note_pause(source);
-        if let Some(reservation) = &self.start.reservation {
+        if let Some(reservation) = &self.prepared.reservation {
             reservation.give(self.tokens_per_event);
         }
         if self.inbound.route.keeps_history {
@@ -398,7 +397,7 @@
         }
         if let Some(time) = self.wait.note_event() {
             self.note_expected(time);
-            if let Some(reservation) = &self.start.reservation {
+            if let Some(reservation) = &self.prepared.reservation {
                 reservation.record_replica(&source.backend.id);
             }
             let mut pool = self.gateway.pool.borrow_mut();
@@ -429,7 +428,7 @@
             id: self.inbound.turn(),
             program: program.name.clone(),
             ancestors: self
-                .start
+                .prepared
                 .chain
                 .iter()
                 .map(|turn| turn.id.clone())
@@ -441,7 +440,7 @@
         });
         let is_of_other_program = |turn: &&Rc<TurnRecord>| turn.program != program.name;
         let carried: Vec<Rc<TurnRecord>> = self
-            .start
+            .prepared
             .chain
             .iter()
             .filter(is_of_other_program)
@@ -460,7 +459,7 @@
             tracing::warn!(id = self.inbound.id, %error, "storing a turn failed");
             return false;
         }
-        if let Some(reservation) = &self.start.reservation {
+        if let Some(reservation) = &self.prepared.reservation {
             reservation.mark_settled();
         }
         self.gateway.turn_cache.borrow_mut().insert(turn);
@@ -495,7 +494,7 @@
             "resuming a broken stream"
         );
         self.overrides.last_event_id.clone_from(&self.last_event_id);
-        actix_rt::time::sleep(RESUMPTION_PAUSE).await;
+        actix_rt::time::sleep(RESUMPTION_DELAY).await;
         self.move_watch.note_sent(&self.inbound, &self.attempts);
         let failure = match self.resume_at(&backend).await {
             Ok(source) => return Ok(source),
@@ -520,10 +519,10 @@
         source: Source,
         sender: &BodySender,
     ) -> Result<Source, &'static str> {
-        let at = &source.backend;
+        let current = &source.backend;
         let Some(other) = self
             .move_watch
-            .check_move(&self.inbound, at, &self.attempts)
+            .check_move(&self.inbound, current, &self.attempts)
         else {
             return Ok(source);
         };
@@ -547,7 +546,7 @@
                 Err(failure) => failure,
             };
             self.move_watch.note_failed(failure);
-            let verdict = self.attempts.note(&self.inbound, &to, failure);
+            let verdict = self.attempts.note_failure(&self.inbound, &to, failure);
             verdict.map_err(|_| "not_moved")?;
             let next = next_replica(&self.gateway, &self.inbound, &mut self.attempts, None);
             to = next.await.map_err(|_| "nowhere_to_move")?;
@@ -575,7 +574,7 @@
             let seconds = first.as_secs_f64();
             self.gateway.metrics.answer_seconds.observe(seconds);
         }
-        let reservation = self.start.reservation.as_ref();
+        let reservation = self.prepared.reservation.as_ref();
         tracing::info!(
             id = self.inbound.id,
             end,
@@ -586,7 +585,7 @@
                 .program
                 .as_ref()
                 .map(|program| tracing::field::display(&program.name)),
-            chain = self.start.chain.len(),
+            chain = self.prepared.chain.len(),
             events = self.events,
             given = reservation.map(|reservation| reservation.given()),
             resumptions = self.resumptions,
--- a/crates/gateway-server/src/unary.rs
+++ b/crates/gateway-server/src/unary.rs
@@ -96,7 +96,7 @@
             }
             Some((_, Ok(response))) => return Ok(response),
             Some((backend, Err(failure))) => {
-                let verdict = attempts.note(inbound, &backend, failure);
+                let verdict = attempts.note_failure(inbound, &backend, failure);
                 // While another replica is working on the request, its response decides.
                 if in_flight.is_empty() {
                     verdict?;
--- a/crates/gateway-server/src/upstream.rs
+++ b/crates/gateway-server/src/upstream.rs
@@ -213,7 +213,6 @@
 
 /// Takes the most recently used idle connection. Connections that have expired, were closed by the
 /// replica or received unrequested data are closed.
-
 fn take_idle(connections: &Connections) -> Option<ClientConnection> {
     let now = Instant::now();
     loop {
--- a/crates/gateway-server/tests/gateway/support/caller.rs
+++ b/crates/gateway-server/tests/gateway/support/caller.rs
@@ -121,7 +121,6 @@
 }
 
 /// Sends a request as an operator and follows one redirect. The method is POST.
-
 pub async fn put(to: SocketAddr, path: &str, body: Vec<u8>) -> TestResponse {
     let got = TestRequest::post(path, "operator", body.clone())
         .send(to)
--- a/crates/gateway-server/tests/gateway/support/mod.rs
+++ b/crates/gateway-server/tests/gateway/support/mod.rs
@@ -37,7 +37,6 @@
 
 /// Returns the first and the last port of a range, probably free, that a fleet uses on all its
 /// addresses.
-
 fn free_ports() -> Vec<u16> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let port = listener.local_addr().unwrap().port().min(65_000);
@@ -110,14 +109,18 @@
         Self::start_with(folder, replicas, false).await
     }
 
-    async fn start_with(folder: TempDir, replicas: Vec<Replica>, is_misled: bool) -> Self {
-        Self::start_with_options(folder, replicas, is_misled, Features::default()).await
+    async fn start_with(
+        folder: TempDir,
+        replicas: Vec<Replica>,
+        has_unreachable_seeds: bool,
+    ) -> Self {
+        Self::start_with_options(folder, replicas, has_unreachable_seeds, Features::default()).await
     }
 
     async fn start_with_options(
         folder: TempDir,
         replicas: Vec<Replica>,
-        is_misled: bool,
+        has_unreachable_seeds: bool,
         features: Features,
     ) -> Self {
         let block = NEXT_BLOCK.fetch_add(1, Ordering::Relaxed);
@@ -150,7 +153,7 @@
         let mut fleet = fleet_settings(block, 9, &ports, list);
         let second = fleet_settings(block, 10, &ports, list);
         let member_addresses = fleet.member_seeds();
-        if is_misled {
+        if has_unreachable_seeds {
             fleet.seeds = vec![(ip(block, 200), 1).into()];
         }
         let gateway_address: SocketAddr = (fleet.ip, ports[0] + 6).into();
@@ -252,7 +255,6 @@
 }
 
 /// Polls a condition until it holds. The limit of 30 s only ends a test that would hang.
-
 pub async fn wait_until<Check>(what: &str, mut holds: impl FnMut() -> Check)
 where
     Check: Future<Output = bool>,
--- a/crates/gateway-server/tests/gateway/support/replica.rs
+++ b/crates/gateway-server/tests/gateway/support/replica.rs
@@ -424,7 +424,6 @@
 }
 
 /// Serves the list of replicas in luglink's own format. Returns its address.
-
 pub async fn serve_list(replicas: Rc<RefCell<Vec<Replica>>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
