--- a/crates/gateway-server/tests/gateway/held_bytes.rs
+++ b/crates/gateway-server/tests/gateway/held_bytes.rs
@@ -71,12 +71,12 @@
 #[actix_rt::test]
 async fn endless_response_kept_as_history_is_aborted_at_the_request_limit() {
     let (fleet, _replica) = fleet(Script::Flood).await;
-    let got = TestRequest::post("/kept/x", "t1", "input")
+    let response = TestRequest::post("/kept/x", "t1", "input")
         .with("luglink-program", "program")
         .with("luglink-token-usage", "100,50")
         .send(fleet.gateway_address)
         .await;
-    assert_eq!((got.status, got.is_whole), (200, false));
+    assert_eq!((response.status, response.is_whole), (200, false));
     let end = "streams_total{end=\"request_memory\"}";
     assert_eq!(metric(&fleet, end).await, 1.0);
     let cut = "held_cuts_total{reason=\"request_memory\"}";
@@ -110,8 +110,8 @@
         assert_eq!(metric(&fleet, reason).await, 1.0);
     };
     let (ended, ()) = tokio::join!(waiting, meanwhile);
-    for got in ended {
-        assert!(matches!(got.status, 502..=504), "{got:?}");
+    for response in ended {
+        assert!(matches!(response.status, 502..=504), "{response:?}");
     }
     assert!(
         replica.requests() <= most,
@@ -123,8 +123,8 @@
     .await;
     replica.set(Script::Answer);
     wait_until("the gateway serves again", || async {
-        let got = TestRequest::get("/safe/x", "after").send(fleet.gateway_address);
-        got.await.status == 200
+        let response = TestRequest::get("/safe/x", "after").send(fleet.gateway_address);
+        response.await.status == 200
     })
     .await;
 }
--- a/crates/gateway-server/tests/gateway/moves.rs
+++ b/crates/gateway-server/tests/gateway/moves.rs
@@ -44,12 +44,16 @@
 
 async fn request_complete_stream(fleet: &Fleet, id: String) -> TestResponse {
     let began = Instant::now();
-    let ask = TestRequest::post("/movable/x", &id, "body");
-    let got = ask.send(fleet.gateway_address).await;
-    assert_eq!((got.status, got.is_whole), (200, true), "{got:?}");
-    assert_eq!(got.body, complete_stream());
+    let request = TestRequest::post("/movable/x", &id, "body");
+    let response = request.send(fleet.gateway_address).await;
+    assert_eq!(
+        (response.status, response.is_whole),
+        (200, true),
+        "{response:?}"
+    );
+    assert_eq!(response.body, complete_stream());
     assert!(began.elapsed() < MAX_MOVED_TIME, "{:?}", began.elapsed());
-    got
+    response
 }
 
 /// Requests pairs of concurrent streams, which go to different replicas, until one was sent to
@@ -57,16 +61,16 @@
 async fn request_until_sent_to(fleet: &Fleet, replica: &Replica) -> TestResponse {
     for number in 0..MAX_REQUESTS {
         let ids = [format!("a{number}"), format!("b{number}")];
-        let asks = ids
+        let requests = ids
             .iter()
             .map(|id| request_complete_stream(fleet, id.clone()));
-        let answers = join_all(asks).await;
-        let met = ids.iter().position(|id| {
+        let answers = join_all(requests).await;
+        let reached = ids.iter().position(|id| {
             let seen = replica.seen.borrow();
             seen.iter().any(|seen| seen.id() == id)
         });
-        if let Some(met) = met {
-            return answers[met].clone();
+        if let Some(reached) = reached {
+            return answers[reached].clone();
         }
     }
     panic!("no request was sent to the replica");
@@ -75,9 +79,12 @@
 /// Sends pairs of concurrent unary requests until one was sent to `replica` and cancelled there.
 async fn request_safe_until_sent_to(fleet: &Fleet, replica: &Replica) {
     wait_until("a request reached the silent replica", || async {
-        let asks = ["late-a", "late-b"].map(|id| TestRequest::get("/safe/x", id));
-        let answers = join_all(asks.map(|ask| ask.send(fleet.gateway_address))).await;
-        assert!(answers.iter().all(|got| got.status == 200), "{answers:?}");
+        let requests = ["late-a", "late-b"].map(|id| TestRequest::get("/safe/x", id));
+        let answers = join_all(requests.map(|request| request.send(fleet.gateway_address))).await;
+        assert!(
+            answers.iter().all(|response| response.status == 200),
+            "{answers:?}"
+        );
         replica.closed.get() > 0
     })
     .await;
@@ -108,8 +115,8 @@
 #[actix_rt::test]
 async fn stream_at_a_silent_replica_moves_to_another_one() {
     let (fleet, replicas) = fleet(&[Script::Mute, Script::Stream]).await;
-    let got = request_until_sent_to(&fleet, &replicas[0]).await;
-    let signature = got.header("luglink-signature").unwrap();
+    let response = request_until_sent_to(&fleet, &replicas[0]).await;
+    let signature = response.header("luglink-signature").unwrap();
     assert!(signature.ends_with("-by-r1"), "{signature}");
     assert_eq!(cancelled_runs(&replicas[0]), replicas[0].requests());
     let moved = metric(&fleet, "luglink_moves_total{route=\"movable\"}").await;
@@ -120,8 +127,8 @@
 #[actix_rt::test]
 async fn stream_that_stalls_resumes_elsewhere_after_its_last_event() {
     let (fleet, replicas) = fleet(&[Script::StreamSilent(2), Script::Stream]).await;
-    let got = request_until_sent_to(&fleet, &replicas[0]).await;
-    let signature = got.header("luglink-signature").unwrap();
+    let response = request_until_sent_to(&fleet, &replicas[0]).await;
+    let signature = response.header("luglink-signature").unwrap();
     assert!(signature.ends_with("-by-r0"), "{signature}");
     assert_eq!(replicas[1].last().headers["last-event-id"], "1");
     assert_eq!(cancelled_runs(&replicas[0]), replicas[0].requests());
@@ -140,22 +147,22 @@
 async fn stream_runs_at_no_more_replicas_than_the_route_allows() {
     let (fleet, replicas) = fleet(&[Script::Mute, Script::Mute, Script::Mute]).await;
     let to = fleet.gateway_address;
-    let ask = |path: &str, id: &str| {
+    let request = |path: &str, id: &str| {
         TestRequest::post(path, id, "body").with("luglink-deadline-ms", 1_500)
     };
-    let got = ask("/movable/x", "twice").send(to).await;
-    assert_eq!((got.status, runs_of(&replicas, "twice")), (504, 2));
-    let got = ask("/once/x", "once").send(to).await;
-    assert_eq!((got.status, runs_of(&replicas, "once")), (504, 1));
+    let response = request("/movable/x", "twice").send(to).await;
+    assert_eq!((response.status, runs_of(&replicas, "twice")), (504, 2));
+    let response = request("/once/x", "once").send(to).await;
+    assert_eq!((response.status, runs_of(&replicas, "once")), (504, 1));
     // The route is resumable but allows a single attempt.
-    let got = ask("/resumable/x", "single").send(to).await;
-    assert_eq!((got.status, runs_of(&replicas, "single")), (504, 1));
+    let response = request("/resumable/x", "single").send(to).await;
+    assert_eq!((response.status, runs_of(&replicas, "single")), (504, 1));
     for replica in &replicas {
         replica.set(Script::StreamSilent(2));
     }
     for (path, id, allowed) in [("/movable/x", "two", 2), ("/resumable/x", "one", 1)] {
-        let got = ask(path, id).send(to).await;
-        assert!(!got.is_whole);
+        let response = request(path, id).send(to).await;
+        assert!(!response.is_whole);
         assert_eq!(runs_of(&replicas, id), allowed, "{path}");
     }
 }
@@ -165,14 +172,14 @@
     let (fleet, replicas) = fleet(&[Script::Stream]).await;
     let to = fleet.gateway_address;
     for number in 0..30 {
-        let ask = TestRequest::post("/movable/x", &format!("m{number}"), "body");
-        assert_eq!(ask.send(to).await.status, 200);
+        let request = TestRequest::post("/movable/x", &format!("m{number}"), "body");
+        assert_eq!(request.send(to).await.status, 200);
     }
     let late =
         |path: &str, id: &str| TestRequest::post(path, id, "body").with("luglink-deadline-ms", 1);
-    let got = late("/movable/x", "late").send(to).await;
-    assert_eq!((got.status, runs_of(&replicas, "late")), (503, 0));
-    assert!(got.header("retry-after").is_some());
+    let response = late("/movable/x", "late").send(to).await;
+    assert_eq!((response.status, runs_of(&replicas, "late")), (503, 0));
+    assert!(response.header("retry-after").is_some());
     let hopeless = "luglink_hopeless_total{route=\"movable\"}";
     assert_eq!(metric(&fleet, hopeless).await, 1.0);
     late("/resumable/x", "other").send(to).await;
@@ -184,8 +191,8 @@
     let (fleet, replicas) = fleet(&[Script::Answer, Script::Answer]).await;
     let to = fleet.gateway_address;
     for number in 0..40 {
-        let ask = TestRequest::get("/safe/x", &format!("s{number}"));
-        assert_eq!(ask.send(to).await.status, 200);
+        let request = TestRequest::get("/safe/x", &format!("s{number}"));
+        assert_eq!(request.send(to).await.status, 200);
     }
     replicas[0].set(Script::Mute);
     request_safe_until_sent_to(&fleet, &replicas[0]).await;
@@ -198,8 +205,8 @@
     let (fleet, replicas) = fleet_with(configuration(1), &[Script::Answer, Script::Answer]).await;
     let to = fleet.gateway_address;
     for number in 0..40 {
-        let ask = TestRequest::get("/safe/x", &format!("s{number}"));
-        assert_eq!(ask.send(to).await.status, 200);
+        let request = TestRequest::get("/safe/x", &format!("s{number}"));
+        assert_eq!(request.send(to).await.status, 200);
     }
     replicas[0].set(Script::Mute);
     request_safe_until_sent_to(&fleet, &replicas[0]).await;
@@ -211,13 +218,13 @@
 async fn callers_that_disconnect_before_their_response_are_counted() {
     let (fleet, replicas) = fleet(&[Script::Mute]).await;
     let to = fleet.gateway_address;
-    let asking = actix_rt::spawn(TestRequest::post("/once/x", "one", "body").send(to));
+    let pending = actix_rt::spawn(TestRequest::post("/once/x", "one", "body").send(to));
     wait_until("the replica has the request", || async {
         replicas[0].requests() == 1
     })
     .await;
     // Dropping the task closes the caller's connection.
-    asking.abort();
+    pending.abort();
     let series = "luglink_callers_gone_total{awaited=\"answer\"}";
     wait_until("the disconnect is counted", || async {
         metric(&fleet, series).await == 1.0
--- a/crates/gateway-server/tests/gateway/replicas.rs
+++ b/crates/gateway-server/tests/gateway/replicas.rs
@@ -34,16 +34,16 @@
 #[actix_rt::test]
 async fn request_and_response_are_forwarded_unchanged() {
     let (fleet, replicas) = fleet(&[Script::Answer]).await;
-    let got = TestRequest::post("/unsafe/a%20b?c=d", "one", "the body")
+    let response = TestRequest::post("/unsafe/a%20b?c=d", "one", "the body")
         .with("x-own", "kept")
         .with("connection", "x-hop")
         .with("x-hop", "dropped")
         .send(fleet.gateway_address)
         .await;
-    assert_eq!((got.status, got.is_whole), (200, true));
-    assert_eq!(got.body, "answer of r0 to one");
-    assert_eq!(got.header("luglink-signature"), Some("of-one"));
-    assert_eq!(got.header("x-kept"), Some("as it is"));
+    assert_eq!((response.status, response.is_whole), (200, true));
+    assert_eq!(response.body, "answer of r0 to one");
+    assert_eq!(response.header("luglink-signature"), Some("of-one"));
+    assert_eq!(response.header("x-kept"), Some("as it is"));
     let seen = replicas[0].last();
     assert_eq!(seen.target, "POST /unsafe/a%20b?c=d HTTP/1.1");
     assert_eq!(seen.body, b"the body");
@@ -70,9 +70,9 @@
             replica.set(script.clone());
         }
         let before = runs(&replicas);
-        let got = send_unsafe(&fleet, &format!("u{number}")).await;
-        assert_eq!(got.status, 502, "{script:?}");
-        assert_eq!(got.header("luglink-signature"), None, "{script:?}");
+        let response = send_unsafe(&fleet, &format!("u{number}")).await;
+        assert_eq!(response.status, 502, "{script:?}");
+        assert_eq!(response.header("luglink-signature"), None, "{script:?}");
         assert_eq!(runs(&replicas), before + 1, "{script:?}");
     }
 }
@@ -87,9 +87,9 @@
         replicas[0].set(script.clone());
         for round in 0..4 {
             let id = format!("s{number}-{round}");
-            let got = send_safe(&fleet, &id).await;
-            assert_eq!(got.status, 200, "{script:?}");
-            assert_eq!(got.body, format!("answer of r1 to {id}"));
+            let response = send_safe(&fleet, &id).await;
+            assert_eq!(response.status, 200, "{script:?}");
+            assert_eq!(response.body, format!("answer of r1 to {id}"));
         }
     }
 }
@@ -99,11 +99,11 @@
     let (fleet, _) = fleet(&[Script::Extra]).await;
     for number in 0..6 {
         let id = format!("n{number}");
-        let got = send_unsafe(&fleet, &id).await;
-        if got.status == 200 {
-            assert_eq!(got.body, format!("answer of r0 to {id}"));
+        let response = send_unsafe(&fleet, &id).await;
+        if response.status == 200 {
+            assert_eq!(response.body, format!("answer of r0 to {id}"));
         } else {
-            assert_eq!(got.status, 502);
+            assert_eq!(response.status, 502);
         }
     }
 }
@@ -111,9 +111,9 @@
 #[actix_rt::test]
 async fn response_without_a_length_ends_with_its_connection() {
     let (fleet, replicas) = fleet(&[Script::Unframed]).await;
-    let got = send_unsafe(&fleet, "one").await;
-    assert_eq!((got.status, got.is_whole), (200, true));
-    assert_eq!(got.body, "answer of r0 to one");
+    let response = send_unsafe(&fleet, "one").await;
+    assert_eq!((response.status, response.is_whole), (200, true));
+    assert_eq!(response.body, "answer of r0 to one");
     let before = replicas[0].accepted.get();
     send_unsafe(&fleet, "two").await;
     assert_eq!(
@@ -127,13 +127,13 @@
 async fn response_before_the_end_of_the_body_does_not_corrupt_the_next_request() {
     let (fleet, replicas) = fleet(&[Script::Early]).await;
     let body = vec![b'x'; 600_000];
-    let got = TestRequest::post("/unsafe/x", "one", body.clone())
+    let response = TestRequest::post("/unsafe/x", "one", body.clone())
         .send(fleet.gateway_address)
         .await;
-    assert_eq!((got.status, got.is_whole), (200, true));
+    assert_eq!((response.status, response.is_whole), (200, true));
     replicas[0].set(Script::Answer);
-    let got = send_unsafe(&fleet, "two").await;
-    assert_eq!(got.body, "answer of r0 to two");
+    let response = send_unsafe(&fleet, "two").await;
+    assert_eq!(response.body, "answer of r0 to two");
     assert_eq!(replicas[0].last().id(), "two");
 }
 
@@ -141,26 +141,26 @@
 async fn declined_request_is_sent_to_another_replica() {
     let (fleet, replicas) = fleet(&[Script::Decline, Script::Answer]).await;
     for number in 0..6 {
-        let got = send_unsafe(&fleet, &format!("d{number}")).await;
-        assert_eq!(got.status, 200);
+        let response = send_unsafe(&fleet, &format!("d{number}")).await;
+        assert_eq!(response.status, 200);
     }
     replicas[0].set(Script::Misdirected);
     for number in 0..6 {
-        let got = send_unsafe(&fleet, &format!("m{number}")).await;
-        assert_eq!(got.status, 200);
+        let response = send_unsafe(&fleet, &format!("m{number}")).await;
+        assert_eq!(response.status, 200);
     }
     replicas[1].set(Script::Decline);
     replicas[0].set(Script::Decline);
-    let got = send_unsafe(&fleet, "all").await;
-    assert_eq!(got.status, 503);
-    let pause: f64 = got.header("retry-after").unwrap().parse().unwrap();
+    let response = send_unsafe(&fleet, "all").await;
+    assert_eq!(response.status, 503);
+    let pause: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!(pause > 0.0);
 }
 
 #[actix_rt::test]
 async fn request_waits_for_capacity_before_it_is_refused() {
     let (fleet, replicas) = fleet(&[Script::Decline, Script::Decline]).await;
-    let asking = send_unsafe(&fleet, "patient");
+    let pending = send_unsafe(&fleet, "patient");
     let making_room = async {
         // Both replicas have declined by then.
         crate::support::wait_until("both replicas got the request", || async {
@@ -169,8 +169,8 @@
         .await;
         replicas[0].set(Script::Answer);
     };
-    let (got, ()) = futures_util::future::join(asking, making_room).await;
-    assert_eq!(got.status, 200);
+    let (response, ()) = futures_util::future::join(pending, making_room).await;
+    assert_eq!(response.status, 200);
 }
 
 #[actix_rt::test]
@@ -196,20 +196,20 @@
 async fn request_is_cancelled_at_the_replica_when_its_caller_disconnects() {
     let (fleet, replicas) = fleet(&[Script::Mute]).await;
     let to = fleet.gateway_address;
-    let asking = actix_rt::spawn(TestRequest::post("/unsafe/x", "one", "body").send(to));
+    let pending = actix_rt::spawn(TestRequest::post("/unsafe/x", "one", "body").send(to));
     crate::support::wait_until("the replica has the request", || async {
         replicas[0].requests() == 1
     })
     .await;
     // Dropping the task closes the caller's connection.
-    asking.abort();
+    pending.abort();
     crate::support::wait_until("the unary request is cancelled", || async {
         replicas[0].closed.get() == 1
     })
     .await;
     replicas[0].set(Script::StreamEndless);
-    let ask = TestRequest::post("/resumable/x", "two", "body");
-    ask.send_and_leave(to).await;
+    let request = TestRequest::post("/resumable/x", "two", "body");
+    request.send_and_disconnect(to).await;
     crate::support::wait_until("the stream is cancelled", || async {
         replicas[0].closed.get() == 2
     })
@@ -219,11 +219,11 @@
 #[actix_rt::test]
 async fn request_at_a_silent_replica_ends_at_its_deadline() {
     let (fleet, replicas) = fleet(&[Script::Mute]).await;
-    let got = TestRequest::get("/safe/x", "one")
+    let response = TestRequest::get("/safe/x", "one")
         .with("luglink-deadline-ms", "1")
         .send(fleet.gateway_address)
         .await;
-    assert!(matches!(got.status, 503 | 504), "{got:?}");
+    assert!(matches!(response.status, 503 | 504), "{response:?}");
     assert!(replicas[0].requests() <= 1);
 }
 
@@ -232,26 +232,26 @@
     let (fleet, replicas) = fleet(&[Script::Mute, Script::Answer]).await;
     for number in 0..6 {
         let id = format!("s{number}");
-        let got = send_safe(&fleet, &id).await;
-        assert_eq!(got.status, 200, "{id}");
-        assert_eq!(got.body, format!("answer of r1 to {id}"));
+        let response = send_safe(&fleet, &id).await;
+        assert_eq!(response.status, 200, "{id}");
+        assert_eq!(response.body, format!("answer of r1 to {id}"));
     }
     // A request that is not repeatable waits for its replica and runs nowhere else.
     replicas[1].set(Script::Mute);
     let before = runs(&replicas);
-    let got = TestRequest::post("/unsafe/x", "u", "body")
+    let response = TestRequest::post("/unsafe/x", "u", "body")
         .with("luglink-deadline-ms", "900")
         .send(fleet.gateway_address)
         .await;
-    assert_eq!(got.status, 504);
+    assert_eq!(response.status, 504);
     assert_eq!(runs(&replicas), before + 1);
     // The route's limit of attempts holds even if all replicas are silent.
     let before = runs(&replicas);
-    let got = TestRequest::get("/safe/x", "both")
+    let response = TestRequest::get("/safe/x", "both")
         .with("luglink-deadline-ms", "1500")
         .send(fleet.gateway_address)
         .await;
-    assert_eq!(got.status, 504);
+    assert_eq!(response.status, 504);
     assert_eq!(runs(&replicas), before + 2);
 }
 
@@ -262,13 +262,13 @@
         assert_eq!(send_safe(&fleet, &format!("s{number}")).await.status, 200);
     }
     replicas[1].set(Script::Fail);
-    let got = send_safe(&fleet, "all").await;
-    assert_eq!((got.status, got.body.as_str()), (500, "oops"));
-    assert_eq!(got.header("luglink-signature"), Some("of-all"));
+    let response = send_safe(&fleet, "all").await;
+    assert_eq!((response.status, response.body.as_str()), (500, "oops"));
+    assert_eq!(response.header("luglink-signature"), Some("of-all"));
     let before = runs(&replicas);
-    let got = send_unsafe(&fleet, "once").await;
-    assert_eq!((got.status, got.body.as_str()), (500, "oops"));
-    assert_eq!(got.header("luglink-signature"), Some("of-once"));
+    let response = send_unsafe(&fleet, "once").await;
+    assert_eq!((response.status, response.body.as_str()), (500, "oops"));
+    assert_eq!(response.header("luglink-signature"), Some("of-once"));
     assert_eq!(runs(&replicas), before + 1);
 }
 
@@ -298,15 +298,15 @@
     replica.started_ms.set(5);
     let fleet = Fleet::start(vec![replica.clone()]).await;
     fleet.configure(&configuration(1)).await;
-    let ask = |id: &str| TestRequest::post("/safe/x", id, "").send(fleet.gateway_address);
-    assert_eq!(ask("before").await.status, 200);
+    let request = |id: &str| TestRequest::post("/safe/x", id, "").send(fleet.gateway_address);
+    assert_eq!(request("before").await.status, 200);
     let closed = replica.closed.get();
     replica.started_ms.set(8);
     wait_until("the previous connection is closed", || async {
         replica.closed.get() > closed
     })
     .await;
-    assert_eq!(ask("after").await.status, 200);
+    assert_eq!(request("after").await.status, 200);
     let metrics = get(fleet.gateway.metrics_address.unwrap(), "/metrics").await;
     assert!(metrics.body.contains("luglink_replica_restarts_total 1"));
 }
--- a/crates/gateway-server/tests/gateway/support/caller.rs
+++ b/crates/gateway-server/tests/gateway/support/caller.rs
@@ -107,7 +107,7 @@
     }
 
     /// Sends the request, waits for the first bytes of the response body, and disconnects.
-    pub async fn send_and_leave(self, to: SocketAddr) -> Bytes {
+    pub async fn send_and_disconnect(self, to: SocketAddr) -> Bytes {
         let mut connection = connect(to, Duration::from_secs(2)).await.unwrap();
         let response = connection.send(self.request()).await.unwrap();
         let mut incoming = response.into_body();
@@ -122,11 +122,14 @@
 
 /// Sends a request as an operator and follows one redirect. The method is POST.
 pub async fn put(to: SocketAddr, path: &str, body: Vec<u8>) -> TestResponse {
-    let got = TestRequest::post(path, "operator", body.clone())
+    let response = TestRequest::post(path, "operator", body.clone())
         .send(to)
         .await;
-    let Some(location) = got.header("location").filter(|_| got.status == 307) else {
-        return got;
+    let Some(location) = response
+        .header("location")
+        .filter(|_| response.status == 307)
+    else {
+        return response;
     };
     let address = location
         .trim_start_matches("http://")
@@ -139,6 +142,6 @@
                 .send(address)
                 .await
         }
-        None => got,
+        None => response,
     }
 }
