--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -132,7 +132,7 @@
     place: u64,
 ) -> Result<(), Refusal> {
     let mut state = gateway.admission.borrow_mut();
-    if state.programs.knows(inbound.draw) {
+    if state.programs.knows(inbound.affinity_hash) {
         return Ok(());
     }
     let now = gateway.now();
--- a/crates/gateway-server/src/attempts.rs
+++ b/crates/gateway-server/src/attempts.rs
@@ -214,8 +214,8 @@
     };
     tracing::info!(
         id = inbound.id,
-        from = %leaving.from,
-        from_ms = milliseconds(leaving.expected.finish()),
+        from = %relocation.from,
+        from_ms = milliseconds(relocation.expected.finish()),
         to = %choice.backend.id,
         to_ms = milliseconds(basis.expected.finish()),
         view_age_ms = milliseconds(basis.view_age),
--- a/crates/gateway-server/src/inbound.rs
+++ b/crates/gateway-server/src/inbound.rs
@@ -190,7 +190,7 @@
         prompt,
         arrived,
         deadline,
-        draw,
+        affinity_hash: draw,
     })
 }
 
--- a/crates/gateway-server/src/move_watch.rs
+++ b/crates/gateway-server/src/move_watch.rs
@@ -291,7 +291,7 @@
             to = %to.id,
             events = self.events,
             waited_ms = milliseconds(waiting.waited),
-            usual_ms = milliseconds(waiting.first_event.usual),
+            usual_ms = milliseconds(waiting.first_event.p90),
             gain_ms = milliseconds(gain),
             left_ms = milliseconds(waiting.left),
             "stream moved to another replica"
@@ -319,7 +319,7 @@
             replica = %current.id,
             reason,
             waited_ms = milliseconds(waiting.waited),
-            usual_ms = milliseconds(waiting.first_event.usual),
+            usual_ms = milliseconds(waiting.first_event.p90),
             left_ms = milliseconds(waiting.left),
             "slow stream not moved"
         );
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -121,7 +121,7 @@
     let known = prepared.place.clone();
     known
         .filter(|id| pool.usable(id).is_some())
-        .or_else(|| pool.home(&inbound.service, inbound.draw))
+        .or_else(|| pool.home(&inbound.service, inbound.affinity_hash))
 }
 
 /// State of a turn whose response head has arrived.
@@ -587,7 +587,7 @@
                 .map(|program| tracing::field::display(&program.name)),
             chain = self.prepared.chain.len(),
             events = self.events,
-            given = reservation.map(|reservation| reservation.given()),
+            given = reservation.map(|reservation| reservation.delivered()),
             resumptions = self.resumptions,
             first_ms = self.wait.delay().map(milliseconds),
             ms = milliseconds(self.inbound.arrived.elapsed()),
--- a/crates/gateway-server/tests/gateway/moves.rs
+++ b/crates/gateway-server/tests/gateway/moves.rs
@@ -158,7 +158,7 @@
     let response = request("/resumable/x", "single").send(to).await;
     assert_eq!((response.status, runs_of(&replicas, "single")), (504, 1));
     for replica in &replicas {
-        replica.set(Script::StreamSilent(2));
+        replica.set_script(Script::StreamSilent(2));
     }
     for (path, id, allowed) in [("/movable/x", "two", 2), ("/resumable/x", "one", 1)] {
         let response = request(path, id).send(to).await;
--- a/crates/gateway-server/tests/gateway/replicas.rs
+++ b/crates/gateway-server/tests/gateway/replicas.rs
@@ -67,7 +67,7 @@
     ];
     for (number, script) in scripts.iter().enumerate() {
         for replica in &replicas {
-            replica.set(script.clone());
+            replica.set_script(script.clone());
         }
         let before = runs(&replicas);
         let response = send_unsafe(&fleet, &format!("u{number}")).await;
@@ -84,7 +84,7 @@
         .iter()
         .enumerate()
     {
-        replicas[0].set(script.clone());
+        replicas[0].set_script(script.clone());
         for round in 0..4 {
             let id = format!("s{number}-{round}");
             let response = send_safe(&fleet, &id).await;
@@ -144,7 +144,7 @@
         let response = send_unsafe(&fleet, &format!("d{number}")).await;
         assert_eq!(response.status, 200);
     }
-    replicas[0].set(Script::Misdirected);
+    replicas[0].set_script(Script::Misdirected);
     for number in 0..6 {
         let response = send_unsafe(&fleet, &format!("m{number}")).await;
         assert_eq!(response.status, 200);
@@ -167,7 +167,7 @@
             replicas.iter().all(|replica| replica.requests() > 0)
         })
         .await;
-        replicas[0].set(Script::Answer);
+        replicas[0].set_script(Script::Answer);
     };
     let (response, ()) = futures_util::future::join(pending, making_room).await;
     assert_eq!(response.status, 200);
