--- a/crates/gateway-server/src/attempts.rs
+++ b/crates/gateway-server/src/attempts.rs
@@ -209,7 +209,7 @@
 }
 
 fn log_relocation(inbound: &InboundRequest, choice: &Choice, basis: &ChoiceBasis) {
-    let Some(leaving) = &basis.leaving else {
+    let Some(relocation) = &basis.relocation else {
         return;
     };
     tracing::info!(
--- a/crates/gateway-server/src/exchange.rs
+++ b/crates/gateway-server/src/exchange.rs
@@ -193,7 +193,7 @@
 pub(crate) fn connection_limit(gateway: &Gateway, service: &str) -> u32 {
     let limit = gateway.with_service(service, |service| service.connection_limit);
     let limit = limit.unwrap_or(MIN_CONNECTIONS);
-    let share = f64::from(limit) * CONNECTION_RATIO / f64::from(gateway.gateways.get().max(1));
+    let share = f64::from(limit) * CONNECTION_RATIO / f64::from(gateway.gateway_count.get().max(1));
     (share as u32).max(MIN_CONNECTIONS)
 }
 
--- a/crates/gateway-server/src/inbound.rs
+++ b/crates/gateway-server/src/inbound.rs
@@ -66,7 +66,7 @@
     pub(crate) deadline: Instant,
     /// Hash of the program's name, which selects the same replicas for all its turns; a
     /// pseudo-random number for requests without a program.
-    pub(crate) draw: u64,
+    pub(crate) affinity_hash: u64,
 }
 
 impl InboundRequest {
@@ -163,7 +163,7 @@
     let program_hash = program
         .as_ref()
         .map(|program| xxhash_rust::xxh3::xxh3_64(program.name.0.as_bytes()));
-    let draw = program_hash.unwrap_or_else(|| gateway.draw());
+    let affinity_hash = program_hash.unwrap_or_else(|| gateway.draw());
     // All turns of a program go to the same service to reuse its prompt caches. Other requests are
     // split individually.
     let share = match (route.kind, program_hash) {
@@ -190,7 +190,7 @@
         prompt,
         arrived,
         deadline,
-        affinity_hash: draw,
+        affinity_hash,
     })
 }
 
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -49,7 +49,7 @@
     in_flight: InFlight,
 ) -> Result<Response<Body>, Refusal> {
     refuse_unreachable_deadline(gateway, &inbound)?;
-    let prepared = program::begin(gateway, &inbound).await?;
+    let prepared = program::prepare_turn(gateway, &inbound).await?;
     refuse_unreachable_deadline(gateway, &inbound)?;
     let overrides = SendOverrides {
         body: prepared.prompt.clone(),
@@ -118,7 +118,7 @@
     prepared: &PreparedTurn,
 ) -> Option<BackendId> {
     let pool = gateway.pool.borrow();
-    let known = prepared.place.clone();
+    let known = prepared.preferred_replica.clone();
     known
         .filter(|id| pool.usable(id).is_some())
         .or_else(|| pool.home(&inbound.service, inbound.affinity_hash))
@@ -389,7 +389,7 @@
         self.move_watch.note_event(&self.inbound);
         self.note_pause(source);
         if let Some(reservation) = &self.prepared.reservation {
-            reservation.give(self.tokens_per_event);
+            reservation.add_delivered(self.tokens_per_event);
         }
         if self.inbound.route.keeps_history {
             self.output.extend_from_slice(data);
--- a/crates/gateway-server/tests/gateway/held_bytes.rs
+++ b/crates/gateway-server/tests/gateway/held_bytes.rs
@@ -121,7 +121,7 @@
         held(&fleet).await == 0.0
     })
     .await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     wait_until("the gateway serves again", || async {
         let response = TestRequest::get("/safe/x", "after").send(fleet.gateway_address);
         response.await.status == 200
--- a/crates/gateway-server/tests/gateway/moves.rs
+++ b/crates/gateway-server/tests/gateway/moves.rs
@@ -194,7 +194,7 @@
         let request = TestRequest::get("/safe/x", &format!("s{number}"));
         assert_eq!(request.send(to).await.status, 200);
     }
-    replicas[0].set(Script::Mute);
+    replicas[0].set_script(Script::Mute);
     request_safe_until_sent_to(&fleet, &replicas[0]).await;
     let early = metric(&fleet, "luglink_hedges_total{when=\"early\"}").await;
     assert!(early >= 1.0, "{early}");
@@ -208,7 +208,7 @@
         let request = TestRequest::get("/safe/x", &format!("s{number}"));
         assert_eq!(request.send(to).await.status, 200);
     }
-    replicas[0].set(Script::Mute);
+    replicas[0].set_script(Script::Mute);
     request_safe_until_sent_to(&fleet, &replicas[0]).await;
     let early = metric(&fleet, "luglink_hedges_total{when=\"early\"}").await;
     assert_eq!(early, 0.0);
--- a/crates/gateway-server/tests/gateway/replicas.rs
+++ b/crates/gateway-server/tests/gateway/replicas.rs
@@ -131,7 +131,7 @@
         .send(fleet.gateway_address)
         .await;
     assert_eq!((response.status, response.is_whole), (200, true));
-    replicas[0].set(Script::Answer);
+    replicas[0].set_script(Script::Answer);
     let response = send_unsafe(&fleet, "two").await;
     assert_eq!(response.body, "answer of r0 to two");
     assert_eq!(replicas[0].last().id(), "two");
@@ -149,8 +149,8 @@
         let response = send_unsafe(&fleet, &format!("m{number}")).await;
         assert_eq!(response.status, 200);
     }
-    replicas[1].set(Script::Decline);
-    replicas[0].set(Script::Decline);
+    replicas[1].set_script(Script::Decline);
+    replicas[0].set_script(Script::Decline);
     let response = send_unsafe(&fleet, "all").await;
     assert_eq!(response.status, 503);
     let pause: f64 = response.header("retry-after").unwrap().parse().unwrap();
@@ -207,7 +207,7 @@
         replicas[0].closed.get() == 1
     })
     .await;
-    replicas[0].set(Script::StreamEndless);
+    replicas[0].set_script(Script::StreamEndless);
     let request = TestRequest::post("/resumable/x", "two", "body");
     request.send_and_disconnect(to).await;
     crate::support::wait_until("the stream is cancelled", || async {
@@ -237,7 +237,7 @@
         assert_eq!(response.body, format!("answer of r1 to {id}"));
     }
     // A request that is not repeatable waits for its replica and runs nowhere else.
-    replicas[1].set(Script::Mute);
+    replicas[1].set_script(Script::Mute);
     let before = runs(&replicas);
     let response = TestRequest::post("/unsafe/x", "u", "body")
         .with("luglink-deadline-ms", "900")
@@ -261,7 +261,7 @@
     for number in 0..6 {
         assert_eq!(send_safe(&fleet, &format!("s{number}")).await.status, 200);
     }
-    replicas[1].set(Script::Fail);
+    replicas[1].set_script(Script::Fail);
     let response = send_safe(&fleet, "all").await;
     assert_eq!((response.status, response.body.as_str()), (500, "oops"));
     assert_eq!(response.header("luglink-signature"), Some("of-all"));
