--- a/crates/gateway-server/src/proxy.rs
+++ b/crates/gateway-server/src/proxy.rs
@@ -95,7 +95,9 @@
 ) -> Result<Response<Body>, Refusal> {
     let in_force = wait_for_configuration(gateway, &request)
         .await
-        .ok_or(Refusal::recovering("no configuration has been received"))?;
+        .ok_or(Refusal::recovering(
+            "the current configuration is not known yet",
+        ))?;
     let inbound = inbound::read(gateway, &in_force, request).await?;
     drop(in_force);
     let watch = Rc::clone(&inbound.watch);
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -206,7 +206,7 @@
     Silent,
     CallerGone,
     OutOfTime,
-    /// A check is due whether the stream moves to another replica.
+    /// The move check of the stream is due.
     CheckMove,
     /// The request is aborted because of the memory limit.
     Aborted(HeldBound),
