--- a/crates/gateway-server/src/exchange.rs
+++ b/crates/gateway-server/src/exchange.rs
@@ -21,8 +21,9 @@
 /// Lower bound of the connections that one gateway may open to a replica.
 const MIN_CONNECTIONS: u32 = 2;
 
-/// Lower bound of the timeout for acquiring a connection, after which another replica is tried.
-/// Requests with more time left wait up to an eighth of it.
+/// Minimum timeout for acquiring a connection, after which another replica is tried. The timeout
+/// is an eighth of the request's remaining time if that is longer, and never exceeds the remaining
+/// time.
 const MIN_CONNECTION_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Maximum number of connections tried when reused ones turn out to be closed.
@@ -215,15 +216,15 @@
                 error = %source,
                 "connection broke after the request was sent"
             );
-
             Err(Failure::Broken)
         }
         Err(_) => Err(Failure::NoAnswerInTime),
     }
 }
 
-/// Rejects a response that declines the request, does not name it, or cannot be passed on. Except
-/// for declined requests, the connection is closed.
+/// Rejects a response that declines the request, names another request or none, is a success
+/// without a signature, or has a content encoding. The connection of a rejected response is reused
+/// only if the request was declined.
 fn validate_head(
     gateway: &Gateway,
     inbound: &InboundRequest,
--- a/crates/gateway-server/src/held.rs
+++ b/crates/gateway-server/src/held.rs
@@ -61,7 +61,7 @@
                 announced,
                 held,
                 reason,
-                "request refused: its body exceeds the held-bytes limit"
+                "request refused: its body would exceed a limit of held bytes"
             );
         })?;
         let request = Rc::new(HeldRequest {
@@ -166,8 +166,8 @@
         grown.inspect_err(|bound| self.note_aborted(bound.as_str()))
     }
 
-    /// Sets whether the request may be aborted. It may not while a replica may be running it
-    /// without the caller having received any of the response.
+    /// Sets whether the request may be aborted. It may not while a replica may be running it and
+    /// the caller has received nothing of the response, nor while its turn is being stored.
     pub(crate) fn set_can_be_cut(&self, can_be_cut: bool) {
         let mut bytes = self.ledger.bytes.borrow_mut();
         bytes.set_can_be_cut(self.holder, can_be_cut);
--- a/crates/gateway-server/src/proxy.rs
+++ b/crates/gateway-server/src/proxy.rs
@@ -46,7 +46,7 @@
                     .map(|active| active.version),
                 list_age_ms,
                 ms = milliseconds(arrived.elapsed()),
-                "request refused"
+                "refused"
             );
             refusal.into_response(&*gateway.dialect)
         }
@@ -64,8 +64,10 @@
     Ok(response)
 }
 
-/// Waits for the configuration and a quorum of the turn stores. A gateway that has just started
-/// gets both shortly; refusing requests until then would use up their callers' few retries.
+/// Waits until the current configuration is known and a quorum of the turn stores is available. A
+/// gateway that has just started gets both shortly; refusing requests until then would use up
+/// their callers' few retries. After [`max_startup_wait`], returns the configuration even without
+/// a quorum, or `None` if the current one is still not known.
 async fn wait_for_configuration(
     gateway: &Gateway,
     request: &Request<Incoming>,
@@ -127,7 +129,7 @@
         version = inbound.version,
         status = response.status().as_u16(),
         ms = milliseconds(elapsed),
-        "request answered"
+        "answered"
     );
     Ok(response)
 }
--- a/crates/gateway-server/src/refusal.rs
+++ b/crates/gateway-server/src/refusal.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Creates a refusal of a request that has not run and may be retried.
+    /// Creates a refusal of a request that has not run and will not run. The caller may retry it.
     pub(crate) fn not_run(detail: &'static str) -> Self {
         Self {
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Creates a refusal of a request that has not run and may be retried after `pause`.
+    /// Creates a refusal of a request that has not run and will not run. The caller may retry it
+    /// after `pause`.
     pub(crate) fn not_run_retry_after(detail: &'static str, pause: Duration) -> Self {
         Self {
             retry_after: Some(pause),
@@ -47,13 +48,15 @@
         }
     }
 
-    /// Creates a refusal of a request that does not fit into the memory limit. It has not run.
+    /// Creates a refusal of a request that does not fit into the memory left for requests. It has
+    /// not run and will not run.
     pub(crate) fn memory_exhausted() -> Self {
         Self::not_run("the gateway has no memory left for the request")
     }
 
-    /// Creates a refusal of a request that has not run because processes that the gateway depends
-    /// on are unavailable. The caller may retry once they are likely to have recovered.
+    /// Creates a refusal of a request that has not run and will not run because processes that the
+    /// gateway depends on are unavailable. The caller may retry once they are likely to have
+    /// recovered.
     pub(crate) fn recovering(detail: &'static str) -> Self {
         Self {
             retry_after: Some(RECOVERY_RETRY_AFTER),
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -222,7 +222,7 @@
     attempts: Attempts,
     move_watch: MoveWatch,
     work: Option<Work>,
-    /// Prediction for the replica.
+    /// Prediction for the replica, kept only if the request was sent once.
     expected: Option<Expected>,
     /// Arrival time of the last event since the stream began or was last resumed.
     last_event_at: Option<Instant>,
@@ -467,8 +467,8 @@
     }
 
     /// Resumes a broken stream after its last event, if the route allows it: at the same replica,
-    /// or at another one if that replica is gone. A replica that is still there counts as having
-    /// run the request, so the stream does not go to another one.
+    /// or at another one if that replica is unreachable or no longer listed. A replica that still
+    /// exists counts as having run the request, so the stream does not continue at another one.
     async fn resume(
         &mut self,
         broken: Source,
@@ -591,7 +591,7 @@
             resumptions = self.resumptions,
             first_ms = self.wait.delay().map(milliseconds),
             ms = milliseconds(self.inbound.arrived.elapsed()),
-            "stream ended"
+            "stream"
         );
         end
     }
--- a/crates/gateway-server/tests/gateway/replicas.rs
+++ b/crates/gateway-server/tests/gateway/replicas.rs
@@ -158,12 +158,12 @@
 }
 
 #[actix_rt::test]
-async fn request_waits_for_capacity_before_it_is_refused() {
+async fn request_waits_for_capacity_instead_of_being_refused() {
     let (fleet, replicas) = fleet(&[Script::Decline, Script::Decline]).await;
     let pending = send_unsafe(&fleet, "patient");
     let making_room = async {
-        // Both replicas have declined by then.
-        crate::support::wait_until("both replicas got the request", || async {
+        // A replica that has received the request has declined it.
+        crate::support::wait_until("both replicas received the request", || async {
             replicas.iter().all(|replica| replica.requests() > 0)
         })
         .await;
--- a/crates/gateway-server/tests/gateway/support/replica.rs
+++ b/crates/gateway-server/tests/gateway/support/replica.rs
@@ -24,7 +24,7 @@
     Fail,
     /// Declines with status 503 and the header for requests that were not run.
     Decline,
-    /// Sends status 421.
+    /// Sends status 421, as if another replica had its address.
     Misdirected,
     /// Declares a longer body than it sends, and closes.
     Cut,
@@ -38,7 +38,7 @@
     Encoded,
     /// Sends a response without a length, and closes.
     Unframed,
-    /// Sends a response before it reads the body of the request.
+    /// Sends a response before it reads the body of the request, then reads the body.
     Early,
     /// Sends bytes that are not HTTP.
     Noise,
@@ -95,7 +95,8 @@
     /// it closes them itself.
     pub closed: Rc<Cell<u32>>,
     pub accepted: Rc<Cell<u32>>,
-    /// Number of running requests in its reports; reports are not answered if not set.
+    /// Number of running requests, of four slots, in its reports. Without it, the replica does not
+    /// answer requests for reports.
     pub running: Rc<Cell<Option<u32>>>,
 }
 
