--- a/crates/gateway-server/src/attempts.rs
+++ b/crates/gateway-server/src/attempts.rs
@@ -223,8 +223,8 @@
     );
 }
 
-/// Chooses a replica that has not been tried. If only replicas without capacity are left, the
-/// request pauses and tries them again, because a refusal uses up one of the caller's few retries.
+/// Chooses a replica that has not been tried. If only replicas without capacity are left, pauses
+/// and tries them again, because a refusal would use up one of the caller's few retries.
 pub(crate) async fn next_replica(
     gateway: &Gateway,
     inbound: &InboundRequest,
--- a/crates/gateway-server/src/exchange.rs
+++ b/crates/gateway-server/src/exchange.rs
@@ -18,7 +18,7 @@
 /// gateways that know of fewer gateways than exist.
 const CONNECTION_RATIO: f64 = 0.85;
 
-/// Lower bound of the connections that one gateway may open to a replica.
+/// Lower bound of one gateway's connection limit per replica.
 const MIN_CONNECTIONS: u32 = 2;
 
 /// Minimum timeout for acquiring a connection, after which another replica is tried. The timeout
@@ -29,14 +29,15 @@
 /// Maximum number of connections tried when reused ones turn out to be closed.
 const MAX_CONNECTION_ATTEMPTS: u32 = 4;
 
-/// Interval at which a missing response head is reported against the replica. A healthy replica
-/// sends the head with the first token at the latest, within tens of milliseconds.
+/// Interval at which a replica that has not sent the response head is reported to the pool as
+/// stalled. A healthy replica sends the head with the first token at the latest, within tens of
+/// milliseconds.
 const STALL_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Maximum number of stall reports that one send makes against its replica.
+/// Maximum number of stall reports per send on one connection.
 const MAX_STALL_REPORTS: u32 = 4;
 
-/// Guard that counts a request in the pool as in flight at a replica until it is dropped.
+/// Guard that counts a request as in flight at a replica until the guard is dropped.
 pub(crate) struct ReplicaGuard {
     gateway: Rc<Gateway>,
     id: BackendId,
@@ -101,7 +102,7 @@
 }
 
 fn note_failure(gateway: &Gateway, backend: &Backend, failure: Failure) {
-    // A replica without capacity is not faulty; only this request skips it.
+    // A replica without capacity is healthy; only this request skips it.
     if failure.is_full() || failure.outcome() == SendOutcome::Declined {
         return;
     }
@@ -167,8 +168,8 @@
     }
 }
 
-/// Reports a replica as troubled at every interval in which the response head is missing, so that
-/// other requests avoid it long before this one reaches its deadline.
+/// Reports a stalled replica to the pool at every [`STALL_REPORT_INTERVAL`] without a response
+/// head, so that other requests avoid it long before this one reaches its deadline.
 async fn report_stalls(gateway: &Gateway, backend: &Backend) {
     for _ in 0..MAX_STALL_REPORTS {
         actix_rt::time::sleep(STALL_REPORT_INTERVAL).await;
--- a/crates/gateway-server/src/hedging.rs
+++ b/crates/gateway-server/src/hedging.rs
@@ -18,7 +18,7 @@
     early_delay: Option<Duration>,
     /// Time already waited for an early hedge that the budget did not allow.
     waited: Duration,
-    /// True if early hedging is on and this request's response time is recorded for later requests.
+    /// True if early hedging is on. The request's response time is then recorded for later requests.
     uses_learned_delay: bool,
 }
 
--- a/crates/gateway-server/src/held.rs
+++ b/crates/gateway-server/src/held.rs
@@ -153,7 +153,7 @@
     /// Sets the size of the buffered part of the response.
     ///
     /// # Errors
-    /// Returns the bound for which the request is aborted and must release its buffers.
+    /// Returns the exceeded bound. The request is aborted and must release its buffers.
     pub(crate) fn set_answer(&self, bytes: u64) -> Result<(), HeldBound> {
         self.resize(self.request_bytes.get().saturating_add(bytes))
     }
--- a/crates/gateway-server/src/move_watch.rs
+++ b/crates/gateway-server/src/move_watch.rs
@@ -24,12 +24,12 @@
     /// The head of the response has arrived.
     Answered(Box<Answer>),
     Failed(Failure),
-    /// The send was cancelled, its connection is closed, and the request goes to this replica.
+    /// The send was cancelled and its connection closed. The request moves to this replica.
     MovedTo(Backend),
 }
 
-/// Wait times of one stream, by which it decides on moves. Inactive on routes whose requests do
-/// not move.
+/// Records the wait times of one stream and decides whether it moves. Inactive on routes whose
+/// requests do not move.
 pub(crate) struct MoveWatch {
     gateway: Rc<Gateway>,
     route: Rc<Route>,
--- a/crates/gateway-server/src/refusal.rs
+++ b/crates/gateway-server/src/refusal.rs
@@ -5,7 +5,7 @@
 use luglink_http::{Body, full_body};
 use std::time::Duration;
 
-/// Error response of a request that gets no response from a replica.
+/// Error response that the gateway sends in place of a replica's response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     pub(crate) status: StatusCode,
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -25,11 +25,11 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Timeout after which a stream is aborted because its caller does not read. Replicas drop a
-/// response that stays unread for some seconds; aborting earlier frees them for other requests.
+/// Time without a read by the caller after which its stream is aborted. Replicas drop a response
+/// that stays unread for some seconds; aborting earlier frees them for other requests.
 const UNREAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// End reason of a stream whose caller does not read.
+/// End reason of a stream whose caller does not read it, used in logs and metrics.
 const CALLER_STALLED: &str = "caller_stalled";
 
 /// Maximum number of times that a broken stream is resumed.
@@ -38,9 +38,9 @@
 /// Delay before a broken stream is resumed at the same replica.
 const RESUMPTION_DELAY: Duration = Duration::from_millis(10);
 
-/// Interval of silence at which a replica is repeatedly reported as troubled. Shorter gaps also
-/// occur at healthy replicas, when a prompt is processed again.
-const SILENCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which a replica that sends no data is reported to the pool as stalled. Shorter gaps
+/// also occur at healthy replicas, when a prompt is processed again.
+const DATA_STALL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Serves a streaming request. A separate task forwards the response's events.
 pub(crate) async fn serve(
@@ -189,7 +189,7 @@
     tokens.unwrap_or(1).max(1)
 }
 
-/// Response of the replica from which events are read.
+/// Response body from which events are read, with its connection and its replica.
 struct Source {
     incoming: Incoming,
     headers: HeaderMap,
@@ -198,15 +198,15 @@
     _replica_guard: ReplicaGuard,
 }
 
-/// Next thing that happens to a stream.
+/// Outcome of waiting for the replica, the caller or a timer of a stream.
 enum Step {
     Data(Bytes),
     End,
     Broken(&'static str),
-    Silent,
-    CallerGone,
+    ReplicaStalled,
+    CallerDisconnected,
     OutOfTime,
-    /// The move check of the stream is due.
+    /// It is time to check whether the stream moves to another replica.
     CheckMove,
     /// The request is aborted because of the memory limit.
     Aborted(HeldBound),
@@ -272,22 +272,22 @@
                     Ok(same_or_next) => source = same_or_next,
                     Err(reason) => break self.log_end(reason),
                 },
-                Step::Silent => self.note_silence(&source),
-                Step::CallerGone => break self.log_end("caller_gone"),
+                Step::ReplicaStalled => self.report_stall(&source),
+                Step::CallerDisconnected => break self.log_end("caller_gone"),
                 Step::OutOfTime => break self.log_end("out_of_time"),
                 Step::Aborted(bound) => break self.log_end(bound.as_str()),
             }
         };
         // Dropping the sender aborts the response, and dropping the source closes the connection to
         // the replica, which cancels the request there.
-        tracing::debug!(id = self.inbound.id, end, "stream aborted");
+        tracing::debug!(id = self.inbound.id, end, "stream ended before completion");
     }
 
     async fn next_step(&self, source: &mut Source, sender: &BodySender) -> Step {
         let left = self.inbound.remaining();
         tokio::select! {
             biased;
-            () = sender.gone() => Step::CallerGone,
+            () = sender.gone() => Step::CallerDisconnected,
             bound = self.inbound.held.wait_for_abort() => Step::Aborted(bound),
             frame = source.incoming.frame() => match frame {
                 Some(Ok(frame)) => Step::Data(frame.into_data().unwrap_or_default()),
@@ -298,19 +298,19 @@
                 None => Step::End,
             },
             () = self.move_watch.wait_for_check() => Step::CheckMove,
-            () = actix_rt::time::sleep(left.min(SILENCE_INTERVAL)) => {
+            () = actix_rt::time::sleep(left.min(DATA_STALL_INTERVAL)) => {
                 if self.inbound.remaining().is_zero() {
                     Step::OutOfTime
                 } else {
-                    Step::Silent
+                    Step::ReplicaStalled
                 }
             }
         }
     }
 
-    /// Reports the replica as troubled, so that other requests avoid it. Does nothing where
-    /// replicas are not chosen by expected finish.
-    fn note_silence(&self, source: &Source) {
+    /// Reports the replica to the pool as stalled, so that other requests avoid it. Does nothing
+    /// where replicas are not chosen by expected finish.
+    fn report_stall(&self, source: &Source) {
         if self.work.is_none() {
             return;
         }
@@ -512,8 +512,8 @@
         resumed.map_err(|_| "not_resumed_elsewhere")
     }
 
-    /// Moves the stream to another replica if its own has been silent for too long. Otherwise
-    /// returns the same source.
+    /// Moves the stream to another replica if the current one has sent nothing for too long.
+    /// Otherwise returns the same source.
     async fn check_move(
         &mut self,
         source: Source,
--- a/crates/gateway-server/src/unary.rs
+++ b/crates/gateway-server/src/unary.rs
@@ -35,8 +35,8 @@
     (backend, result)
 }
 
-/// Records a response as a success or failure of its replica, unless the replica has restarted
-/// since.
+/// Records a response as a success or a server error of its replica, unless the replica has
+/// restarted since.
 fn note_answer(gateway: &Gateway, backend: &Backend, response: &Response<Body>, time: Duration) {
     let mut pool = gateway.pool.borrow_mut();
     if pool.has_restarted(backend) {
--- a/crates/gateway-server/tests/gateway/moves.rs
+++ b/crates/gateway-server/tests/gateway/moves.rs
@@ -1,5 +1,5 @@
-//! Streams whose replica is silent move to another replica where the route allows it, and only
-//! there. Also covers early hedging and callers that disconnect.
+//! Streams whose replica stalls move to another replica if the route allows it, and only then. Also
+//! covers early hedging and callers that disconnect.
 
 use crate::support::caller::{TestRequest, TestResponse, get};
 use crate::support::replica::{Replica, Script, event};
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum number of rounds until a request is sent to a given replica of two.
-const MAX_REQUESTS: usize = 40;
+const MAX_ROUNDS: usize = 40;
 
 /// Time within which a stream must be complete, including a move.
 const MAX_MOVED_TIME: Duration = Duration::from_secs(1);
@@ -59,7 +59,7 @@
 /// Requests pairs of concurrent streams, which go to different replicas, until one was sent to
 /// `replica`. Each must be complete within [`MAX_MOVED_TIME`]. Returns the response to that one.
 async fn request_until_sent_to(fleet: &Fleet, replica: &Replica) -> TestResponse {
-    for number in 0..MAX_REQUESTS {
+    for number in 0..MAX_ROUNDS {
         let ids = [format!("a{number}"), format!("b{number}")];
         let requests = ids
             .iter()
@@ -78,7 +78,7 @@
 
 /// Sends pairs of concurrent unary requests until one was sent to `replica` and cancelled there.
 async fn request_safe_until_sent_to(fleet: &Fleet, replica: &Replica) {
-    wait_until("a request reached the silent replica", || async {
+    wait_until("a request is cancelled at the stalled replica", || async {
         let requests = ["late-a", "late-b"].map(|id| TestRequest::get("/safe/x", id));
         let answers = join_all(requests.map(|request| request.send(fleet.gateway_address))).await;
         assert!(
@@ -98,7 +98,7 @@
     seen.sum()
 }
 
-/// Returns the number of requests that the gateway cancelled at a silent replica.
+/// Returns the number of requests that the gateway cancelled at a stalled replica.
 fn cancelled_runs(replica: &Replica) -> usize {
     replica.closed.get() as usize
 }
@@ -113,7 +113,7 @@
 }
 
 #[actix_rt::test]
-async fn stream_at_a_silent_replica_moves_to_another_one() {
+async fn stream_at_a_stalled_replica_moves_to_another_one() {
     let (fleet, replicas) = fleet(&[Script::Mute, Script::Stream]).await;
     let response = request_until_sent_to(&fleet, &replicas[0]).await;
     let signature = response.header("luglink-signature").unwrap();
@@ -126,7 +126,7 @@
 
 #[actix_rt::test]
 async fn stream_that_stalls_resumes_elsewhere_after_its_last_event() {
-    let (fleet, replicas) = fleet(&[Script::StreamSilent(2), Script::Stream]).await;
+    let (fleet, replicas) = fleet(&[Script::StreamStalled(2), Script::Stream]).await;
     let response = request_until_sent_to(&fleet, &replicas[0]).await;
     let signature = response.header("luglink-signature").unwrap();
     assert!(signature.ends_with("-by-r0"), "{signature}");
@@ -136,8 +136,8 @@
 
 #[actix_rt::test]
 async fn moved_stream_skips_a_replica_that_declines() {
-    for silent in [Script::Mute, Script::StreamSilent(2)] {
-        let scripts = [silent, Script::Decline, Script::Stream];
+    for stalled in [Script::Mute, Script::StreamStalled(2)] {
+        let scripts = [stalled, Script::Decline, Script::Stream];
         let (fleet, replicas) = fleet(&scripts).await;
         request_until_sent_to(&fleet, &replicas[0]).await;
     }
@@ -158,7 +158,7 @@
     let response = request("/resumable/x", "single").send(to).await;
     assert_eq!((response.status, runs_of(&replicas, "single")), (504, 1));
     for replica in &replicas {
-        replica.set_script(Script::StreamSilent(2));
+        replica.set_script(Script::StreamStalled(2));
     }
     for (path, id, allowed) in [("/movable/x", "two", 2), ("/resumable/x", "one", 1)] {
         let response = request(path, id).send(to).await;
--- a/crates/gateway-server/tests/gateway/replicas.rs
+++ b/crates/gateway-server/tests/gateway/replicas.rs
@@ -161,7 +161,7 @@
 async fn request_waits_for_capacity_instead_of_being_refused() {
     let (fleet, replicas) = fleet(&[Script::Decline, Script::Decline]).await;
     let pending = send_unsafe(&fleet, "patient");
-    let making_room = async {
+    let restoring_capacity = async {
         // A replica that has received the request has declined it.
         crate::support::wait_until("both replicas received the request", || async {
             replicas.iter().all(|replica| replica.requests() > 0)
@@ -169,7 +169,7 @@
         .await;
         replicas[0].set_script(Script::Answer);
     };
-    let (response, ()) = futures_util::future::join(pending, making_room).await;
+    let (response, ()) = futures_util::future::join(pending, restoring_capacity).await;
     assert_eq!(response.status, 200);
 }
 
@@ -217,7 +217,7 @@
 }
 
 #[actix_rt::test]
-async fn request_at_a_silent_replica_ends_at_its_deadline() {
+async fn request_at_a_stalled_replica_ends_at_its_deadline() {
     let (fleet, replicas) = fleet(&[Script::Mute]).await;
     let response = TestRequest::get("/safe/x", "one")
         .with("luglink-deadline-ms", "1")
@@ -228,7 +228,7 @@
 }
 
 #[actix_rt::test]
-async fn repeatable_request_at_a_silent_replica_is_hedged() {
+async fn repeatable_request_at_a_stalled_replica_is_hedged() {
     let (fleet, replicas) = fleet(&[Script::Mute, Script::Answer]).await;
     for number in 0..6 {
         let id = format!("s{number}");
@@ -245,7 +245,7 @@
         .await;
     assert_eq!(response.status, 504);
     assert_eq!(runs(&replicas), before + 1);
-    // The route's limit of attempts holds even if all replicas are silent.
+    // The route's limit of attempts holds even if all replicas stall.
     let before = runs(&replicas);
     let response = TestRequest::get("/safe/x", "both")
         .with("luglink-deadline-ms", "1500")
--- a/crates/gateway-server/tests/gateway/support/replica.rs
+++ b/crates/gateway-server/tests/gateway/support/replica.rs
@@ -55,7 +55,7 @@
     /// Sends five events, starting after the last event named by the request.
     Stream,
     /// Sends this many complete events, then keeps the connection open.
-    StreamSilent(usize),
+    StreamStalled(usize),
     /// Sends an endless stream of events.
     StreamEndless,
     /// Sends an endless stream of long events, as fast as it is read. Requests to `/safe/` get a
@@ -139,8 +139,8 @@
     async fn serve(self, mut stream: TcpStream) {
         let mut buffer = Vec::new();
         loop {
-            let is_early = matches!(*self.script.borrow(), Script::Early | Script::Unread);
-            let Some(seen) = read_request(&mut stream, &mut buffer, is_early).await else {
+            let skips_body = matches!(*self.script.borrow(), Script::Early | Script::Unread);
+            let Some(seen) = read_request(&mut stream, &mut buffer, skips_body).await else {
                 self.closed.set(self.closed.get() + 1);
                 return;
             };
@@ -248,8 +248,8 @@
                 let end = Some((*events, "da", "0\r\n\r\n"));
                 return self.stream(seen, stream, end).await;
             }
-            Script::StreamSilent(events) => {
-                return self.stream_silent(seen, stream, *events).await;
+            Script::StreamStalled(events) => {
+                return self.stream_stalled(seen, stream, *events).await;
             }
             Script::Stream => return self.stream(seen, stream, None).await,
             Script::Flood if seen.target.contains("/safe/") => (self.whole(&id, &body), true),
@@ -299,7 +299,7 @@
         stream.write_all(text.as_bytes()).await.is_ok()
     }
 
-    async fn stream_silent(
+    async fn stream_stalled(
         &self,
         seen: &ReceivedRequest,
         stream: &mut TcpStream,
@@ -390,7 +390,7 @@
 async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
-    is_early: bool,
+    skips_body: bool,
 ) -> Option<ReceivedRequest> {
     let end = loop {
         if let Some(end) = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
@@ -412,7 +412,7 @@
         headers,
         body: Vec::new(),
     };
-    if !is_early {
+    if !skips_body {
         let length = content_length(&seen);
         while buffer.len() < length {
             if !fill(stream, buffer).await {
