--- a/crates/fleet/src/backend.rs
+++ b/crates/fleet/src/backend.rs
@@ -1,4 +1,4 @@
-//! Replicas as the platform's list names them.
+//! Replicas as the platform lists them.
 
 use crate::incarnation::Incarnation;
 use serde::{Deserialize, Serialize};
@@ -6,12 +6,13 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::{Xxh3, xxh3_64, xxh3_64_with_seed};
 
-/// Names a replica. Most starts of one have another identifier; see [`Incarnation`] for the rest.
+/// Identifier of a replica. A replica usually gets a new one when it restarts; [`Incarnation`]
+/// distinguishes restarts under the same identifier.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BackendId(pub String);
 
 impl BackendId {
-    /// Spreads identifiers evenly over 64 bits, the same in every process.
+    /// Returns a 64-bit hash that is the same in every process and build.
     #[must_use]
     pub fn spread(&self) -> u64 {
         xxh3_64(self.0.as_bytes())
@@ -27,26 +28,27 @@
 /// A replica of a service.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Backend {
-    /// Names the replica.
+    /// Identifier.
     pub id: BackendId,
-    /// The service it belongs to.
+    /// Service that the replica belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving and must get no new work.
+    /// True if the replica is shutting down and must not get new requests.
     pub draining: bool,
-    /// Its life. It travels behind the list, so that builds without it read the same list.
+    /// Its incarnation, sent after the list, so that builds without incarnations can decode the
+    /// same list.
     #[serde(skip)]
     pub incarnation: Incarnation,
 }
 
 impl Backend {
-    /// Differs between replicas that differ in anything but their lives. All builds compute the
-    /// same, whether they know of incarnations or not.
+    /// Returns a hash of all fields except the incarnation. Builds with and without incarnations
+    /// compute the same value.
     pub(crate) fn hash_value(&self) -> u64 {
         let mut hasher = Xxh3::new();
         self.id.hash(&mut hasher);
@@ -58,7 +60,7 @@
         hasher.finish()
     }
 
-    /// The share of this replica in a sum over the incarnations of a list.
+    /// Returns the term of this replica in the incarnation sum of a list.
     pub(crate) fn incarnation_hash(&self) -> u64 {
         match self.incarnation {
             Incarnation::UNKNOWN => 0,
--- a/crates/fleet/src/backend_list.rs
+++ b/crates/fleet/src/backend_list.rs
@@ -1,8 +1,8 @@
-//! The whole list of replicas, and what differs between two of them.
+//! The full list of replicas, and differences between two lists.
 //!
-//! A list may name ten thousand replicas, and every gateway holds one. So whatever is done for each
-//! change (taking it, and knowing whether two lists are the same) costs what has changed, and
-//! what is done for two lists whose difference nobody remembers costs a digest.
+//! A list may contain ten thousand replicas, and every gateway holds one. So the cost of applying
+//! a change and of comparing two lists is proportional to the change. Only when the difference
+//! between two lists is no longer in the history does the comparison need a digest of the list.
 
 use crate::backend::{Backend, BackendId};
 use crate::incarnation::{Incarnation, ReplicaIncarnation};
@@ -11,34 +11,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Replicas in one bucket of a digest, about. A bucket that differs is sent whole: with fewer in
-/// each the digest grows, with more what is sent for a change does.
+/// Approximate number of replicas per bucket of a digest. A bucket that differs is sent in full:
+/// smaller buckets make the digest larger, larger buckets make the patch larger.
 const REPLICAS_PER_BUCKET: usize = 32;
 
-/// Most buckets of a digest: of two million replicas. More is taken for damage.
+/// Maximum number of buckets of a digest, enough for two million replicas. A digest with more is
+/// rejected as corrupt.
 const MAX_BUCKETS: usize = 1 << 16;
 
-/// All replicas, as one look at the platform's list showed them.
+/// All replicas, as of one read of the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BackendList {
     backends: BTreeMap<BackendId, Backend>,
-    /// Sum of the hashes of all replicas: a change takes its own from it, in any order.
+    /// Sum of the hashes of all replicas, updated incrementally in any order.
     sum: u64,
-    /// The same of what is known of their incarnations.
+    /// Sum of the hashes of all known incarnations.
     incarnation_sum: u64,
 }
 
 impl BackendList {
-    /// A list. A page that was read later may name a replica again: its latest life counts, and
-    /// that one is leaving when one of the entries says so.
+    /// Creates a list. A replica may occur on several pages: the latest incarnation wins, and is
+    /// draining if any of its entries says so.
     #[must_use]
     pub fn new(backends: Vec<Backend>) -> Self {
         let mut list = Self::default();
         for backend in backends {
             let is_outdated = list.backends.get(&backend.id).is_some_and(|known| {
-                let is_earlier_life = known.incarnation > backend.incarnation;
-                let is_known_to_leave = known.draining && known.incarnation == backend.incarnation;
-                is_earlier_life || is_known_to_leave
+                let is_earlier_incarnation = known.incarnation > backend.incarnation;
+                let is_known_to_drain = known.draining && known.incarnation == backend.incarnation;
+                is_earlier_incarnation || is_known_to_drain
             });
             if !is_outdated {
                 list.put(backend);
@@ -47,7 +48,7 @@
         list
     }
 
-    /// The replicas, by their identifiers.
+    /// The replicas, ordered by identifier.
     pub fn backends(&self) -> impl ExactSizeIterator<Item = &Backend> {
         self.backends.values()
     }
@@ -58,20 +59,19 @@
         self.backends.len()
     }
 
-    /// Whether there is no replica.
+    /// Returns true if the list has no replicas.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.backends.is_empty()
     }
 
-    /// Differs between lists that differ.
+    /// Returns a hash of the list, without incarnations.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         xxh3_64_with_seed(&self.sum.to_le_bytes(), self.backends.len() as u64)
     }
 
-    /// Sum over what is known of the replicas' incarnations; differs between lists that differ in
-    /// them.
+    /// Returns the sum of the hashes of all known incarnations, which identifies them.
     #[must_use]
     pub fn incarnation_sum(&self) -> u64 {
         self.incarnation_sum
@@ -85,29 +85,30 @@
         self.incarnation_sum = self.incarnation_sum.wrapping_add(incarnation);
         self.sum = self.sum.wrapping_add(backend.hash_value());
         match self.backends.entry(backend.id.clone()) {
-            Entry::Vacant(place) => {
-                place.insert(backend);
+            Entry::Vacant(entry) => {
+                entry.insert(backend);
             }
-            Entry::Occupied(mut place) => {
-                let before = place.insert(backend);
-                self.take_off(&before);
+            Entry::Occupied(mut entry) => {
+                let previous = entry.insert(backend);
+                self.subtract(&previous);
             }
         }
     }
 
     fn remove(&mut self, id: &BackendId) {
-        if let Some(before) = self.backends.remove(id) {
-            self.take_off(&before);
+        if let Some(previous) = self.backends.remove(id) {
+            self.subtract(&previous);
         }
     }
 
-    fn take_off(&mut self, before: &Backend) {
-        self.sum = self.sum.wrapping_sub(before.hash_value());
-        let incarnation = before.incarnation_hash();
+    /// Removes a replica's hashes from the sums.
+    fn subtract(&mut self, previous: &Backend) {
+        self.sum = self.sum.wrapping_sub(previous.hash_value());
+        let incarnation = previous.incarnation_hash();
         self.incarnation_sum = self.incarnation_sum.wrapping_sub(incarnation);
     }
 
-    /// What is known of the incarnation of a replica.
+    /// Returns the incarnation of a replica, if it is known.
     #[must_use]
     pub fn incarnation_of(&self, id: &BackendId) -> Option<ReplicaIncarnation> {
         let backend = self.backends.get(id)?;
@@ -117,46 +118,48 @@
         })
     }
 
-    /// What is known of all incarnations.
+    /// Returns all known incarnations.
     #[must_use]
     pub fn incarnations(&self) -> Vec<ReplicaIncarnation> {
         let ids = self.backends.keys();
         ids.filter_map(|id| self.incarnation_of(id)).collect()
     }
 
-    /// The replica that is told of, when a later life of it is told.
-    fn older_than(&self, told: &ReplicaIncarnation) -> Option<&Backend> {
-        let known = self.backends.get(&told.replica);
-        known.filter(|known| known.incarnation < told.incarnation)
+    /// Returns the listed replica if its known incarnation is earlier than the received one.
+    fn older_than(&self, received: &ReplicaIncarnation) -> Option<&Backend> {
+        let known = self.backends.get(&received.replica);
+        known.filter(|known| known.incarnation < received.incarnation)
     }
 
-    /// Whether any of these is later than what is known here.
-    pub(crate) fn lacks_any(&self, told: &[ReplicaIncarnation]) -> bool {
-        told.iter().any(|told| self.older_than(told).is_some())
+    /// Returns true if any of the received incarnations is later than the known one.
+    pub(crate) fn lacks_any(&self, received: &[ReplicaIncarnation]) -> bool {
+        received
+            .iter()
+            .any(|received| self.older_than(received).is_some())
     }
 
-    /// Takes incarnations of replicas that it names, where they are later than those that it
-    /// knows. Returns the replicas that have changed.
-    pub(crate) fn take_incarnations(&mut self, told: &[ReplicaIncarnation]) -> Vec<Backend> {
+    /// Updates listed replicas for which a later incarnation was received. Returns the replicas
+    /// that have changed.
+    pub(crate) fn take_incarnations(&mut self, received: &[ReplicaIncarnation]) -> Vec<Backend> {
         let mut changed = Vec::new();
-        for told in told {
-            let Some(mut backend) = self.older_than(told).cloned() else {
+        for received in received {
+            let Some(mut backend) = self.older_than(received).cloned() else {
                 continue;
             };
-            backend.incarnation = told.incarnation;
+            backend.incarnation = received.incarnation;
             changed.push(backend.clone());
             self.put(backend);
         }
         changed
     }
 
-    /// What turns this list into `newer`.
+    /// Returns the changes that turn this list into `newer`.
     #[must_use]
     pub fn changes_to(&self, newer: &Self) -> BackendChanges {
-        let is_new = |backend: &&Backend| self.backends.get(&backend.id) != Some(*backend);
-        let changed = newer.backends().filter(is_new).cloned().collect();
-        let is_gone = |id: &&BackendId| !newer.backends.contains_key(*id);
-        let removed = self.backends.keys().filter(is_gone).cloned().collect();
+        let is_changed = |backend: &&Backend| self.backends.get(&backend.id) != Some(*backend);
+        let changed = newer.backends().filter(is_changed).cloned().collect();
+        let is_removed = |id: &&BackendId| !newer.backends.contains_key(*id);
+        let removed = self.backends.keys().filter(is_removed).cloned().collect();
         BackendChanges {
             base: self.fingerprint(),
             result: newer.fingerprint(),
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Takes changes. Returns false, and stays as it is, when they start from another list.
+    /// Applies changes. Returns false, without any effect, if their base is another list.
     pub fn apply(&mut self, changes: &BackendChanges) -> bool {
         if changes.base != self.fingerprint() {
             return false;
@@ -179,7 +182,7 @@
         true
     }
 
-    /// A digest of this list by which another one finds what differs.
+    /// Returns a digest from which another process finds the buckets that differ from its list.
     #[must_use]
     pub fn digest(&self) -> ListDigest {
         let buckets = (self.len() / REPLICAS_PER_BUCKET)
@@ -197,7 +200,8 @@
         ListDigest(sums.into_iter().map(|sum| (sum >> 32) as u32).collect())
     }
 
-    /// What a list with that digest needs to become this one; `None` when it is no digest.
+    /// Returns the patch that turns a list with the given digest into this one; `None` if the
+    /// digest is invalid.
     #[must_use]
     pub fn patch_for(&self, digest: &ListDigest) -> Option<BackendPatch> {
         let buckets = digest.0.len();
@@ -210,17 +214,18 @@
             .filter(|(_, (own, other))| own != other)
             .map(|(bucket, _)| bucket)
             .collect();
-        let is_in_one = |backend: &&Backend| differing.contains(&bucket_of(&backend.id, buckets));
+        let is_differing =
+            |backend: &&Backend| differing.contains(&bucket_of(&backend.id, buckets));
         Some(BackendPatch {
             result: self.fingerprint(),
             buckets: buckets as u32,
-            backends: self.backends().filter(is_in_one).cloned().collect(),
+            backends: self.backends().filter(is_differing).cloned().collect(),
             replaced: differing.into_iter().map(|bucket| bucket as u32).collect(),
         })
     }
 
-    /// The list after a patch; `None` when the patch was for another digest, or two replicas that
-    /// differ have the same part of a hash.
+    /// Returns the list after a patch; `None` if the patch was made for another digest, or if a
+    /// difference was missed because two different replicas have the same truncated hash.
     #[must_use]
     pub fn patched(&self, patch: &BackendPatch) -> Option<Self> {
         let buckets = patch.buckets as usize;
@@ -241,7 +246,7 @@
     }
 }
 
-/// The bucket of a replica among `buckets`, which is a power of two.
+/// Returns the bucket of a replica. `buckets` is a power of two.
 fn bucket_of(id: &BackendId, buckets: usize) -> usize {
     (id.spread() as usize) & (buckets - 1)
 }
@@ -258,34 +263,35 @@
     }
 }
 
-/// The difference between two lists.
+/// Difference between two lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendChanges {
-    /// Fingerprint of the list that they start from.
+    /// Fingerprint of the list to which the changes apply.
     pub base: u64,
-    /// Fingerprint of the list that they lead to.
+    /// Fingerprint of the resulting list.
     pub result: u64,
-    /// Replicas that are new or have changed.
+    /// Replicas that were added or changed.
     pub changed: Vec<Backend>,
-    /// Replicas that are gone.
+    /// Replicas that were removed.
     pub removed: Vec<BackendId>,
 }
 
 impl BackendChanges {
-    /// Number of replicas that they name.
+    /// Number of replicas in the changes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.changed.len() + self.removed.len()
     }
 
-    /// Whether they change nothing.
+    /// Returns true if there are no changes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// These changes and those after them as one, each replica named once.
+    /// Merges consecutive changes. Each replica occurs once in the result.
     pub fn merged<'steps>(steps: impl IntoIterator<Item = &'steps Self>) -> Self {
+        // The final state of each replica; `None` if it was removed.
         let mut ends: BTreeMap<&BackendId, Option<&Backend>> = BTreeMap::new();
         let mut base = None;
         let mut result = 0;
@@ -309,32 +315,32 @@
     }
 }
 
-/// Parts of hashes of a list's replicas, summed by buckets of their identifiers. The number of
-/// buckets is a power of two.
+/// Truncated sums of the hashes of a list's replicas, one for each bucket of identifiers. The
+/// number of buckets is a power of two.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListDigest(Vec<u32>);
 
-/// The buckets in which a list differs from another one, whole.
+/// The buckets in which a list differs from another one, with all their replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendPatch {
-    /// Fingerprint of the list that it leads to.
+    /// Fingerprint of the resulting list.
     pub result: u64,
-    /// Number of buckets of the digest that it answers.
+    /// Number of buckets of the digest for which the patch was made.
     buckets: u32,
-    /// The buckets that differ.
+    /// Buckets that differ.
     replaced: Vec<u32>,
-    /// All replicas of these buckets.
+    /// All replicas in these buckets.
     backends: Vec<Backend>,
 }
 
 impl BackendPatch {
-    /// Number of replicas in it.
+    /// Number of replicas in the patch.
     #[must_use]
     pub fn len(&self) -> usize {
         self.backends.len()
     }
 
-    /// Whether it has no replica; it may empty buckets all the same.
+    /// Returns true if the patch has no replicas. It may still remove replicas by emptying buckets.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.backends.is_empty()
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -1,73 +1,74 @@
-//! Lives of replicas: a replica may start again under its old identifier.
+//! Incarnations of replicas: a replica may restart under its old identifier.
 //!
-//! Builds that know nothing of incarnations read the same lists, and compare them by the same
-//! fingerprints. So a replica's incarnation is no part of how a list is laid out or hashed; it
-//! travels behind the list, for those who ask for it, and is compared by a sum of its own.
+//! Builds without incarnations decode the same lists and compare the same fingerprints. So the
+//! incarnation of a replica is not part of a list's encoding and hash. It is sent after the list to
+//! processes that request it, and compared by a separate sum.
 
 use crate::backend::BackendId;
 use crate::backend_list::{BackendChanges, BackendList};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Incarnations that are remembered for those who lack some, however short the list is.
-const REMEMBERED_AT_LEAST: usize = 64;
+/// Number of incarnations that the history always keeps, however short the list is.
+const MIN_HISTORY_ENTRIES: usize = 64;
 
-/// Part of the list that the remembered incarnations may come to.
-const REMEMBERED_PART: usize = 2;
+/// The history keeps at most the number of replicas in the list divided by this.
+const HISTORY_DIVISOR: usize = 2;
 
-/// One life of a replica: the Unix millisecond of its start; 0 when that was not told. A later
-/// life has a higher one.
+/// One run of a replica, identified by its start time in Unix milliseconds; 0 if that is unknown.
+/// A later run has a higher value.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Of a replica that does not say when it started.
+    /// Incarnation of a replica that does not report its start time.
     pub const UNKNOWN: Self = Self(0);
 
-    /// Whether this is a later life than `other`, as far as both are known.
+    /// Returns true if both incarnations are known and this one is later than `other`.
     #[must_use]
     pub fn is_after(self, other: Self) -> bool {
         other != Self::UNKNOWN && self > other
     }
 }
 
-/// A replica and its life.
+/// Incarnation of one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIncarnation {
     /// The replica.
     pub replica: BackendId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// What a process says of the incarnations that it knows.
+/// Summary of the incarnations that a process knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownIncarnations {
-    /// Sum over its list, see [`BackendList::incarnation_sum`].
+    /// Incarnation sum of its list, see [`BackendList::incarnation_sum`].
     pub sum: u64,
 }
 
-/// What a member remembers of incarnations that became known lately.
+/// History of recently learned incarnations, kept by a control member.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct IncarnationHistory {
-    /// Each from the sum that the one before it led to.
+    /// Consecutive steps: each one starts from the sum that its predecessor produced.
     steps: VecDeque<IncarnationStep>,
-    /// Incarnations in all steps together.
-    remembered: usize,
+    /// Total number of incarnations in all steps.
+    entries: usize,
     sum: u64,
 }
 
 #[derive(Clone, Debug)]
 struct IncarnationStep {
+    /// Incarnation sum before the step.
     base: u64,
     changed: Vec<ReplicaIncarnation>,
 }
 
 impl IncarnationHistory {
-    /// Notes that `changes` have led to `list`.
-    pub(crate) fn note(&mut self, list: &BackendList, changes: &BackendChanges) {
+    /// Records that `changes` produced `list`.
+    pub(crate) fn record(&mut self, list: &BackendList, changes: &BackendChanges) {
         let sum = list.incarnation_sum();
         if sum == self.sum {
             return;
@@ -75,20 +76,20 @@
         let ids = changes.changed.iter().map(|backend| &backend.id);
         let changed: Vec<ReplicaIncarnation> =
             ids.filter_map(|id| list.incarnation_of(id)).collect();
-        self.remembered += changed.len();
+        self.entries += changed.len();
         let base = std::mem::replace(&mut self.sum, sum);
         self.steps.push_back(IncarnationStep { base, changed });
-        let allowed = (list.len() / REMEMBERED_PART).max(REMEMBERED_AT_LEAST);
-        while self.remembered > allowed || self.steps.len() > allowed {
+        let max_entries = (list.len() / HISTORY_DIVISOR).max(MIN_HISTORY_ENTRIES);
+        while self.entries > max_entries || self.steps.len() > max_entries {
             let Some(oldest) = self.steps.pop_front() else {
                 return;
             };
-            self.remembered -= oldest.changed.len();
+            self.entries -= oldest.changed.len();
         }
     }
 
-    /// What someone lacks of a list's incarnations; `None` when they know all, or when nobody
-    /// remembers what they have.
+    /// Returns the incarnations learned since a process had the known ones; `None` if it knows all
+    /// of them, or if its sum is not in the history.
     pub(crate) fn since(&self, known: KnownIncarnations) -> Option<Vec<ReplicaIncarnation>> {
         let first = self.steps.iter().rposition(|step| step.base == known.sum)?;
         let steps = self.steps.iter().skip(first);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the processes of a deployment know of each other, as pure data and state machines.
+//! Membership and discovery data of a deployment, as pure data types and state machines.
 //!
 //! The control members replicate a versioned configuration document and the registry of turn
-//! stores. Everything else here is soft: presence of gateways and stores, and the list of
-//! backends. Each of them is repeated often and forgotten when it is not.
+//! stores. Everything else here is soft state: the presence of gateways and stores, and the list
+//! of replicas. Soft state is refreshed often and expires when it is not.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/fleet/src/list_copy.rs
+++ b/crates/fleet/src/list_copy.rs
@@ -1,4 +1,4 @@
-//! A copy of the list of replicas, kept current by what others report of theirs.
+//! A copy of the list of replicas, kept up to date by reports of other processes.
 
 use crate::backend_list::{BackendChanges, BackendList, BackendPatch, ListDigest};
 use crate::incarnation::{KnownIncarnations, ReplicaIncarnation};
@@ -7,62 +7,62 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time that a report may have been on its way: a round trip between near regions. A list counts
-/// as so much older than the report says.
+/// Assumed transfer time of a report: a round trip between neighbouring regions. It is added to the
+/// reported age of a list.
 const TRANSFER_TIME: Duration = Duration::from_millis(20);
 
-/// Difference in age from which one list is newer than another. Ages of the same reading that
-/// came on different ways differ by their times on the way, those of two readings by an interval
-/// between readings, which is longer.
-const SAME_READING: Duration = Duration::from_millis(150);
+/// Minimum difference in age by which one list is newer than another. Ages of the same read that
+/// arrive through different members differ by transfer times. Ages of two reads differ by at least
+/// the read interval, which is longer.
+const MIN_AGE_DIFFERENCE: Duration = Duration::from_millis(150);
 
-/// What a process says of its copy when it asks for a newer one.
+/// State of a process's copy, sent when it requests a newer one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownList {
     /// Fingerprint of its list.
     pub fingerprint: u64,
-    /// Time since the platform showed the list; `None` when there is none yet.
+    /// Time since the list was read from the platform; `None` if the process has no list yet.
     pub age: Option<Duration>,
-    /// What its list is made of, when nobody remembered its fingerprint.
+    /// Digest of its list, sent after a member did not know the fingerprint.
     pub digest: Option<ListDigest>,
 }
 
-/// What an asker needs to have the list.
+/// Update that brings the requester's list up to date.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendUpdate {
-    /// Nothing: it has it.
+    /// The list is up to date.
     None,
-    /// The changes since the list that it has.
+    /// Changes since the requester's list.
     Changes(Arc<BackendChanges>),
-    /// The parts in which its list differs.
+    /// Buckets in which the requester's list differs.
     Patch(BackendPatch),
-    /// The whole list.
+    /// The full list.
     Whole(Arc<BackendList>),
-    /// Its list is not remembered: it is to say the digest.
+    /// The requester's list is not in the history: it must send the digest.
     Unknown,
 }
 
-/// The list as a control member passes it on.
+/// The list of replicas as a control member sends it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendReport {
     /// Fingerprint of the list.
     pub fingerprint: u64,
-    /// Time since the platform showed it.
+    /// Time since it was read from the platform.
     pub age: Duration,
-    /// What the asker lacks of it.
+    /// Difference to the requester's list.
     pub update: BackendUpdate,
 }
 
-/// A copy of the list. It never goes back to one that the platform showed earlier.
+/// A copy of the list. It is never replaced by an older one.
 #[derive(Clone, Debug, Default)]
 pub struct ListCopy {
     list: Arc<BackendList>,
-    /// When the platform showed the list; `None` before there is one.
+    /// When the list was read from the platform; `None` if there is no list yet.
     seen: Option<Timestamp>,
-    /// Whether nobody remembered the fingerprint, so that the digest is to be said.
-    says_digest: bool,
-    /// Whether a patch did not fit, so that the whole list is needed.
-    wants_whole: bool,
+    /// True if a member did not know the fingerprint, so that the next request has the digest.
+    sends_digest: bool,
+    /// True if a patch did not fit, so that the full list is needed.
+    needs_full_list: bool,
 }
 
 impl ListCopy {
@@ -72,46 +72,46 @@
         &self.list
     }
 
-    /// When the platform showed the list; `None` before there is one.
+    /// Returns when the list was read from the platform; `None` if there is no list yet.
     #[must_use]
     pub fn seen(&self) -> Option<Timestamp> {
         self.seen
     }
 
-    /// Time since the platform showed the list.
+    /// Returns the time since the list was read from the platform.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         self.seen.map(|seen| now.since(seen))
     }
 
-    /// What to say of this copy when a newer one is asked for.
+    /// Returns the state of this copy for a request for a newer one.
     #[must_use]
     pub fn known(&self, now: Timestamp) -> KnownList {
-        let has_list = self.seen.is_some() && !self.wants_whole;
+        let has_list = self.seen.is_some() && !self.needs_full_list;
         KnownList {
             fingerprint: self.list.fingerprint(),
             age: self.age(now).filter(|_| has_list),
-            digest: (has_list && self.says_digest).then(|| self.list.digest()),
+            digest: (has_list && self.sends_digest).then(|| self.list.digest()),
         }
     }
 
-    /// Whether a list of `age` is newer than what an asker has.
+    /// Returns true if a list of this age is newer than the requester's.
     #[must_use]
     pub fn is_newer(age: Duration, known: &KnownList) -> bool {
         known
             .age
-            .is_none_or(|known_age| age + SAME_READING < known_age)
+            .is_none_or(|known_age| age + MIN_AGE_DIFFERENCE < known_age)
     }
 
-    /// Takes a list that was just read. Returns what has changed.
+    /// Replaces the list with one that was just read. Returns the changes.
     pub fn replace(&mut self, list: BackendList, seen: Timestamp) -> Option<BackendChanges> {
         if self.seen.is_some_and(|known| known >= seen) {
             return None;
         }
-        self.take(list, seen)
+        self.install(list, seen)
     }
 
-    /// Takes a report. Returns what has changed, when something has.
+    /// Applies a report. Returns the changes, if there are any.
     pub fn follow(&mut self, report: BackendReport, now: Timestamp) -> Option<BackendChanges> {
         let age = report.age + TRANSFER_TIME;
         let seen = Timestamp::from_micros(
@@ -129,30 +129,30 @@
                 None
             }
             BackendUpdate::Changes(changes) => {
-                // Changes to a list that was replaced meanwhile are passed over; the next question
-                // says which list is here.
-                let is_taken = Arc::make_mut(&mut self.list).apply(&changes);
-                is_taken.then(|| {
-                    self.note_current(seen);
+                // Changes to a list that was replaced in the meantime are ignored; the next request
+                // has the fingerprint of the current list.
+                let is_applied = Arc::make_mut(&mut self.list).apply(&changes);
+                is_applied.then(|| {
+                    self.mark_current(seen);
                     Arc::unwrap_or_clone(changes)
                 })
             }
             BackendUpdate::Patch(patch) => match self.list.patched(&patch) {
-                Some(list) => self.take(list, seen),
+                Some(list) => self.install(list, seen),
                 None => {
-                    self.wants_whole = true;
+                    self.needs_full_list = true;
                     None
                 }
             },
-            BackendUpdate::Whole(list) => self.take(Arc::unwrap_or_clone(list), seen),
+            BackendUpdate::Whole(list) => self.install(Arc::unwrap_or_clone(list), seen),
             BackendUpdate::Unknown => {
-                self.says_digest = true;
+                self.sends_digest = true;
                 None
             }
         }
     }
 
-    /// What to say of the incarnations in this copy.
+    /// Returns the summary of the incarnations in this copy.
     #[must_use]
     pub fn known_incarnations(&self) -> KnownIncarnations {
         KnownIncarnations {
@@ -160,13 +160,13 @@
         }
     }
 
-    /// Takes incarnations that another process knows. Returns what has changed, when something
-    /// has; nothing in it but incarnations differs from before.
-    pub fn take_incarnations(&mut self, told: &[ReplicaIncarnation]) -> Option<BackendChanges> {
-        if !self.list.lacks_any(told) {
+    /// Merges incarnations received from another process. Returns the changes, if there are any;
+    /// they differ from the previous list in incarnations only.
+    pub fn take_incarnations(&mut self, received: &[ReplicaIncarnation]) -> Option<BackendChanges> {
+        if !self.list.lacks_any(received) {
             return None;
         }
-        let changed = Arc::make_mut(&mut self.list).take_incarnations(told);
+        let changed = Arc::make_mut(&mut self.list).take_incarnations(received);
         let fingerprint = self.list.fingerprint();
         Some(BackendChanges {
             base: fingerprint,
@@ -176,12 +176,12 @@
         })
     }
 
-    fn take(&mut self, mut list: BackendList, seen: Timestamp) -> Option<BackendChanges> {
-        // A list that came over the wire names no incarnations.
+    fn install(&mut self, mut list: BackendList, seen: Timestamp) -> Option<BackendChanges> {
+        // A decoded list has no incarnations: keep the known ones.
         list.take_incarnations(&self.list.incarnations());
         let changes = self.list.changes_to(&list);
         let is_first = self.seen.is_none();
-        self.note_current(seen);
+        self.mark_current(seen);
         if changes.is_empty() && !is_first {
             return None;
         }
@@ -189,10 +189,10 @@
         Some(changes)
     }
 
-    /// Notes that the list is as the platform showed it at `seen`.
-    fn note_current(&mut self, seen: Timestamp) {
+    /// Marks the list as current as of `seen`.
+    fn mark_current(&mut self, seen: Timestamp) {
         self.seen = Some(seen);
-        self.says_digest = false;
-        self.wants_whole = false;
+        self.sends_digest = false;
+        self.needs_full_list = false;
     }
 }
--- a/crates/fleet/src/list_history.rs
+++ b/crates/fleet/src/list_history.rs
@@ -1,5 +1,5 @@
-//! What a member remembers of the lists before its own, so that those who have one of them are
-//! told what has changed.
+//! History of a member's recent lists, so that a process with an earlier list gets only the
+//! changes.
 
 use crate::backend_list::{BackendChanges, BackendList, ListDigest};
 use crate::incarnation::{IncarnationHistory, KnownIncarnations, ReplicaIncarnation};
@@ -8,23 +8,24 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Part of the list that the remembered changes may come to together. Whoever lacks more is sent
-/// the parts in which its list differs, which is then hardly more.
-const REMEMBERED_PART: usize = 2;
+/// The history keeps at most the number of replicas in the list divided by this. A process whose
+/// list is older gets a patch by digest, which is then hardly larger.
+const HISTORY_DIVISOR: usize = 2;
 
-/// Changes that are remembered however short the list is.
-const REMEMBERED_AT_LEAST: usize = 64;
+/// Number of changes that the history always keeps, however short the list is.
+const MIN_HISTORY_ENTRIES: usize = 64;
 
-/// A member's copy of the list, and the changes that led to it. It takes no more memory than two
-/// lists, however many changes there are and however many ask.
+/// A member's copy of the list, and the changes that led to it. It uses at most the memory of two
+/// lists, regardless of the number of changes and of requests.
 #[derive(Clone, Debug, Default)]
 pub struct ListHistory {
     copy: ListCopy,
-    /// The latest changes, each from the result of the one before it.
+    /// Recent consecutive changes: the base of each is the result of its predecessor.
     steps: VecDeque<Arc<BackendChanges>>,
-    /// Replicas that `steps` name together.
-    remembered: usize,
-    /// Changes from earlier lists to this one, worked out once for all who have them.
+    /// Total number of replicas in `steps`.
+    entries: usize,
+    /// Merged changes from earlier lists to the current one, cached by the earlier list's
+    /// fingerprint.
     merged: BTreeMap<u64, Arc<BackendChanges>>,
     incarnations: IncarnationHistory,
 }
@@ -36,27 +37,27 @@
         &self.copy
     }
 
-    /// Takes a list that was just read.
+    /// Replaces the list with one that was just read.
     pub fn replace(&mut self, list: BackendList, seen: Timestamp) {
         let changes = self.copy.replace(list, seen);
-        self.remember(changes);
+        self.record(changes);
     }
 
-    /// Takes another member's report.
+    /// Applies another member's report.
     pub fn follow(&mut self, report: BackendReport, now: Timestamp) {
         let changes = self.copy.follow(report, now);
-        self.remember(changes);
+        self.record(changes);
     }
 
-    /// Takes incarnations that another member knows.
-    pub fn take_incarnations(&mut self, told: &[ReplicaIncarnation]) {
-        let changes = self.copy.take_incarnations(told);
-        self.remember(changes);
+    /// Merges incarnations received from another member.
+    pub fn take_incarnations(&mut self, received: &[ReplicaIncarnation]) {
+        let changes = self.copy.take_incarnations(received);
+        self.record(changes);
     }
 
-    /// What an asker lacks of the incarnations, beside what it is told of the list; `None` when
-    /// there is nothing to tell. All of them are told only to one that has this list then: another
-    /// one may know newer ones.
+    /// Returns the incarnations that the requester lacks, sent in addition to the list update;
+    /// `None` if it lacks none. The full set is sent only to a requester that will have this list:
+    /// another one may know newer incarnations.
     #[must_use]
     pub fn incarnations_after(
         &self,
@@ -72,25 +73,26 @@
         since.or_else(all).filter(|lacking| !lacking.is_empty())
     }
 
-    fn remember(&mut self, changes: Option<BackendChanges>) {
+    fn record(&mut self, changes: Option<BackendChanges>) {
         let Some(changes) = changes else { return };
-        self.incarnations.note(self.copy.list(), &changes);
+        self.incarnations.record(self.copy.list(), &changes);
         if changes.base == changes.result {
             return;
         }
         self.merged.clear();
-        self.remembered += changes.len();
+        self.entries += changes.len();
         self.steps.push_back(Arc::new(changes));
-        let allowed = (self.copy.list().len() / REMEMBERED_PART).max(REMEMBERED_AT_LEAST);
-        while self.remembered > allowed {
+        let max_entries = (self.copy.list().len() / HISTORY_DIVISOR).max(MIN_HISTORY_ENTRIES);
+        while self.entries > max_entries {
             let Some(oldest) = self.steps.pop_front() else {
                 return;
             };
-            self.remembered -= oldest.len();
+            self.entries -= oldest.len();
         }
     }
 
-    /// What an asker is told; `None` when there is no list, or its own is newer.
+    /// Returns the report for a requester; `None` if there is no list here, or the requester's is
+    /// newer.
     #[must_use]
     pub fn report(&mut self, known: &KnownList, now: Timestamp) -> Option<BackendReport> {
         let age = self.copy.age(now)?;
@@ -129,7 +131,8 @@
         if let Some(changes) = self.merged.get(&fingerprint) {
             return Some(Arc::clone(changes));
         }
-        // A list may have come back: the latest changes from it are the fewest.
+        // The same list may have been current several times: the latest occurrence gives the
+        // fewest changes.
         let first = self
             .steps
             .iter()
@@ -140,14 +143,14 @@
         Some(changes)
     }
 
-    /// Whether what an asker lacks may be as large as the list itself.
+    /// Returns true if the update for a requester may be as large as the list itself.
     #[must_use]
     pub fn lacks_much(&self, known: &KnownList) -> bool {
         let has_none = known.age.is_none() && self.copy.seen().is_some();
         has_none || known.digest.is_some()
     }
 
-    /// Whether this list is news for an asker.
+    /// Returns true if this list is newer than the requester's and differs from it.
     #[must_use]
     pub fn is_news(&self, known: &KnownList, now: Timestamp) -> bool {
         let Some(age) = self.copy.age(now) else {
--- a/crates/fleet/src/list_reading.rs
+++ b/crates/fleet/src/list_reading.rs
@@ -1,106 +1,106 @@
-//! Who reads the platform's list of replicas, and when.
+//! Which process reads the platform's list of replicas, and when.
 //!
-//! The platform answers a bounded number of calls a second to everyone together, and a list takes
-//! a call for each page. So one process reads for all: the leader. While nobody hears a leader,
-//! members read, and gateways that hear no member: both so rarely that together they stay within
-//! a share of the platform's rate, however many they are. A process that has never been told how
-//! many there are, or has never had a list, never reads: it has no configuration either, and serves
-//! nobody.
+//! The platform limits the total rate of calls of all processes, and a list takes one call per
+//! page. So the leader reads for all processes. Without a leader, members read the list, and so do
+//! gateways that reach no member. Their intervals grow with their number, so that together they
+//! stay within a share of the platform's rate limit. A process that does not know their number, or
+//! has never had a list, never reads: it has no configuration either and serves no requests.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Share of the platform's calls that the leader takes, unless that makes its list old.
-const LEADER_SHARE: f64 = 0.1;
+/// Share of the platform's rate limit that the leader uses, unless its list would become stale.
+const LEADER_RATE_SHARE: f64 = 0.1;
 
-/// Longest time between two readings of the leader, as a share of the age from which others read.
-/// With a reading, an election and the way to the last gateway besides, a leaving replica is known
-/// everywhere before that age even when the leader falls between two readings.
-const LEADER_INTERVAL: f64 = 0.45;
+/// Maximum interval between two reads of the leader, as a ratio of the age at which a list is
+/// stale. The rest is left for a read, an election and the transfer to the last gateway, so that a
+/// draining replica is known everywhere in time even if the leader fails between two reads.
+const MAX_LEADER_INTERVAL_RATIO: f64 = 0.45;
 
-/// Share of the platform's calls that members take together while they hear no leader.
-const MEMBERS_SHARE: f64 = 0.3;
+/// Share of the platform's rate limit that all members together use while they have no leader.
+const MEMBERS_RATE_SHARE: f64 = 0.3;
 
-/// Share of the platform's calls that gateways take together while they hear no member.
-const GATEWAYS_SHARE: f64 = 0.35;
+/// Share of the platform's rate limit that all gateways together use while they reach no member.
+const GATEWAYS_RATE_SHARE: f64 = 0.35;
 
-/// Replicas that a page is taken to hold before one was read: the fewest seen.
-const REPLICAS_PER_PAGE: usize = 50;
+/// Assumed number of replicas per page before the first read: the smallest number observed.
+const MIN_REPLICAS_PER_PAGE: usize = 50;
 
-/// Doublings of the time between two readings that were refused one after the other.
-const MOST_DOUBLINGS: u32 = 6;
+/// Maximum number of times that the read interval is doubled after consecutive rejected reads.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
-/// What a process may read the list for.
+/// The role in which a process reads the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListReader {
-    /// For all: it leads.
+    /// The leader, which reads for all processes.
     Leader,
-    /// For those who ask it, when no leader's list comes: one of so many members; 0 while it does
-    /// not belong to them.
+    /// One of this many members, which reads for its observers while it receives no list from a
+    /// leader; 0 if it does not belong to the membership.
     Member(u32),
-    /// For itself, when no member's list comes: one of so many gateways; 0 while it was not told.
+    /// One of this many gateways, which reads for itself while it receives no list from a member;
+    /// 0 if it does not know their number.
     Gateway(u32),
 }
 
 impl ListReader {
-    /// Calls a second that one process takes in the mean.
-    fn calls_per_s(self, of_everyone: f64) -> f64 {
+    /// Returns the average call rate of one process, given the platform's total rate limit.
+    fn calls_per_s(self, total: f64) -> f64 {
         let (share, processes) = match self {
-            Self::Leader => (LEADER_SHARE, 1),
-            Self::Member(members) => (MEMBERS_SHARE, members),
-            Self::Gateway(gateways) => (GATEWAYS_SHARE, gateways),
+            Self::Leader => (LEADER_RATE_SHARE, 1),
+            Self::Member(members) => (MEMBERS_RATE_SHARE, members),
+            Self::Gateway(gateways) => (GATEWAYS_RATE_SHARE, gateways),
         };
-        of_everyone * share / f64::from(processes.max(1))
+        total * share / f64::from(processes.max(1))
     }
 }
 
-/// What the settings say of reading.
+/// Limits for reading the list, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReadingRates {
-    /// Calls that the platform answers to everyone together, per second.
+    /// Rate limit of the platform for all processes together, in calls per second.
     pub calls_per_s: f64,
-    /// Shortest time between two readings.
+    /// Minimum interval between two reads.
     pub shortest: Duration,
-    /// Age from which a list is too old to wait for others.
+    /// Age at which a list is stale, so that members and gateways read it themselves.
     pub stale_after: Duration,
 }
 
-/// One process's readings.
+/// Schedule of one process's reads.
 #[derive(Clone, Debug)]
 pub struct ListReading {
-    rates: ReadingRates,
-    /// Calls that a reading takes.
+    limits: ReadingRates,
+    /// Number of calls that a read takes.
     pages: u32,
-    /// Whether `pages` was counted and not estimated.
+    /// True if `pages` is the count of a read and not an estimate.
     has_read: bool,
-    /// Readings in a row that were refused.
-    refusals: u32,
-    /// What it reads for, and when it may read next.
+    /// Number of consecutive rejected reads.
+    rejections: u32,
+    /// Role and time of the next read.
     due: Option<(ListReader, Timestamp)>,
 }
 
 impl ListReading {
-    /// Nothing read yet.
+    /// Creates the schedule of a process that has not read the list yet.
     #[must_use]
-    pub fn new(rates: ReadingRates) -> Self {
+    pub fn new(limits: ReadingRates) -> Self {
         Self {
-            rates,
+            limits,
             pages: 1,
             has_read: false,
-            refusals: 0,
+            rejections: 0,
             due: None,
         }
     }
 
-    /// Takes how many replicas the list names, by word of others.
+    /// Estimates the number of pages from the length of a list received from another process.
     pub fn expect_replicas(&mut self, replicas: usize) {
         if !self.has_read {
-            self.pages = u32::try_from(replicas / REPLICAS_PER_PAGE + 1).unwrap_or(u32::MAX);
+            self.pages = u32::try_from(replicas / MIN_REPLICAS_PER_PAGE + 1).unwrap_or(u32::MAX);
         }
     }
 
-    /// Whether to read now. `age` is that of the list at hand, `draw` any number that differs
-    /// between processes and calls.
+    /// Returns true if the process must read now. `age` is the age of its current list, `draw` a
+    /// random number.
     pub fn is_due(
         &mut self,
         reader: ListReader,
@@ -111,23 +111,25 @@
         let is_needed = match reader {
             ListReader::Leader => true,
             ListReader::Member(0) | ListReader::Gateway(0) => false,
-            // Who has no list yet does not know what a reading costs, and will get one from others.
+            // A process without a list does not know how many calls a read takes, and will receive
+            // a list from others.
             ListReader::Member(_) | ListReader::Gateway(_) => {
-                age.is_some_and(|age| age >= self.rates.stale_after)
+                age.is_some_and(|age| age >= self.limits.stale_after)
             }
         };
         if !is_needed {
-            // A time that has passed unused says nothing any more; one that is still to come keeps
-            // those whose list grows old again from reading sooner than their share allows.
+            // A due time in the past is obsolete. One in the future is kept, so that a process
+            // whose list becomes stale again does not exceed its share of the rate.
             self.due = self.due.filter(|(_, due)| *due > now);
             return false;
         }
         match self.due {
-            Some((known, due)) if is_same_kind(known, reader) => now >= due,
+            Some((known, due)) if is_same_role(known, reader) => now >= due,
             _ => {
                 let first = match reader {
                     ListReader::Leader => Duration::ZERO,
-                    // At random, so that those who lose the others together take turns.
+                    // Random, so that processes that lose contact at the same time do not read at
+                    // the same time.
                     _ => self.interval(reader).mul_f64(fraction(draw)),
                 };
                 self.due = Some((reader, now.plus(first)));
@@ -136,50 +138,50 @@
         }
     }
 
-    /// Notes that a reading that began at `began` took `pages` calls.
+    /// Records that a read that began at `began` took `pages` calls.
     pub fn succeeded(&mut self, pages: u32, began: Timestamp, draw: u64) {
         self.pages = pages;
         self.has_read = true;
-        self.refusals = 0;
+        self.rejections = 0;
         self.schedule(began, draw);
     }
 
-    /// Notes that a reading that began at `began` failed. A platform that refuses is asked less
-    /// and less.
-    pub fn failed(&mut self, was_refused: bool, began: Timestamp, draw: u64) {
-        if was_refused {
-            self.refusals = (self.refusals + 1).min(MOST_DOUBLINGS);
+    /// Records that a read that began at `began` failed. The interval doubles with each read that
+    /// the platform rejected.
+    pub fn failed(&mut self, was_rejected: bool, began: Timestamp, draw: u64) {
+        if was_rejected {
+            self.rejections = (self.rejections + 1).min(MAX_BACKOFF_DOUBLINGS);
         }
         self.schedule(began, draw);
     }
 
     fn schedule(&mut self, began: Timestamp, draw: u64) {
         let Some((reader, _)) = self.due else { return };
-        let interval = self.interval(reader) * 2_u32.pow(self.refusals);
-        let spread = match reader {
-            ListReader::Leader if self.refusals == 0 => 1.0,
+        let interval = self.interval(reader) * 2_u32.pow(self.rejections);
+        let jitter = match reader {
+            ListReader::Leader if self.rejections == 0 => 1.0,
             _ => 0.5 + fraction(draw),
         };
-        self.due = Some((reader, began.plus(interval.mul_f64(spread))));
+        self.due = Some((reader, began.plus(interval.mul_f64(jitter))));
     }
 
-    /// Mean time between two readings.
+    /// Returns the average interval between two reads.
     fn interval(&self, reader: ListReader) -> Duration {
-        let own = reader.calls_per_s(self.rates.calls_per_s);
-        let paced = Duration::from_secs_f64(f64::from(self.pages) / own);
-        let longest = match reader {
-            ListReader::Leader => self.rates.stale_after.mul_f64(LEADER_INTERVAL),
+        let own_rate = reader.calls_per_s(self.limits.calls_per_s);
+        let paced = Duration::from_secs_f64(f64::from(self.pages) / own_rate);
+        let max_interval = match reader {
+            ListReader::Leader => self.limits.stale_after.mul_f64(MAX_LEADER_INTERVAL_RATIO),
             _ => Duration::MAX,
         };
-        paced.min(longest).max(self.rates.shortest)
+        paced.min(max_interval).max(self.limits.shortest)
     }
 }
 
-fn is_same_kind(one: ListReader, other: ListReader) -> bool {
+fn is_same_role(one: ListReader, other: ListReader) -> bool {
     std::mem::discriminant(&one) == std::mem::discriminant(&other)
 }
 
-/// A number from 0 to 1.
+/// Maps a random number to the interval from 0 to 1.
 fn fraction(draw: u64) -> f64 {
     (draw >> 11) as f64 / (1_u64 << 53) as f64
 }
