--- a/crates/gateway-server/tests/gateway/moves.rs
+++ b/crates/gateway-server/tests/gateway/moves.rs
@@ -1,9 +1,9 @@
 //! Streams whose replicas keep silent: they go on at another replica where the route allows it,
 //! and nowhere else.
 
-use crate::support::caller::{Ask, Got, get};
+use crate::support::caller::{TestRequest, TestResponse, get};
 use crate::support::replica::{Replica, Script, event};
-use crate::support::{Fleet, configuration, route, until};
+use crate::support::{Fleet, configuration, route, wait_until};
 use futures_util::future::join_all;
 use luglink_edge::{Configuration, RouteKind};
 use std::time::{Duration, Instant};
@@ -42,9 +42,9 @@
     (0..5).map(event).collect()
 }
 
-async fn ask_whole(fleet: &Fleet, id: String) -> Got {
+async fn ask_whole(fleet: &Fleet, id: String) -> TestResponse {
     let began = Instant::now();
-    let ask = Ask::post("/movable/x", &id, "body");
+    let ask = TestRequest::post("/movable/x", &id, "body");
     let got = ask.send(fleet.gateway_address).await;
     assert_eq!((got.status, got.is_whole), (200, true), "{got:?}");
     assert_eq!(got.body, whole_stream());
@@ -54,7 +54,7 @@
 
 /// Sends streams, two at once so that they go to different replicas, until one was sent to
 /// `replica`. Each must be answered soon and whole. Returns the answer of that one.
-async fn ask_until_met(fleet: &Fleet, replica: &Replica) -> Got {
+async fn ask_until_met(fleet: &Fleet, replica: &Replica) -> TestResponse {
     for number in 0..MOST_REQUESTS {
         let ids = [format!("a{number}"), format!("b{number}")];
         let asks = ids.iter().map(|id| ask_whole(fleet, id.clone()));
@@ -72,8 +72,8 @@
 
 /// Sends requests with one whole answer, two at once, until one was sent to `replica`.
 async fn ask_safe_until_met(fleet: &Fleet, replica: &Replica) {
-    until("a request met the silent replica", || async {
-        let asks = ["late-a", "late-b"].map(|id| Ask::get("/safe/x", id));
+    wait_until("a request met the silent replica", || async {
+        let asks = ["late-a", "late-b"].map(|id| TestRequest::get("/safe/x", id));
         let answers = join_all(asks.map(|ask| ask.send(fleet.gateway_address))).await;
         assert!(answers.iter().all(|got| got.status == 200), "{answers:?}");
         replica.closed.get() > 0
@@ -138,7 +138,9 @@
 async fn never_more_replicas_than_the_route_allows() {
     let (fleet, replicas) = fleet(&[Script::Mute, Script::Mute, Script::Mute]).await;
     let to = fleet.gateway_address;
-    let ask = |path: &str, id: &str| Ask::post(path, id, "body").with("luglink-deadline-ms", 1_500);
+    let ask = |path: &str, id: &str| {
+        TestRequest::post(path, id, "body").with("luglink-deadline-ms", 1_500)
+    };
     let got = ask("/movable/x", "twice").send(to).await;
     assert_eq!((got.status, runs_of(&replicas, "twice")), (504, 2));
     let got = ask("/once/x", "once").send(to).await;
@@ -161,10 +163,11 @@
     let (fleet, replicas) = fleet(&[Script::Stream]).await;
     let to = fleet.gateway_address;
     for number in 0..30 {
-        let ask = Ask::post("/movable/x", &format!("m{number}"), "body");
+        let ask = TestRequest::post("/movable/x", &format!("m{number}"), "body");
         assert_eq!(ask.send(to).await.status, 200);
     }
-    let late = |path: &str, id: &str| Ask::post(path, id, "body").with("luglink-deadline-ms", 1);
+    let late =
+        |path: &str, id: &str| TestRequest::post(path, id, "body").with("luglink-deadline-ms", 1);
     let got = late("/movable/x", "late").send(to).await;
     assert_eq!((got.status, runs_of(&replicas, "late")), (503, 0));
     assert!(got.header("retry-after").is_some());
@@ -179,7 +182,7 @@
     let (fleet, replicas) = fleet(&[Script::Answer, Script::Answer]).await;
     let to = fleet.gateway_address;
     for number in 0..40 {
-        let ask = Ask::get("/safe/x", &format!("s{number}"));
+        let ask = TestRequest::get("/safe/x", &format!("s{number}"));
         assert_eq!(ask.send(to).await.status, 200);
     }
     replicas[0].set(Script::Mute);
@@ -193,7 +196,7 @@
     let (fleet, replicas) = fleet_with(configuration(1), &[Script::Answer, Script::Answer]).await;
     let to = fleet.gateway_address;
     for number in 0..40 {
-        let ask = Ask::get("/safe/x", &format!("s{number}"));
+        let ask = TestRequest::get("/safe/x", &format!("s{number}"));
         assert_eq!(ask.send(to).await.status, 200);
     }
     replicas[0].set(Script::Mute);
@@ -206,15 +209,15 @@
 async fn callers_that_leave_before_their_answer_are_counted() {
     let (fleet, replicas) = fleet(&[Script::Mute]).await;
     let to = fleet.gateway_address;
-    let asking = actix_rt::spawn(Ask::post("/once/x", "one", "body").send(to));
-    until("the replica has it", || async {
+    let asking = actix_rt::spawn(TestRequest::post("/once/x", "one", "body").send(to));
+    wait_until("the replica has it", || async {
         replicas[0].requests() == 1
     })
     .await;
     // Dropping the task closes the caller's connection.
     asking.abort();
     let series = "luglink_callers_gone_total{awaited=\"answer\"}";
-    until("it is counted", || async {
+    wait_until("it is counted", || async {
         metric(&fleet, series).await == 1.0
     })
     .await;
--- a/crates/gateway-server/tests/gateway/overload.rs
+++ b/crates/gateway-server/tests/gateway/overload.rs
@@ -1,8 +1,8 @@
 //! New programs before engines that have too much to do.
 
-use crate::support::caller::{Ask, Got};
+use crate::support::caller::{TestRequest, TestResponse};
 use crate::support::replica::{Replica, Script};
-use crate::support::{Fleet, configuration, until};
+use crate::support::{Fleet, configuration, wait_until};
 use futures_util::future::join_all;
 use luglink_scheduling::Features;
 use luglink_types::{Switch, Switches};
@@ -15,8 +15,8 @@
 /// Programs that come afterwards; far more than could all be let in by chance.
 const NEW_PROGRAMS: usize = 60;
 
-fn turn(program: &str, id: &str) -> Ask {
-    Ask::post("/kept/x", id, "input")
+fn turn(program: &str, id: &str) -> TestRequest {
+    TestRequest::post("/kept/x", id, "input")
         .with("luglink-program", program)
         .with("luglink-token-budget", 100_000)
         .with("luglink-token-usage", "100,50")
@@ -46,7 +46,7 @@
     wait_in_vain(gateway, "100,50").await;
     *replica.script.borrow_mut() = Script::Stream;
 
-    let mut refused: Vec<(String, Got)> = Vec::new();
+    let mut refused: Vec<(String, TestResponse)> = Vec::new();
     for number in 0..NEW_PROGRAMS {
         let name = format!("new-{number}");
         let got = turn(&name, &name).send(gateway).await;
@@ -77,7 +77,7 @@
     Features::new(switches, false)
 }
 
-fn large_turn(program: &str, id: &str) -> Ask {
+fn large_turn(program: &str, id: &str) -> TestRequest {
     turn(program, id).with("luglink-token-usage", "600,50")
 }
 
@@ -85,25 +85,25 @@
 const SMALL: &str = "1,50";
 
 /// Such a turn of a program of its own.
-fn small_turn(program: &str) -> Ask {
+fn small_turn(program: &str) -> TestRequest {
     turn(program, program).with("luglink-token-usage", SMALL)
 }
 
 #[actix_rt::test]
 async fn no_program_begins_beyond_the_memory_and_those_under_way_go_on() {
     let replica = Replica::start("r0", Script::StreamEndless).await;
-    let fleet = Fleet::start_deciding(vec![replica.clone()], by_working_set()).await;
+    let fleet = Fleet::start_with_features(vec![replica.clone()], by_working_set()).await;
     fleet.configure(&configuration(1)).await;
     let gateway = fleet.gateway_address;
     let first = large_turn("begun", "begun-1").with("luglink-deadline-ms", 1_500);
     let under_way = actix_rt::spawn(first.send(gateway));
-    until("the first turn runs", || async { replica.requests() == 1 }).await;
+    wait_until("the first turn runs", || async { replica.requests() == 1 }).await;
 
     let refused = large_turn("new", "new-1").send(gateway).await;
     assert_eq!(refused.status, 503);
-    let come_back: f64 = refused.header("retry-after").unwrap().parse().unwrap();
+    let retry_delay: f64 = refused.header("retry-after").unwrap().parse().unwrap();
     // A third of the three seconds that the caller has.
-    assert!(come_back > 0.0 && come_back <= 1.0, "{come_back}");
+    assert!(retry_delay > 0.0 && retry_delay <= 1.0, "{retry_delay}");
     assert_eq!(replica.requests(), 1, "a refused program has run");
 
     // A sub-agent of the program under way needs no leave, and small ones find room.
@@ -114,7 +114,7 @@
     under_way.await.unwrap();
 
     // Once it has ended there is room for the one that was refused.
-    until("there is room again", || async {
+    wait_until("there is room again", || async {
         large_turn("new", "new-1").send(gateway).await.status == 200
     })
     .await;
@@ -123,12 +123,12 @@
 #[actix_rt::test]
 async fn lateness_refuses_nobody_where_the_working_set_decides() {
     let replica = Replica::start("r0", Script::Mute).await;
-    let fleet = Fleet::start_deciding(vec![replica.clone()], by_working_set()).await;
+    let fleet = Fleet::start_with_features(vec![replica.clone()], by_working_set()).await;
     fleet.configure(&configuration(1)).await;
     wait_in_vain(fleet.gateway_address, SMALL).await;
     replica.set(Script::Stream);
     // Those that waited in vain have ended; nothing is under way.
-    until("there is room again", || async {
+    wait_until("there is room again", || async {
         let got = small_turn("after").send(fleet.gateway_address).await;
         got.status == 200
     })
--- a/crates/gateway-server/tests/gateway/placement.rs
+++ b/crates/gateway-server/tests/gateway/placement.rs
@@ -1,6 +1,6 @@
 //! Where programs begin, by what replicas say of themselves.
 
-use crate::support::caller::{Ask, Got};
+use crate::support::caller::{TestRequest, TestResponse};
 use crate::support::replica::{Replica, Script};
 use crate::support::{Fleet, configuration};
 
@@ -13,8 +13,8 @@
 }
 
 /// A turn of a program that brings its own history.
-async fn turn(fleet: &Fleet, program: &str, id: &str) -> Got {
-    let ask = Ask::post("/resumable/x", id, "input")
+async fn turn(fleet: &Fleet, program: &str, id: &str) -> TestResponse {
+    let ask = TestRequest::post("/resumable/x", id, "input")
         .with("luglink-program", program)
         .with("luglink-token-usage", "100,50")
         .with("luglink-token-budget", "500");
@@ -50,8 +50,8 @@
     second.running.set(Some(4));
     let refused = turn(&fleet, "new", "t2").await;
     assert_eq!(refused.status, 503);
-    let come_back: f64 = refused.header("retry-after").unwrap().parse().unwrap();
-    assert!((0.1..2.0).contains(&come_back), "{come_back}");
+    let retry_delay: f64 = refused.header("retry-after").unwrap().parse().unwrap();
+    assert!((0.1..2.0).contains(&retry_delay), "{retry_delay}");
     assert_eq!(turn(&fleet, "begun", "t3").await.status, 200);
     assert_eq!(first.requests() + second.requests(), 2);
     second.running.set(Some(1));
--- a/crates/gateway-server/tests/gateway/programs.rs
+++ b/crates/gateway-server/tests/gateway/programs.rs
@@ -1,8 +1,8 @@
 //! Turns: chains, budgets, streams that break, planned stops and configurations.
 
-use crate::support::caller::{Ask, Got, get, put};
+use crate::support::caller::{TestRequest, TestResponse, get, put};
 use crate::support::replica::{Replica, Script, event};
-use crate::support::{Fleet, configuration, until};
+use crate::support::{Fleet, configuration, wait_until};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
     (fleet, replica)
 }
 
-fn turn(path: &str, id: &str, input: &str) -> Ask {
-    Ask::post(path, id, input)
+fn turn(path: &str, id: &str, input: &str) -> TestRequest {
+    TestRequest::post(path, id, input)
         .with("luglink-program", "program")
         .with("luglink-session", "session")
         .with("luglink-token-usage", "100,50")
@@ -24,7 +24,7 @@
     numbers.map(event).collect()
 }
 
-async fn send(fleet: &Fleet, ask: Ask) -> Got {
+async fn send(fleet: &Fleet, ask: TestRequest) -> TestResponse {
     ask.send(fleet.gateway_address).await
 }
 
@@ -113,7 +113,7 @@
     let ask = |id: &str| turn("/kept/x", id, "x").with("luglink-token-budget", 70);
     assert!(!send(&fleet, ask("t1")).await.is_whole);
     replica.set(Script::Stream);
-    until("10 tokens count, not 50", || async {
+    wait_until("10 tokens count, not 50", || async {
         send(&fleet, ask("t2")).await.status == 200
     })
     .await;
@@ -139,10 +139,10 @@
     let slow = turn("/resumable/x", "t1", "x").with("luglink-deadline-ms", "1500");
     let address = fleet.gateway_address;
     let under_way = actix_rt::spawn(async move { slow.send(address).await });
-    until("it is under way", || async { replica.requests() == 1 }).await;
+    wait_until("it is under way", || async { replica.requests() == 1 }).await;
     let gateway = Rc::clone(&fleet.gateway);
     let stopping = actix_rt::spawn(async move { gateway.stop().await });
-    until("no callers are wanted", || async {
+    wait_until("no callers are wanted", || async {
         get(fleet.ready_address, "/v1/ready").await.status == 503
     })
     .await;
@@ -155,13 +155,13 @@
 #[actix_rt::test]
 async fn callers_are_told_where_to_go() {
     let (fleet, _) = fleet(Script::Answer).await;
-    until("the gateway is named", || async {
+    wait_until("the gateway is named", || async {
         let got = get(fleet.resolution_address, "/v1/gateways?zone=here").await;
         got.status == 200 && got.body.contains(&fleet.gateway_address.to_string())
     })
     .await;
     fleet.gateway.stop().await;
-    until("it is not named any more", || async {
+    wait_until("it is not named any more", || async {
         get(fleet.resolution_address, "/v1/gateways").await.status == 503
     })
     .await;
@@ -179,7 +179,7 @@
     assert!(got.body.contains("routes[0].timeout_ms"), "{}", got.body);
     let cut = put(to, "/v1/configuration", body[..body.len() / 2].to_vec()).await;
     assert_eq!(cut.status, 400);
-    let ask = Ask::get("/safe/x", "one");
+    let ask = TestRequest::get("/safe/x", "one");
     assert_eq!(send(&fleet, ask).await.status, 200);
 }
 
@@ -189,12 +189,20 @@
     let mut newer = configuration(5);
     newer.routes.remove(0);
     fleet.configure(&newer).await;
-    until("the route is gone", || async {
-        send(&fleet, Ask::get("/safe/x", "one")).await.status == 404
+    wait_until("the route is gone", || async {
+        send(&fleet, TestRequest::get("/safe/x", "one"))
+            .await
+            .status
+            == 404
     })
     .await;
     fleet.configure(&configuration(4)).await;
-    assert_eq!(send(&fleet, Ask::get("/safe/x", "two")).await.status, 404);
+    assert_eq!(
+        send(&fleet, TestRequest::get("/safe/x", "two"))
+            .await
+            .status,
+        404
+    );
 }
 
 #[actix_rt::test]
@@ -210,16 +218,26 @@
     assert_eq!(got.status, 503);
     std::fs::remove_file(&taken).unwrap();
     fleet.configure(&configuration(1)).await;
-    assert_eq!(send(&fleet, Ask::get("/safe/x", "one")).await.status, 200);
+    assert_eq!(
+        send(&fleet, TestRequest::get("/safe/x", "one"))
+            .await
+            .status,
+        200
+    );
 }
 
 #[actix_rt::test]
 async fn a_gateway_finds_members_that_its_settings_name_later() {
     let replica = Replica::start("r0", Script::Answer).await;
-    let fleet = Fleet::start_misled(vec![replica]).await;
+    let fleet = Fleet::start_with_unreachable_seeds(vec![replica]).await;
     let ready = get(fleet.ready_address, "/v1/ready").await;
     assert_eq!(ready.status, 503);
     fleet.gateway.add_members(&fleet.member_addresses[..1]);
     fleet.configure(&configuration(1)).await;
-    assert_eq!(send(&fleet, Ask::get("/safe/x", "one")).await.status, 200);
+    assert_eq!(
+        send(&fleet, TestRequest::get("/safe/x", "one"))
+            .await
+            .status,
+        200
+    );
 }
--- a/crates/gateway-server/tests/gateway/replicas.rs
+++ b/crates/gateway-server/tests/gateway/replicas.rs
@@ -1,9 +1,9 @@
 //! Replicas that misbehave: nothing but a whole answer of the request's own reaches a caller as
 //! a success, and nothing that may have run is run again unless it may be.
 
-use crate::support::caller::{Ask, Got, get};
+use crate::support::caller::{TestRequest, TestResponse, get};
 use crate::support::replica::{Replica, Script};
-use crate::support::{Fleet, configuration, until};
+use crate::support::{Fleet, configuration, wait_until};
 
 async fn fleet(scripts: &[Script]) -> (Fleet, Vec<Replica>) {
     let mut replicas = Vec::new();
@@ -19,20 +19,22 @@
     replicas.iter().map(Replica::requests).sum()
 }
 
-async fn ask_unsafe(fleet: &Fleet, id: &str) -> Got {
-    Ask::post("/unsafe/x", id, "body")
+async fn ask_unsafe(fleet: &Fleet, id: &str) -> TestResponse {
+    TestRequest::post("/unsafe/x", id, "body")
         .send(fleet.gateway_address)
         .await
 }
 
-async fn ask_safe(fleet: &Fleet, id: &str) -> Got {
-    Ask::get("/safe/x", id).send(fleet.gateway_address).await
+async fn ask_safe(fleet: &Fleet, id: &str) -> TestResponse {
+    TestRequest::get("/safe/x", id)
+        .send(fleet.gateway_address)
+        .await
 }
 
 #[actix_rt::test]
 async fn an_answer_is_given_on_as_it_is_and_the_request_too() {
     let (fleet, replicas) = fleet(&[Script::Answer]).await;
-    let got = Ask::post("/unsafe/a%20b?c=d", "one", "the body")
+    let got = TestRequest::post("/unsafe/a%20b?c=d", "one", "the body")
         .with("x-own", "kept")
         .with("connection", "x-hop")
         .with("x-hop", "dropped")
@@ -125,7 +127,7 @@
 async fn an_early_answer_leaves_the_rest_of_the_body_as_it_is() {
     let (fleet, replicas) = fleet(&[Script::Early]).await;
     let body = vec![b'x'; 600_000];
-    let got = Ask::post("/unsafe/x", "one", body.clone())
+    let got = TestRequest::post("/unsafe/x", "one", body.clone())
         .send(fleet.gateway_address)
         .await;
     assert_eq!((got.status, got.is_whole), (200, true));
@@ -161,7 +163,7 @@
     let asking = ask_unsafe(&fleet, "patient");
     let making_room = async {
         // Both have said that they have no room.
-        crate::support::until("both were asked", || async {
+        crate::support::wait_until("both were asked", || async {
             replicas.iter().all(|replica| replica.requests() > 0)
         })
         .await;
@@ -175,7 +177,7 @@
 async fn a_replica_that_leaves_gets_nothing_more() {
     let (fleet, replicas) = fleet(&[Script::Answer, Script::Answer]).await;
     replicas[0].is_draining.set(true);
-    crate::support::until("the gateway knows", || async {
+    crate::support::wait_until("the gateway knows", || async {
         let before = replicas[0].requests();
         for number in 0..8 {
             ask_safe(&fleet, &format!("p{number}")).await;
@@ -194,21 +196,21 @@
 async fn a_caller_that_leaves_frees_the_replica() {
     let (fleet, replicas) = fleet(&[Script::Mute]).await;
     let to = fleet.gateway_address;
-    let asking = actix_rt::spawn(Ask::post("/unsafe/x", "one", "body").send(to));
-    crate::support::until("the replica has it", || async {
+    let asking = actix_rt::spawn(TestRequest::post("/unsafe/x", "one", "body").send(to));
+    crate::support::wait_until("the replica has it", || async {
         replicas[0].requests() == 1
     })
     .await;
     // Dropping the task closes the caller's connection.
     asking.abort();
-    crate::support::until("the replica is free", || async {
+    crate::support::wait_until("the replica is free", || async {
         replicas[0].closed.get() == 1
     })
     .await;
     replicas[0].set(Script::StreamEndless);
-    let ask = Ask::post("/resumable/x", "two", "body");
+    let ask = TestRequest::post("/resumable/x", "two", "body");
     ask.send_and_leave(to).await;
-    crate::support::until("the replica is free", || async {
+    crate::support::wait_until("the replica is free", || async {
         replicas[0].closed.get() == 2
     })
     .await;
@@ -217,7 +219,7 @@
 #[actix_rt::test]
 async fn a_silent_replica_costs_a_request_no_more_than_its_time() {
     let (fleet, replicas) = fleet(&[Script::Mute]).await;
-    let got = Ask::get("/safe/x", "one")
+    let got = TestRequest::get("/safe/x", "one")
         .with("luglink-deadline-ms", "1")
         .send(fleet.gateway_address)
         .await;
@@ -237,7 +239,7 @@
     // What may not be repeated waits for the replica that has it, and runs nowhere else.
     replicas[1].set(Script::Mute);
     let before = runs(&replicas);
-    let got = Ask::post("/unsafe/x", "u", "body")
+    let got = TestRequest::post("/unsafe/x", "u", "body")
         .with("luglink-deadline-ms", "900")
         .send(fleet.gateway_address)
         .await;
@@ -245,7 +247,7 @@
     assert_eq!(runs(&replicas), before + 1);
     // At most as many replicas as the route allows, though all are silent.
     let before = runs(&replicas);
-    let got = Ask::get("/safe/x", "both")
+    let got = TestRequest::get("/safe/x", "both")
         .with("luglink-deadline-ms", "1500")
         .send(fleet.gateway_address)
         .await;
@@ -274,13 +276,16 @@
 async fn what_is_not_allowed_is_refused_at_the_door() {
     let (fleet, replicas) = fleet(&[Script::Answer]).await;
     let to = fleet.gateway_address;
-    assert_eq!(Ask::get("/nowhere/x", "one").send(to).await.status, 404);
-    let mut anonymous = Ask::get("/safe/x", "one");
+    assert_eq!(
+        TestRequest::get("/nowhere/x", "one").send(to).await.status,
+        404
+    );
+    let mut anonymous = TestRequest::get("/safe/x", "one");
     anonymous.headers.clear();
     assert_eq!(anonymous.send(to).await.status, 400);
-    let long = Ask::post("/unsafe/x", "two", vec![b'x'; (1 << 20) + 1]);
+    let long = TestRequest::post("/unsafe/x", "two", vec![b'x'; (1 << 20) + 1]);
     assert_eq!(long.send(to).await.status, 413);
-    let wide = Ask::get("/safe/x", "three").with("x-wide", "w".repeat(40_000));
+    let wide = TestRequest::get("/safe/x", "three").with("x-wide", "w".repeat(40_000));
     assert_eq!(wide.send(to).await.status, 431);
     assert_eq!(runs(&replicas), 0);
 }
@@ -293,11 +298,11 @@
     replica.started_ms.set(5);
     let fleet = Fleet::start(vec![replica.clone()]).await;
     fleet.configure(&configuration(1)).await;
-    let ask = |id: &str| Ask::post("/safe/x", id, "").send(fleet.gateway_address);
+    let ask = |id: &str| TestRequest::post("/safe/x", id, "").send(fleet.gateway_address);
     assert_eq!(ask("before").await.status, 200);
     let closed = replica.closed.get();
     replica.started_ms.set(8);
-    until("the connection of before is closed", || async {
+    wait_until("the connection of before is closed", || async {
         replica.closed.get() > closed
     })
     .await;
--- a/crates/gateway-server/tests/gateway/support/caller.rs
+++ b/crates/gateway-server/tests/gateway/support/caller.rs
@@ -11,7 +11,7 @@
 
 /// What a caller got.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Got {
+pub struct TestResponse {
     /// 0 when the connection gave no answer.
     pub status: u16,
     pub headers: BTreeMap<String, String>,
@@ -20,21 +20,21 @@
     pub is_whole: bool,
 }
 
-impl Got {
+impl TestResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 }
 
 /// A request with its headers.
-pub struct Ask {
+pub struct TestRequest {
     pub method: &'static str,
     pub path: String,
     pub headers: Vec<(&'static str, String)>,
     pub body: Vec<u8>,
 }
 
-impl Ask {
+impl TestRequest {
     pub fn get(path: &str, id: &str) -> Self {
         Self {
             method: "GET",
@@ -78,12 +78,12 @@
     }
 
     /// Sends it over a connection of its own.
-    pub async fn send(self, to: SocketAddr) -> Got {
+    pub async fn send(self, to: SocketAddr) -> TestResponse {
         let Ok(mut connection) = connect(to, Duration::from_secs(2)).await else {
-            return Got::default();
+            return TestResponse::default();
         };
         let Ok(response) = connection.send(self.request()).await else {
-            return Got::default();
+            return TestResponse::default();
         };
         let (head, mut incoming) = response.into_parts();
         let mut body: Vec<u8> = Vec::new();
@@ -94,7 +94,7 @@
                 None => break true,
             }
         };
-        Got {
+        TestResponse {
             status: head.status.as_u16(),
             headers: head
                 .headers
@@ -116,13 +116,15 @@
     }
 }
 
-pub async fn get(to: SocketAddr, path: &str) -> Got {
-    Ask::get(path, "check").send(to).await
+pub async fn get(to: SocketAddr, path: &str) -> TestResponse {
+    TestRequest::get(path, "check").send(to).await
 }
 
 /// Follows a redirect, as operators do.
-pub async fn put(to: SocketAddr, path: &str, body: Vec<u8>) -> Got {
-    let got = Ask::post(path, "operator", body.clone()).send(to).await;
+pub async fn put(to: SocketAddr, path: &str, body: Vec<u8>) -> TestResponse {
+    let got = TestRequest::post(path, "operator", body.clone())
+        .send(to)
+        .await;
     let Some(location) = got.header("location").filter(|_| got.status == 307) else {
         return got;
     };
@@ -132,7 +134,11 @@
         .next()
         .and_then(|address| address.parse().ok());
     match address {
-        Some(address) => Ask::post(path, "operator", body).send(address).await,
+        Some(address) => {
+            TestRequest::post(path, "operator", body)
+                .send(address)
+                .await
+        }
         None => got,
     }
 }
--- a/crates/gateway-server/tests/gateway/support/mod.rs
+++ b/crates/gateway-server/tests/gateway/support/mod.rs
@@ -93,12 +93,12 @@
     }
 
     /// A fleet whose gateway is told of members that are not there.
-    pub async fn start_misled(replicas: Vec<Replica>) -> Self {
+    pub async fn start_with_unreachable_seeds(replicas: Vec<Replica>) -> Self {
         Self::start_with(tempfile::tempdir().unwrap(), replicas, true).await
     }
 
     /// A fleet whose gateway takes these decisions under load.
-    pub async fn start_deciding(replicas: Vec<Replica>, features: Features) -> Self {
+    pub async fn start_with_features(replicas: Vec<Replica>, features: Features) -> Self {
         let folder = tempfile::tempdir().unwrap();
         Self::start_as(folder, replicas, false, features).await
     }
@@ -185,12 +185,12 @@
     pub async fn configure(&self, configuration: &Configuration) {
         let body = serde_json::to_vec(configuration).unwrap();
         let put = || caller::put(self.operator_address, "/v1/configuration", body.clone());
-        until("the configuration is taken", || async {
+        wait_until("the configuration is taken", || async {
             put().await.status == 200
         })
         .await;
         let ready = || caller::get(self.ready_address, "/v1/ready");
-        until("the gateway is ready", || async {
+        wait_until("the gateway is ready", || async {
             ready().await.status == 200
         })
         .await;
@@ -242,14 +242,14 @@
         full_at: 0.75,
         features: Features::default(),
         keys_expire_after: Some(KEYS_EXPIRE_AFTER),
-        stop_limit: Duration::from_secs(5),
+        stop_timeout: Duration::from_secs(5),
         held_bytes_limit: HELD_BYTES_LIMIT,
         turn_cache_bytes: 1 << 20,
     }
 }
 
 /// Waits until something holds. The limit only ends a test that would hang.
-pub async fn until<Check>(what: &str, mut holds: impl FnMut() -> Check)
+pub async fn wait_until<Check>(what: &str, mut holds: impl FnMut() -> Check)
 where
     Check: Future<Output = bool>,
 {
--- a/crates/gateway-server/tests/gateway/tenants.rs
+++ b/crates/gateway-server/tests/gateway/tenants.rs
@@ -1,8 +1,8 @@
 //! Callers with keys: who gets in, what replicas are told, what stays apart, and how much.
 
-use crate::support::caller::{Ask, Got};
+use crate::support::caller::{TestRequest, TestResponse};
 use crate::support::replica::{Replica, Script};
-use crate::support::{Fleet, configuration, route, until};
+use crate::support::{Fleet, configuration, route, wait_until};
 use luglink_edge::{ApiKey, Configuration, Quota, RouteKind, Tenant};
 use luglink_types::TenantName;
 
@@ -31,16 +31,16 @@
     (fleet, replica)
 }
 
-fn keyed(ask: Ask, key: &str) -> Ask {
+fn keyed(ask: TestRequest, key: &str) -> TestRequest {
     ask.with("authorization", format!("Bearer {key}"))
 }
 
-async fn send(fleet: &Fleet, ask: Ask) -> Got {
+async fn send(fleet: &Fleet, ask: TestRequest) -> TestResponse {
     ask.send(fleet.gateway_address).await
 }
 
-fn turn(id: &str, key: &str) -> Ask {
-    let ask = Ask::post("/kept/x", id, "input ")
+fn turn(id: &str, key: &str) -> TestRequest {
+    let ask = TestRequest::post("/kept/x", id, "input ")
         .with("luglink-program", "program")
         .with("luglink-token-usage", "100,50");
     keyed(ask, key)
@@ -50,16 +50,16 @@
 async fn without_a_known_key_nothing_runs() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
     replica.set(Script::Answer);
-    let safe = |id: &str| Ask::get("/safe/x", id);
+    let safe = |id: &str| TestRequest::get("/safe/x", id);
     assert_eq!(send(&fleet, safe("a1")).await.status, 401);
     assert_eq!(send(&fleet, keyed(safe("a2"), "other")).await.status, 401);
     let basic = safe("a3").with("authorization", "Basic k1");
     assert_eq!(send(&fleet, basic).await.status, 401);
     assert_eq!(replica.requests(), 0);
     assert_eq!(send(&fleet, keyed(safe("a4"), "k1")).await.status, 200);
-    let public = Ask::get("/public/x", "a5");
+    let public = TestRequest::get("/public/x", "a5");
     assert_eq!(send(&fleet, public).await.status, 200);
-    let nowhere = Ask::get("/nowhere/x", "a6");
+    let nowhere = TestRequest::get("/nowhere/x", "a6");
     assert_eq!(send(&fleet, nowhere).await.status, 404);
 }
 
@@ -70,7 +70,7 @@
     let (fleet, replica) = fleet(vec![ranked, tenant("two", "k2")]).await;
     replica.set(Script::Answer);
     for (name, key, priority) in [("one", "k1", "6"), ("two", "k2", "1")] {
-        let ask = keyed(Ask::get("/safe/x", name), key)
+        let ask = keyed(TestRequest::get("/safe/x", name), key)
             .with("luglink-tenant", "forged")
             .with("luglink-priority", "0")
             .with("luglink-expected-replica", "forged");
@@ -81,7 +81,7 @@
         assert_eq!(seen["luglink-expected-replica"], "r0");
         assert!(!seen.contains_key("authorization"));
     }
-    let public = keyed(Ask::get("/public/x", "a3"), "k1").with("luglink-tenant", "forged");
+    let public = keyed(TestRequest::get("/public/x", "a3"), "k1").with("luglink-tenant", "forged");
     assert_eq!(send(&fleet, public).await.status, 200);
     let seen = replica.last().headers;
     assert!(!seen.contains_key("luglink-tenant"));
@@ -92,7 +92,7 @@
 async fn without_tenants_a_credential_is_passed_on() {
     let (fleet, replica) = fleet(Vec::new()).await;
     replica.set(Script::Answer);
-    let ask = keyed(Ask::get("/safe/x", "a1"), "k1").with("luglink-tenant", "forged");
+    let ask = keyed(TestRequest::get("/safe/x", "a1"), "k1").with("luglink-tenant", "forged");
     assert_eq!(send(&fleet, ask).await.status, 200);
     let seen = replica.last().headers;
     assert_eq!(seen["authorization"], "Bearer k1");
@@ -133,11 +133,11 @@
 async fn a_key_that_is_taken_away_and_one_that_is_added_hold_with_the_next_version() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
     replica.set(Script::Answer);
-    let asks = |key: &'static str| keyed(Ask::get("/safe/x", "a1"), key);
+    let asks = |key: &'static str| keyed(TestRequest::get("/safe/x", "a1"), key);
     assert_eq!(send(&fleet, asks("k1")).await.status, 200);
     let next = with_tenants(2, vec![tenant("one", "k2")]);
     fleet.configure(&next).await;
-    until("the new key holds", || async {
+    wait_until("the new key holds", || async {
         send(&fleet, asks("k2")).await.status == 200
     })
     .await;
@@ -156,7 +156,7 @@
     replica.set(Script::Answer);
     let mut served = 0;
     let refused = loop {
-        let got = send(&fleet, keyed(Ask::get("/safe/x", "a1"), "k1")).await;
+        let got = send(&fleet, keyed(TestRequest::get("/safe/x", "a1"), "k1")).await;
         match got.status {
             200 => served += 1,
             // The stores have not heard a leader yet, or the buckets are still empty.
@@ -166,10 +166,10 @@
         assert!(served <= 6, "more than the quota");
     };
     assert_eq!(refused.status, 429);
-    let come_back: f64 = refused.header("retry-after").unwrap().parse().unwrap();
-    assert!(come_back > 0.0);
+    let retry_delay: f64 = refused.header("retry-after").unwrap().parse().unwrap();
+    assert!(retry_delay > 0.0);
     assert_eq!(replica.requests(), served);
-    let other = keyed(Ask::get("/safe/x", "a2"), "k2");
+    let other = keyed(TestRequest::get("/safe/x", "a2"), "k2");
     assert_eq!(send(&fleet, other).await.status, 200);
 }
 
@@ -177,16 +177,16 @@
 async fn keys_hold_no_longer_than_told_without_a_word_of_the_members() {
     let (mut fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
     replica.set(Script::Answer);
-    let keyed_ask = || keyed(Ask::get("/safe/x", "a1"), "k1");
+    let keyed_ask = || keyed(TestRequest::get("/safe/x", "a1"), "k1");
     assert_eq!(send(&fleet, keyed_ask()).await.status, 200);
     for member in std::mem::take(&mut fleet.members) {
         member.stop().await;
     }
-    until("the key is not relied on any more", || async {
+    wait_until("the key is not relied on any more", || async {
         send(&fleet, keyed_ask()).await.status == 503
     })
     .await;
     // Nobody takes a public route away but a configuration.
-    let public = Ask::get("/public/x", "a2");
+    let public = TestRequest::get("/public/x", "a2");
     assert_eq!(send(&fleet, public).await.status, 200);
 }
--- a/crates/lab/src/sim/control.rs
+++ b/crates/lab/src/sim/control.rs
@@ -149,7 +149,7 @@
             member,
             Input::Request {
                 token,
-                request: Box::new(Request::HandOver),
+                request: Box::new(Request::TransferLeadership),
             },
         );
         let process = self.control[member].process;
--- a/crates/list-client/src/lib.rs
+++ b/crates/list-client/src/lib.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
 use hyper::{Request, StatusCode};
-use luglink_edge::{Dialect, DialectError, PassedOver};
+use luglink_edge::{Dialect, DialectError, SkippedEntries};
 use luglink_fleet::BackendList;
 use luglink_http::{ClientConnection, ConnectError, SendError, connect, empty_body};
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
@@ -73,7 +73,7 @@
 
 /// What to do when the platform says that it is asked too often.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AtRefusal {
+pub enum RateLimitPolicy {
     /// Ask for the same page after a growing pause: this reader reads for all others.
     Wait,
     /// Give the reading up: others may read as well.
@@ -88,13 +88,13 @@
     /// Calls that it took.
     pub pages: u32,
     /// Entries that name no replica to use.
-    pub passed_over: u32,
+    pub skipped_entries: u32,
 }
 
 impl ListError {
     /// Whether the platform said that it is asked too often.
     #[must_use]
-    pub fn is_refusal(&self) -> bool {
+    pub fn is_rate_limited(&self) -> bool {
         matches!(self, Self::Refused { status } if *status == StatusCode::TOO_MANY_REQUESTS)
     }
 }
@@ -124,7 +124,7 @@
         &mut self,
         dialect: &dyn Dialect,
         limit: Duration,
-        at_refusal: AtRefusal,
+        at_refusal: RateLimitPolicy,
     ) -> Result<Fetched, ListError> {
         let reading = self.fetch_pages(dialect, limit, at_refusal);
         let fetched = actix_rt::time::timeout(limit, reading).await;
@@ -140,17 +140,19 @@
         &mut self,
         dialect: &dyn Dialect,
         limit: Duration,
-        at_refusal: AtRefusal,
+        at_refusal: RateLimitPolicy,
     ) -> Result<Fetched, ListError> {
         let mut pause = FIRST_REFUSAL_PAUSE;
         let mut backends = Vec::new();
-        let mut passed_over = 0_u32;
+        let mut skipped_entries = 0_u32;
         let mut next = None;
         for pages in 1..=MAX_PAGES {
             let path = dialect.list_path(next.as_deref());
             let content = loop {
                 match self.fetch_page(&path, limit).await {
-                    Err(error) if error.is_refusal() && at_refusal == AtRefusal::Wait => {
+                    Err(error)
+                        if error.is_rate_limited() && at_refusal == RateLimitPolicy::Wait =>
+                    {
                         actix_rt::time::sleep(pause).await;
                         pause = (pause * 2).min(LONGEST_REFUSAL_PAUSE);
                     }
@@ -158,8 +160,8 @@
                 }
             };
             let page = dialect.backend_page(&content)?;
-            log_passed_over(&page.passed_over, &path);
-            passed_over = passed_over.saturating_add(page.passed_over.count);
+            log_passed_over(&page.skipped_entries, &path);
+            skipped_entries = skipped_entries.saturating_add(page.skipped_entries.count);
             backends.extend(page.backends);
             match page.next {
                 Some(token) => next = Some(token),
@@ -168,7 +170,7 @@
                     return Ok(Fetched {
                         list,
                         pages,
-                        passed_over,
+                        skipped_entries,
                     });
                 }
             }
@@ -198,9 +200,9 @@
 }
 
 /// Writes one line for all entries of a page that were passed over.
-fn log_passed_over(passed_over: &PassedOver, path: &str) {
-    if let Some(first_reason) = &passed_over.first_reason {
-        let count = passed_over.count;
+fn log_passed_over(skipped_entries: &SkippedEntries, path: &str) {
+    if let Some(first_reason) = &skipped_entries.first_reason {
+        let count = skipped_entries.count;
         tracing::warn!(path, count, first_reason, "entries of the list passed over");
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -31,4 +31,4 @@
 pub use bucket::TokenBucket;
 pub use limit::{Limit, Tolerance};
 pub use owner::{FRESH_FOR, QuotaOwner};
-pub use protocol::{Purpose, QuotaAnswer, QuotaAsk};
+pub use protocol::{Purpose, QuotaRequest, QuotaResponse};
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -2,7 +2,7 @@
 
 use crate::bucket::TokenBucket;
 use crate::limit::{Limit, Tolerance};
-use crate::protocol::{Purpose, QuotaAnswer, QuotaAsk};
+use crate::protocol::{Purpose, QuotaRequest, QuotaResponse};
 use luglink_fleet::{StoreName, StoreView, owners};
 use luglink_types::{TenantName, Timestamp};
 use std::collections::HashMap;
@@ -87,17 +87,17 @@
     }
 
     /// Notes the word of a control member that hears its leader.
-    pub fn note_fresh(&mut self, now: Timestamp) {
+    pub fn note_leader_contact(&mut self, now: Timestamp) {
         self.fresh_at = self.fresh_at.max(Some(now));
     }
 
     /// Answers a gateway.
-    pub fn answer(&mut self, ask: &QuotaAsk, now: Timestamp) -> QuotaAnswer {
+    pub fn answer(&mut self, ask: &QuotaRequest, now: Timestamp) -> QuotaResponse {
         let is_fresh = self
             .fresh_at
             .is_some_and(|fresh_at| now.since(fresh_at) <= FRESH_FOR);
         let Some(since) = self.owned_since(&ask.tenant).filter(|_| is_fresh) else {
-            return QuotaAnswer::NotOwner;
+            return QuotaResponse::NotOwner;
         };
         let (owners, tolerance) = (self.owners, self.tolerance);
         self.make_room(now);
@@ -149,15 +149,15 @@
         tolerance: Tolerance,
         owners: usize,
         now: Timestamp,
-    ) -> QuotaAnswer {
+    ) -> QuotaResponse {
         let depth = self.limit.owner_depth(tolerance, owners);
         let reserve = match purpose {
             Purpose::Begins => RESERVE_SHARE * (depth - 1.0),
             Purpose::Continues => 0.0,
         };
         match self.bucket.take(reserve, now) {
-            Ok(()) => QuotaAnswer::Granted,
-            Err(wait) => QuotaAnswer::Denied {
+            Ok(()) => QuotaResponse::Granted,
+            Err(wait) => QuotaResponse::Denied {
                 come_back_ms: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
             },
         }
--- a/crates/quota/src/protocol.rs
+++ b/crates/quota/src/protocol.rs
@@ -16,7 +16,7 @@
 
 /// Asks for a token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct QuotaAsk {
+pub struct QuotaRequest {
     /// The tenant.
     pub tenant: TenantName,
     /// Its limit, as the gateway knows it.
@@ -27,7 +27,7 @@
 
 /// What an owner answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum QuotaAnswer {
+pub enum QuotaResponse {
     /// The request may go.
     Granted,
     /// The owner has no token left for it.
--- a/crates/quota/tests/invariant.rs
+++ b/crates/quota/tests/invariant.rs
@@ -2,7 +2,9 @@
 //! links and views.
 
 use luglink_fleet::{StoreMember, StoreName, StoreState, StoreView};
-use luglink_quota::{FRESH_FOR, Limit, Purpose, QuotaAnswer, QuotaAsk, QuotaOwner, Tolerance};
+use luglink_quota::{
+    FRESH_FOR, Limit, Purpose, QuotaOwner, QuotaRequest, QuotaResponse, Tolerance,
+};
 use luglink_types::{TenantName, Timestamp};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -149,7 +151,7 @@
                 // The question that this answer belongs to came a hold ago.
                 let asked = self.now.since(Timestamp::ZERO).saturating_sub(LONGEST_HOLD);
                 self.heard[store] = Timestamp::ZERO.plus(asked);
-                self.owners[store].note_fresh(self.now);
+                self.owners[store].note_leader_contact(self.now);
             }
         }
         self.change_view();
@@ -193,7 +195,7 @@
     }
 
     fn ask(&mut self, times: u32, limit: Limit, purpose: Purpose) {
-        let ask = QuotaAsk {
+        let ask = QuotaRequest {
             tenant: tenant(),
             limit,
             purpose,
@@ -203,7 +205,7 @@
                 let owners = QuotaOwner::owners_of(&self.gateway_views[gateway], &tenant(), OWNERS);
                 let granted = owners.iter().any(|owner| {
                     let store = (0..STORES).find(|store| name(*store) == *owner).unwrap();
-                    self.owners[store].answer(&ask, self.now) == QuotaAnswer::Granted
+                    self.owners[store].answer(&ask, self.now) == QuotaResponse::Granted
                 });
                 if granted {
                     self.granted.push(self.now);
@@ -340,19 +342,19 @@
 fn a_store_without_word_of_a_leader_gives_nothing() {
     let mut store = owner(0);
     store.set_view(view(1, &[true]), Timestamp::ZERO);
-    let ask = QuotaAsk {
+    let ask = QuotaRequest {
         tenant: tenant(),
         limit: limit(1, 10.0, 10.0),
         purpose: Purpose::Continues,
     };
     let heard = Timestamp::from_millis(60_000);
-    assert_eq!(store.answer(&ask, heard), QuotaAnswer::NotOwner);
-    store.note_fresh(heard);
-    assert_eq!(store.answer(&ask, heard), QuotaAnswer::Granted);
+    assert_eq!(store.answer(&ask, heard), QuotaResponse::NotOwner);
+    store.note_leader_contact(heard);
+    assert_eq!(store.answer(&ask, heard), QuotaResponse::Granted);
     let last = heard.plus(FRESH_FOR);
-    assert_eq!(store.answer(&ask, last), QuotaAnswer::Granted);
+    assert_eq!(store.answer(&ask, last), QuotaResponse::Granted);
     let late = last.plus(Duration::from_millis(1));
-    assert_eq!(store.answer(&ask, late), QuotaAnswer::NotOwner);
+    assert_eq!(store.answer(&ask, late), QuotaResponse::NotOwner);
 }
 
 #[test]
@@ -360,19 +362,19 @@
     let mut store = QuotaOwner::new(name(0), 1, STRICT);
     store.set_view(view(1, &[true]), Timestamp::ZERO);
     let now = Timestamp::from_millis(60_000);
-    store.note_fresh(now);
+    store.note_leader_contact(now);
     let mut counts = BTreeMap::new();
     for (label, purpose) in [
         ("begins", Purpose::Begins),
         ("continues", Purpose::Continues),
     ] {
-        let ask = QuotaAsk {
+        let ask = QuotaRequest {
             tenant: tenant(),
             limit: limit(1, 1.0, 21.0),
             purpose,
         };
         let mut granted = 0;
-        while store.answer(&ask, now) == QuotaAnswer::Granted {
+        while store.answer(&ask, now) == QuotaResponse::Granted {
             granted += 1;
         }
         counts.insert(label, granted);
@@ -385,17 +387,17 @@
     let mut store = QuotaOwner::new(name(0), 1, STRICT);
     store.set_view(view(1, &[true]), Timestamp::ZERO);
     let now = Timestamp::from_millis(60_000);
-    store.note_fresh(now);
-    let ask = QuotaAsk {
+    store.note_leader_contact(now);
+    let ask = QuotaRequest {
         tenant: tenant(),
         limit: limit(1, 4.0, 1.0),
         purpose: Purpose::Continues,
     };
-    assert_eq!(store.answer(&ask, now), QuotaAnswer::Granted);
+    assert_eq!(store.answer(&ask, now), QuotaResponse::Granted);
     assert_eq!(
         store.answer(&ask, now),
-        QuotaAnswer::Denied { come_back_ms: 250 }
+        QuotaResponse::Denied { come_back_ms: 250 }
     );
     let later = now.plus(Duration::from_millis(250));
-    assert_eq!(store.answer(&ask, later), QuotaAnswer::Granted);
+    assert_eq!(store.answer(&ask, later), QuotaResponse::Granted);
 }
--- a/crates/scheduling/benches/pool.rs
+++ b/crates/scheduling/benches/pool.rs
@@ -4,8 +4,8 @@
 //! figures of the code before the index and after it stand in `docs/CAPACITY.md`.
 
 use divan::{Bencher, black_box};
-use luglink_fleet::{Backend, BackendId, BackendList, Incarnation, Sights};
-use luglink_scheduling::{Pool, Reach, Wish, Work};
+use luglink_fleet::{Backend, BackendId, BackendList, Incarnation, StatsReport};
+use luglink_scheduling::{CandidateScope, Pool, RoutingRequest, Work};
 use luglink_types::Timestamp;
 
 const REPLICAS: [usize; 4] = [100, 1_000, 10_000, 20_000];
@@ -49,10 +49,10 @@
     let mut draw = 0;
     bencher.bench_local(|| {
         draw += 1;
-        let wish = Wish {
+        let wish = RoutingRequest {
             service: "plain",
             draw,
-            ..Wish::default()
+            ..RoutingRequest::default()
         };
         pool.choose(black_box(&wish), |_| false, Timestamp::ZERO)
     });
@@ -63,14 +63,14 @@
     let mut pool = pool(replicas);
     pool.set_expected_finish(true);
     let now = Timestamp::from_millis(1);
-    pool.take_view(&Sights::default(), now);
+    pool.set_zone_view(&StatsReport::default(), now);
     for number in 0..64 {
         pool.note_connected(&BackendId(format!("i-{:08x}", number * ZONES.len())));
     }
     let mut draw = 0;
     bencher.bench_local(|| {
         draw += 1;
-        let wish = Wish {
+        let wish = RoutingRequest {
             service: "llm",
             draw,
             work: Some(Work {
@@ -79,7 +79,7 @@
                 tokens_per_event: 6,
                 ..Work::default()
             }),
-            ..Wish::default()
+            ..RoutingRequest::default()
         };
         pool.choose(black_box(&wish), |_| true, now)
     });
@@ -91,7 +91,7 @@
     let mut program = 0;
     bencher.bench_local(|| {
         program += 1;
-        pool.candidates("llm", program, Reach::Home, 2, Timestamp::ZERO)
+        pool.candidates("llm", program, CandidateScope::Home, 2, Timestamp::ZERO)
     });
 }
 
--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -72,7 +72,7 @@
 
 /// The engines' room for the callers of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Tokens of memory.
     pub tokens: f64,
     /// Requests that are worked on at once.
@@ -92,11 +92,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetDemand {
     /// Tokens that they need in memory at once from now until they end.
-    pub tokens_under_way: f64,
+    pub peak_tokens: f64,
     /// Programs, those that pause included.
-    pub programs_under_way: f64,
+    pub active_programs: f64,
     /// Their turns under way.
-    pub requests_under_way: f64,
+    pub requests_in_flight: f64,
     /// Age of the oldest figure in it.
     pub age: Duration,
 }
@@ -130,9 +130,9 @@
 
     fn of(demand: &OwnDemand, age: Duration) -> Self {
         Self {
-            tokens_under_way: demand.peak(),
-            programs_under_way: demand.programs,
-            requests_under_way: demand.requests,
+            peak_tokens: demand.peak(),
+            active_programs: demand.programs,
+            requests_in_flight: demand.requests,
             age,
         }
     }
@@ -140,7 +140,7 @@
 
 /// A program that has not begun.
 #[derive(Clone, Copy, Debug)]
-pub struct Newcomer<'request> {
+pub struct NewProgram<'request> {
     /// Stands for the program, the same on each try and at each gateway.
     pub place: u64,
     /// Its route.
@@ -159,7 +159,7 @@
 
 /// Why a program is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ShortOf {
+pub enum Shortage {
     /// The engines' memory.
     Memory,
     /// The engines' slots.
@@ -168,7 +168,7 @@
     FairShare,
 }
 
-impl ShortOf {
+impl Shortage {
     /// Its name in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -182,9 +182,9 @@
 
 /// Whether a program may begin.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct AdmissionDecision {
     /// What is too short, when it may not.
-    pub refused_for: Option<ShortOf>,
+    pub refused_for: Option<Shortage>,
     /// How full its kind's room is; above 1 nobody of the kind is let in.
     pub fullness: f64,
     /// Share of its kind that is let in.
@@ -192,10 +192,10 @@
     /// Share of its tenant's programs that is let in.
     pub tenant_share: f64,
     /// When it may come back, if it is refused.
-    pub come_back: Duration,
+    pub retry_delay: Duration,
 }
 
-impl Entry {
+impl AdmissionDecision {
     /// Whether fewer of its tenant's programs are let in than of others.
     #[must_use]
     pub fn is_above_fair_share(&self) -> bool {
@@ -212,33 +212,33 @@
 
 /// Lets new programs of a service in.
 #[derive(Clone, Debug, Default)]
-pub struct ProgramIntake {
+pub struct ProgramAdmission {
     /// When each kind was last asked for.
     kinds: BTreeMap<u8, Timestamp>,
     refused: HashMap<u64, Refused>,
     tenants: BTreeMap<u8, TenantDemands>,
 }
 
-impl ProgramIntake {
+impl ProgramAdmission {
     /// Whether a program may begin. With `fair_shares`, who asks for more than its fair share is
     /// refused before the others.
     pub fn admit(
         &mut self,
-        newcomer: &Newcomer<'_>,
-        room: Room,
+        newcomer: &NewProgram<'_>,
+        room: Capacity,
         demand: &FleetDemand,
         fair_shares: bool,
         now: Timestamp,
-    ) -> Entry {
+    ) -> AdmissionDecision {
         let priority = newcomer.route.priority;
         self.kinds.insert(priority, now);
         let limit = self.limit(priority, now);
         let memory = fullness(
-            demand.tokens_under_way,
+            demand.peak_tokens,
             newcomer.prompt_tokens as f64,
             room.tokens,
         );
-        let slots = fullness(demand.requests_under_way, 1.0, room.slots);
+        let slots = fullness(demand.requests_in_flight, 1.0, room.slots);
         let fullness = memory.max(slots) / limit;
         let share = share_at(fullness);
         let tenant_share = self.tenant_share(newcomer, fullness, fair_shares, now);
@@ -252,17 +252,17 @@
         };
         let refused_for = match (is_admitted, place < share) {
             (true, _) => None,
-            (false, true) => Some(ShortOf::FairShare),
-            (false, false) if memory >= slots => Some(ShortOf::Memory),
-            (false, false) => Some(ShortOf::Slots),
+            (false, true) => Some(Shortage::FairShare),
+            (false, false) if memory >= slots => Some(Shortage::Memory),
+            (false, false) => Some(Shortage::Slots),
         };
         self.remember(newcomer.place, is_admitted, now);
-        Entry {
+        AdmissionDecision {
             refused_for,
             fullness,
             share,
             tenant_share,
-            come_back: come_back(newcomer, fullness),
+            retry_delay: retry_delay(newcomer, fullness),
         }
     }
 
@@ -276,7 +276,7 @@
 
     fn tenant_share(
         &mut self,
-        newcomer: &Newcomer<'_>,
+        newcomer: &NewProgram<'_>,
         fullness: f64,
         fair_shares: bool,
         now: Timestamp,
@@ -360,7 +360,7 @@
 
 /// When room is expected: programs end at the rate of one lifetime, until those that are too many
 /// have.
-fn come_back(newcomer: &Newcomer<'_>, fullness: f64) -> Duration {
+fn retry_delay(newcomer: &NewProgram<'_>, fullness: f64) -> Duration {
     let too_many = (1.0 - SHORT_FROM / fullness.max(SHORT_FROM)).max(0.0);
     let room_in = newcomer.lifetime.mul_f64(too_many);
     let spread = room_in.max(SHORTEST_PAUSE).mul_f64(0.5 + newcomer.spread);
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -25,21 +25,23 @@
 mod waits;
 mod zone_trend;
 
-pub use admission::{Entry, FleetDemand, Newcomer, ProgramIntake, Room, ShortOf, ZoneRequests};
+pub use admission::{
+    AdmissionDecision, Capacity, FleetDemand, NewProgram, ProgramAdmission, Shortage, ZoneRequests,
+};
 pub use answer_lengths::AnswerLengths;
 pub use features::Features;
 pub use finish::{Expected, ReplicaState, SharedPart, Work, batch_factor, expect};
 pub use held_bytes::{Growth, HeldBound, HeldBytes, HeldCut, HolderId};
-pub use load_shedding::{Intake, LoadShedder};
+pub use load_shedding::{LoadShedder, ShedDecision};
 pub use load_view::{AgedSight, LoadView, VIEW_STALE_AFTER};
 pub use moves::{
-    Awaited, ExtraSends, MoveDecision, Reruns, Restart, Stay, UsualWait, Waiting, decide_move,
-    hedge_after, is_hopeless,
+    AwaitedEvent, ExtraSends, MoveDecision, RerunLimits, Restart, Stay, WaitQuantiles, Waiting,
+    cannot_meet_deadline, decide_move, hedge_after,
 };
-pub use patience::{room_patience, room_pause, start_patience};
+pub use patience::{capacity_retry_delay, max_capacity_wait, max_startup_wait};
 pub use placement::{Placement, place, place_soonest};
-pub use pool::{Choice, Extent, Grounds, Leaving, Pool, Reach, Wish};
-pub use program_table::{OwnDemand, ProgramTable, TurnBegins};
+pub use pool::{CandidateScope, Choice, ChoiceBasis, Extent, Leaving, Pool, RoutingRequest};
+pub use program_table::{OwnDemand, ProgramTable, TurnStarted};
 pub use prompt_parts::PromptParts;
 pub use shares::{Demand, TenantDemands, max_min_shares};
 pub use usual::Usual;
--- a/crates/scheduling/src/load_shedding.rs
+++ b/crates/scheduling/src/load_shedding.rs
@@ -47,13 +47,13 @@
 
 /// Whether a new program is let in.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Intake {
+pub enum ShedDecision {
     /// It may begin.
     Admit,
     /// It is refused for the sake of those that have begun.
     Refuse {
         /// When it is likely to be let in.
-        come_back: Duration,
+        retry_delay: Duration,
         /// Share of the route's new programs that is let in now.
         share: f64,
         /// Share of late first events that this goes back to.
@@ -91,16 +91,16 @@
 
     /// Whether a program that has not begun yet may begin. `draw` stands for the program; equal
     /// draws are treated alike.
-    pub fn admit(&mut self, route: &Route, draw: u64, now: Timestamp) -> Intake {
+    pub fn admit(&mut self, route: &Route, draw: u64, now: Timestamp) -> ShedDecision {
         let load = self.load(route, now);
         // The upper half of the draw as a number from 0 to 1.
         let place = (draw >> 32) as f64 / f64::from(u32::MAX);
         if place <= load.share {
-            return Intake::Admit;
+            return ShedDecision::Admit;
         }
         let intervals = ((place - load.share) / INCREASE).ceil().max(1.0);
-        Intake::Refuse {
-            come_back: ADJUST_INTERVAL.mul_f64(intervals).min(LONGEST_PAUSE),
+        ShedDecision::Refuse {
+            retry_delay: ADJUST_INTERVAL.mul_f64(intervals).min(LONGEST_PAUSE),
             share: load.share,
             late: load.late,
         }
--- a/crates/scheduling/src/load_view.rs
+++ b/crates/scheduling/src/load_view.rs
@@ -3,7 +3,7 @@
 //! Answers the load of replicas that turn slow or silent for seconds, while each gateway has too
 //! few answers of each to notice.
 
-use luglink_fleet::{BackendId, ReplicaKey, ReplicaSight, Sights};
+use luglink_fleet::{BackendId, ReplicaKey, ReplicaStats, StatsReport};
 use luglink_types::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AgedSight {
     /// What was seen.
-    pub sight: ReplicaSight,
+    pub sight: ReplicaStats,
     /// Time since the sum was taken.
     pub age: Duration,
 }
@@ -27,7 +27,7 @@
 /// What the gateways of the zone saw together, as a member told it last.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
-    sights: HashMap<ReplicaKey, ReplicaSight>,
+    replica_stats: HashMap<ReplicaKey, ReplicaStats>,
     taken_at: Timestamp,
     /// Requests at each replica, averaged over the time that its pauses are measured in.
     usual_requests: HashMap<ReplicaKey, f64>,
@@ -35,17 +35,17 @@
 
 impl LoadView {
     /// Takes a newer sum in place of the one before.
-    pub fn take(&mut self, sights: &Sights, now: Timestamp) {
+    pub fn take(&mut self, replica_stats: &StatsReport, now: Timestamp) {
         let weight = self.weight_of_new(now);
-        let usual = sights.0.iter().map(|sight| {
+        let usual = replica_stats.0.iter().map(|sight| {
             let requests = f64::from(sight.in_flight_tenths) / 10.0;
             let before = self.usual_requests.get(&sight.replica);
             let before = before.copied().unwrap_or(requests);
             (sight.replica, before + weight * (requests - before))
         });
         self.usual_requests = usual.collect();
-        let entries = sights.0.iter().map(|sight| (sight.replica, *sight));
-        self.sights = entries.collect();
+        let entries = replica_stats.0.iter().map(|sight| (sight.replica, *sight));
+        self.replica_stats = entries.collect();
         self.taken_at = now;
     }
 
@@ -77,7 +77,7 @@
     #[must_use]
     pub fn sight(&self, id: &BackendId, now: Timestamp) -> Option<AgedSight> {
         let age = self.age(now);
-        let sight = *self.sights.get(&ReplicaKey::of(id))?;
+        let sight = *self.replica_stats.get(&ReplicaKey::of(id))?;
         (age < VIEW_STALE_AFTER).then_some(AgedSight { sight, age })
     }
 }
--- a/crates/scheduling/src/moves.rs
+++ b/crates/scheduling/src/moves.rs
@@ -46,14 +46,14 @@
 
 /// What waits of a route are like.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct UsualWait {
+pub struct WaitQuantiles {
     /// Half of them are over by then.
     pub median: Duration,
     /// [`USUAL_SHARE`] of them are over by then.
     pub usual: Duration,
 }
 
-impl UsualWait {
+impl WaitQuantiles {
     /// Whether a wait for a first event is unusual.
     #[must_use]
     pub fn is_exceeded_by(&self, wait: Duration) -> bool {
@@ -83,7 +83,7 @@
 
 impl Restart {
     /// Time until the first event of another replica.
-    fn time(&self, wait: &UsualWait) -> Duration {
+    fn time(&self, wait: &WaitQuantiles) -> Duration {
         let step = self.step.unwrap_or(DEFAULT_STEP);
         let reading = step.mul_f64(self.tokens as f64 / TOKENS_READ_PER_STEP);
         wait.median + CONNECTING + reading
@@ -92,7 +92,7 @@
 
 /// Who may get a request yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reruns {
+pub struct RerunLimits {
     /// Whether it may run more than once.
     pub is_repeatable: bool,
     /// Replicas that may have run it, the one at which it waits included.
@@ -100,12 +100,12 @@
     /// The most that may.
     pub max_attempts: u32,
     /// Whether there is a replica that it was not sent to.
-    pub has_other: bool,
+    pub has_untried_replica: bool,
 }
 
 /// What a request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Awaited {
+pub enum AwaitedEvent {
     /// The first event of its answer.
     FirstEvent {
         /// Time until its program should be over, counted from when it was sent.
@@ -126,19 +126,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Waiting {
     /// What for.
-    pub awaited: Awaited,
+    pub awaited: AwaitedEvent,
     /// For how long already.
     pub waited: Duration,
     /// Time until nobody wants its answer any more.
     pub left: Duration,
     /// Waits for first events of its route.
-    pub first_event: UsualWait,
+    pub first_event: WaitQuantiles,
     /// Share of the latest waits of its route that were unusual.
-    pub unusual_share: f64,
+    pub outlier_ratio: f64,
     /// What starting anew takes.
     pub restart: Restart,
     /// Who may get it.
-    pub reruns: Reruns,
+    pub reruns: RerunLimits,
 }
 
 /// Why a request stays, and does so to its end.
@@ -202,7 +202,7 @@
     if waiting.waited < from {
         return MoveDecision::WaitOn(from - waiting.waited);
     }
-    if !reruns.has_other || waiting.unusual_share > FEW_UNUSUAL {
+    if !reruns.has_untried_replica || waiting.outlier_ratio > FEW_UNUSUAL {
         return MoveDecision::WaitOn(LOOK_AGAIN);
     }
     MoveDecision::Move {
@@ -214,7 +214,7 @@
 fn unusual_from(waiting: &Waiting, elsewhere: Duration) -> Duration {
     let usual = waiting.first_event.usual;
     match waiting.awaited {
-        Awaited::FirstEvent { program } => {
+        AwaitedEvent::FirstEvent { program } => {
             let worth_it = usual.mul_f64(UNUSUAL_TIMES).max(elsewhere);
             // The last moment at which the program would still be in time; none when it is late
             // in any case.
@@ -223,7 +223,7 @@
             let earliest = usual.mul_f64(URGENT_TIMES);
             worth_it.min(last.max(earliest)).max(SHORTEST_UNUSUAL)
         }
-        Awaited::NextEvent {
+        AwaitedEvent::NextEvent {
             longest,
             usual: pause,
             bearable,
@@ -239,7 +239,7 @@
 /// Whether a request that has `left` cannot be answered by any replica: even the quickest first
 /// events of its route take longer. Nothing is refused while they are not known.
 #[must_use]
-pub fn is_hopeless(left: Duration, quickest: Option<Duration>) -> bool {
+pub fn cannot_meet_deadline(left: Duration, quickest: Option<Duration>) -> bool {
     quickest.is_some_and(|quickest| left < quickest)
 }
 
--- a/crates/scheduling/src/patience.rs
+++ b/crates/scheduling/src/patience.rs
@@ -16,7 +16,7 @@
 /// How long a request waits for a gateway that has just started and does not know its
 /// configuration yet. `allowed` is the time that its caller gives it, when that is known.
 #[must_use]
-pub fn start_patience(allowed: Option<Duration>) -> Duration {
+pub fn max_startup_wait(allowed: Option<Duration>) -> Duration {
     allowed.map_or(LONGEST_START_PATIENCE, |allowed| {
         LONGEST_START_PATIENCE.min(allowed.mul_f64(PATIENCE_SHARE))
     })
@@ -31,13 +31,13 @@
 
 /// How long a request waits for room at the replicas, in all, counted from its arrival.
 #[must_use]
-pub fn room_patience(allowed: Duration) -> Duration {
+pub fn max_capacity_wait(allowed: Duration) -> Duration {
     allowed.mul_f64(PATIENCE_SHARE)
 }
 
 /// The pause before the replicas are tried again, after `pauses` of them.
 #[must_use]
-pub fn room_pause(pauses: u32) -> Duration {
+pub fn capacity_retry_delay(pauses: u32) -> Duration {
     let doubled = FIRST_ROOM_PAUSE.saturating_mul(2_u32.saturating_pow(pauses.min(16)));
     doubled.min(LONGEST_ROOM_PAUSE)
 }
--- a/crates/scheduling/src/placement.rs
+++ b/crates/scheduling/src/placement.rs
@@ -12,7 +12,7 @@
         /// How full the emptiest of them is.
         fullness: f64,
         /// When to come back.
-        come_back: Duration,
+        retry_delay: Duration,
     },
 }
 
@@ -40,7 +40,7 @@
         Some((position, fullness)) if fullness < limit => Placement::At(position),
         Some((_, fullness)) => Placement::Refuse {
             fullness,
-            come_back: ROOM_INTERVAL.mul_f64(0.5 + fullness.min(4.0) * (0.5 + spread)),
+            retry_delay: ROOM_INTERVAL.mul_f64(0.5 + fullness.min(4.0) * (0.5 + spread)),
         },
     }
 }
--- a/crates/scheduling/src/pool/by_finish.rs
+++ b/crates/scheduling/src/pool/by_finish.rs
@@ -6,7 +6,7 @@
 use super::index::ServiceIndex;
 use super::record::Record;
 use super::step_mean::faded;
-use super::{Candidate, Choice, Pool, Reach, Wish, home_rank};
+use super::{Candidate, CandidateScope, Choice, Pool, RoutingRequest, home_rank};
 use crate::finish::{Expected, ReplicaState, Work, batch_factor, expect};
 use luglink_fleet::{Backend, BackendId};
 use luglink_types::Timestamp;
@@ -74,7 +74,7 @@
 
 /// What a choice by expected finish went by.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Grounds {
+pub struct ChoiceBasis {
     /// What is expected of the chosen replica.
     pub expected: Expected,
     /// Set when the turn leaves the replica that holds its prompt.
@@ -120,7 +120,7 @@
     /// Whether replicas are chosen by expected finish now. Without a view of the present a gateway
     /// of a fleet takes nearly all replicas for typical ones, and the plain way knows more.
     #[must_use]
-    pub fn goes_by_finish(&self, now: Timestamp) -> bool {
+    pub fn uses_expected_finish(&self, now: Timestamp) -> bool {
         self.by_finish && self.view.is_fresh(now)
     }
 
@@ -151,7 +151,7 @@
         let mut all: Vec<Candidate<'_>> = self.used_of(service).collect();
         all.retain(|other| other.backend.id != *id);
         all.push(candidate);
-        self.weigh(all, work, &Wish::default(), now).pop()
+        self.weigh(all, work, &RoutingRequest::default(), now).pop()
     }
 
     fn used_of<'pool>(
@@ -166,7 +166,7 @@
         &self,
         sound: Vec<Candidate<'_>>,
         work: &Work,
-        wish: &Wish<'_>,
+        wish: &RoutingRequest<'_>,
         is_connected: impl Fn(&BackendId) -> bool,
         now: Timestamp,
     ) -> Option<Choice> {
@@ -192,7 +192,7 @@
         Some(Choice {
             backend: chosen.candidate.backend.clone(),
             in_flight: chosen.candidate.record.in_flight,
-            grounds: Some(Grounds {
+            basis: Some(ChoiceBasis {
                 expected: chosen.expected,
                 leaving,
                 view_age: self.view.age(now),
@@ -204,7 +204,7 @@
         &self,
         candidates: Vec<Candidate<'pool>>,
         work: &Work,
-        wish: &Wish<'_>,
+        wish: &RoutingRequest<'_>,
         now: Timestamp,
     ) -> Vec<Weighed<'pool>> {
         let known: Vec<Known> = candidates
@@ -259,10 +259,10 @@
         let since = own_in_flight - f64::from(record.in_flight_at_view);
         let requests = (f64::from(sight.in_flight_tenths) / 10.0 + since).max(own_in_flight);
         let pause = (samples >= ENOUGH_SAMPLES).then(|| f64::from(sight.step_micros) / 1e6);
-        let troubles = f64::from(sight.troubles_tenths) / 10.0 * faded(aged.age, VIEW_HALF_LIFE);
+        let troubles = f64::from(sight.failures_tenths) / 10.0 * faded(aged.age, VIEW_HALF_LIFE);
         let answers = samples / work.events.max(1.0) + ASSUMED_ANSWERS;
         let share = troubles / (troubles + answers);
-        let is_certain = sight.witnesses >= ENOUGH_WITNESSES || own_trouble > 0.0;
+        let is_certain = sight.reporting_gateways >= ENOUGH_WITNESSES || own_trouble > 0.0;
         let weight = if is_certain { 1.0 } else { LONE_WITNESS_SHARE };
         Known {
             requests: is_near.then_some(requests),
@@ -278,7 +278,7 @@
         known: Known,
         typical: Typical,
         work: &Work,
-        wish: &Wish<'_>,
+        wish: &RoutingRequest<'_>,
         now: Timestamp,
     ) -> ReplicaState {
         let Candidate { backend, record } = candidate;
@@ -311,11 +311,11 @@
         count: usize,
         now: Timestamp,
     ) -> Vec<Backend> {
-        let plain = || self.candidates(service, program, Reach::Home, count, now);
-        let Some(part) = work.shared.filter(|_| self.goes_by_finish(now)) else {
+        let plain = || self.candidates(service, program, CandidateScope::Home, count, now);
+        let Some(part) = work.shared.filter(|_| self.uses_expected_finish(now)) else {
             return plain();
         };
-        let all = self.candidates(service, part.id, Reach::Home, usize::MAX, now);
+        let all = self.candidates(service, part.id, CandidateScope::Home, usize::MAX, now);
         let homes = (all.len() / SHARED_PART_SPREAD).max(LEAST_PART_HOMES);
         let (homes, others) = all.split_at(homes.min(all.len()));
         let of_part = ranked(homes, program).into_iter().take(count);
@@ -359,7 +359,7 @@
 /// One of the candidates, those that cost less more often; near equals much alike.
 fn draw<'weighed, 'pool>(
     open: &[&'weighed Weighed<'pool>],
-    wish: &Wish<'_>,
+    wish: &RoutingRequest<'_>,
     is_connected: impl Fn(&BackendId) -> bool,
 ) -> Option<&'weighed Weighed<'pool>> {
     let least = open.iter().map(|weighed| cost(weighed));
@@ -380,7 +380,7 @@
 
 /// What a replica draws: the least lot wins, with a chance in proportion to the replica's weight.
 /// Different for each request.
-fn lot(weighed: &Weighed<'_>, least: f64, wish: &Wish<'_>) -> f64 {
+fn lot(weighed: &Weighed<'_>, least: f64, wish: &RoutingRequest<'_>) -> f64 {
     let hash = home_rank(&weighed.candidate.backend.id, wish.draw);
     let uniform = ((hash >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
     let weight = (least / cost(weighed)).powi(SHARPNESS);
@@ -391,7 +391,7 @@
     backend: &Backend,
     record: &Record,
     work: &Work,
-    wish: &Wish<'_>,
+    wish: &RoutingRequest<'_>,
     now: Timestamp,
 ) -> u32 {
     if wish.cached_at == Some(&backend.id) {
--- a/crates/scheduling/src/pool/index.rs
+++ b/crates/scheduling/src/pool/index.rs
@@ -1,7 +1,7 @@
 //! The replicas of one service by zone, and which of them this gateway has used.
 
 use super::working_set::WorkingSet;
-use super::{Extent, Reach, Wish};
+use super::{CandidateScope, Extent, RoutingRequest};
 use luglink_fleet::{Backend, BackendId};
 use luglink_types::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -46,8 +46,8 @@
         self.working_set.follow(in_flight, self.slots, now);
     }
 
-    pub(super) fn widen(&mut self) {
-        self.working_set.widen();
+    pub(super) fn grow_working_set(&mut self) {
+        self.working_set.grow_working_set();
     }
 
     pub(super) fn add(&mut self, backend: &Backend) {
@@ -72,7 +72,7 @@
         }
     }
 
-    pub(super) fn extent(&self) -> Extent {
+    pub(super) fn service_size(&self) -> Extent {
         let usable = self.zones.values().map(|zone| zone.usable.len()).sum();
         Extent {
             usable,
@@ -127,21 +127,21 @@
     pub(super) fn reached<'index>(
         &'index self,
         zone: &'index str,
-        reach: Reach,
+        reach: CandidateScope,
     ) -> impl Iterator<Item = &'index BackendId> {
         let is_zonal = self.is_zonal(zone);
         let size = self.working_set.size();
         let (first, count) = match (is_zonal, reach) {
             (false, _) => (0, usize::MAX),
-            (true, Reach::Spare) => (size, size),
-            (true, Reach::Home | Reach::Elsewhere) => (0, size),
+            (true, CandidateScope::Spare) => (size, size),
+            (true, CandidateScope::Home | CandidateScope::OtherZones) => (0, size),
         };
         let zones = self.zones.iter().filter(move |(name, _)| {
             let is_home = *name == zone || !is_zonal;
             match reach {
-                Reach::Home => is_home,
-                Reach::Spare => is_home && is_zonal,
-                Reach::Elsewhere => !is_home,
+                CandidateScope::Home => is_home,
+                CandidateScope::Spare => is_home && is_zonal,
+                CandidateScope::OtherZones => !is_home,
             }
         });
         zones.flat_map(move |(_, index)| {
@@ -155,7 +155,7 @@
     pub(super) fn draw_unused<'index>(
         &'index self,
         zone: &str,
-        wish: &Wish<'_>,
+        wish: &RoutingRequest<'_>,
     ) -> Vec<&'index BackendId> {
         let near = self.zones.get(zone);
         let near = near.and_then(|index| self.draw_in(index, wish));
@@ -172,7 +172,7 @@
     fn draw_in<'index>(
         &self,
         index: &'index ZoneIndex,
-        wish: &Wish<'_>,
+        wish: &RoutingRequest<'_>,
     ) -> Option<&'index BackendId> {
         let is_free = |id: &&BackendId| !self.used.contains(id) && !wish.tried.contains(id);
         let size = self.working_set.size().min(index.usable.len());
@@ -185,5 +185,5 @@
 }
 
 fn place(id: &BackendId) -> (u64, BackendId) {
-    (id.spread(), id.clone())
+    (id.stable_hash(), id.clone())
 }
--- a/crates/scheduling/src/pool/mod.rs
+++ b/crates/scheduling/src/pool/mod.rs
@@ -14,9 +14,9 @@
 
 use crate::finish::Work;
 use crate::load_view::LoadView;
-pub use by_finish::{Grounds, Leaving};
+pub use by_finish::{ChoiceBasis, Leaving};
 use index::ServiceIndex;
-use luglink_fleet::{Backend, BackendChanges, BackendId, GatewayLoad, ReplicaKey, Sights};
+use luglink_fleet::{Backend, BackendChanges, BackendId, GatewayLoad, ReplicaKey, StatsReport};
 use luglink_types::Timestamp;
 use record::Record;
 use std::collections::{BTreeMap, HashMap};
@@ -40,7 +40,7 @@
 
 /// What a request wants of a replica.
 #[derive(Clone, Debug, Default)]
-pub struct Wish<'request> {
+pub struct RoutingRequest<'request> {
     /// The service.
     pub service: &'request str,
     /// The replica that served the turn before, and still holds its prompt.
@@ -55,13 +55,13 @@
 
 /// Where a program may begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum CandidateScope {
     /// At replicas that may be its home.
     Home,
     /// At others of the same zone, which are not needed at the load of now.
     Spare,
     /// At the others, in other zones.
-    Elsewhere,
+    OtherZones,
 }
 
 /// How many replicas a service has.
@@ -81,7 +81,7 @@
     /// Requests of this gateway that are at it.
     pub in_flight: u32,
     /// What it went by, when it went by expected finish.
-    pub grounds: Option<Grounds>,
+    pub basis: Option<ChoiceBasis>,
 }
 
 /// The replicas of all services.
@@ -206,7 +206,7 @@
     #[must_use]
     pub fn choose(
         &self,
-        wish: &Wish<'_>,
+        wish: &RoutingRequest<'_>,
         is_connected: impl Fn(&BackendId) -> bool,
         now: Timestamp,
     ) -> Option<Choice> {
@@ -227,7 +227,10 @@
             .iter()
             .copied()
             .filter(|candidate| candidate.record.ejected_until <= now);
-        let work = wish.work.as_ref().filter(|_| self.goes_by_finish(now));
+        let work = wish
+            .work
+            .as_ref()
+            .filter(|_| self.uses_expected_finish(now));
         let soonest = work.and_then(|work| {
             let sound = sound.clone().collect();
             self.soonest(sound, work, wish, &is_connected, now)
@@ -242,7 +245,7 @@
         Some(Choice {
             backend: best.backend.clone(),
             in_flight: best.record.in_flight,
-            grounds: None,
+            basis: None,
         })
     }
 
@@ -251,7 +254,7 @@
     fn cheapest<'pool>(
         &self,
         candidates: impl Iterator<Item = Candidate<'pool>>,
-        wish: &Wish<'_>,
+        wish: &RoutingRequest<'_>,
         is_connected: impl Fn(&BackendId) -> bool,
         now: Timestamp,
     ) -> Option<Candidate<'pool>> {
@@ -283,7 +286,13 @@
             .unwrap_or(0.0)
     }
 
-    fn cost(&self, candidate: Candidate<'_>, wish: &Wish<'_>, fastest: f64, now: Timestamp) -> f64 {
+    fn cost(
+        &self,
+        candidate: Candidate<'_>,
+        wish: &RoutingRequest<'_>,
+        fastest: f64,
+        now: Timestamp,
+    ) -> f64 {
         let Candidate { backend, record } = candidate;
         let slots = f64::from(backend.slots.max(1));
         let load = f64::from(record.in_flight) / slots;
@@ -311,7 +320,10 @@
     /// every zone has enough of them, and otherwise the same for all zones.
     #[must_use]
     pub fn home(&self, service: &str, program: u64) -> Option<BackendId> {
-        let homes = self.services.get(service)?.reached(&self.zone, Reach::Home);
+        let homes = self
+            .services
+            .get(service)?
+            .reached(&self.zone, CandidateScope::Home);
         homes.max_by_key(|id| home_rank(id, program)).cloned()
     }
 
@@ -324,7 +336,7 @@
         &self,
         service: &str,
         program: u64,
-        reach: Reach,
+        reach: CandidateScope,
         count: usize,
         now: Timestamp,
     ) -> Vec<Backend> {
@@ -358,15 +370,15 @@
 
     /// How many replicas a service has.
     #[must_use]
-    pub fn extent(&self, service: &str) -> Extent {
+    pub fn service_size(&self, service: &str) -> Extent {
         let service = self.services.get(service);
-        service.map(ServiceIndex::extent).unwrap_or_default()
+        service.map(ServiceIndex::service_size).unwrap_or_default()
     }
 
     /// Lets more replicas of the zone get work at once: those that did are found busy.
-    pub fn widen(&mut self, service: &str) {
+    pub fn grow_working_set(&mut self, service: &str) {
         if let Some(index) = self.services.get_mut(service) {
-            index.widen();
+            index.grow_working_set();
         }
     }
 
@@ -380,15 +392,15 @@
 
     /// What this gateway sees of the replicas that it uses, for the others of its zone.
     #[must_use]
-    pub fn sights(&self, now: Timestamp) -> Sights {
+    pub fn replica_stats(&self, now: Timestamp) -> StatsReport {
         let used = self.records.iter();
-        let sights = used.filter_map(|(id, record)| record.sight(ReplicaKey::of(id), now));
-        Sights::sum([&Sights(sights.collect())])
+        let replica_stats = used.filter_map(|(id, record)| record.sight(ReplicaKey::of(id), now));
+        StatsReport::sum([&StatsReport(replica_stats.collect())])
     }
 
     /// Takes what all gateways of the zone saw together.
-    pub fn take_view(&mut self, sights: &Sights, now: Timestamp) {
-        self.view.take(sights, now);
+    pub fn set_zone_view(&mut self, replica_stats: &StatsReport, now: Timestamp) {
+        self.view.take(replica_stats, now);
         for record in self.records.values_mut() {
             record.in_flight_at_view = record.in_flight;
         }
--- a/crates/scheduling/src/pool/record.rs
+++ b/crates/scheduling/src/pool/record.rs
@@ -2,7 +2,7 @@
 
 use super::held_parts::HeldParts;
 use super::step_mean::{StepMean, faded};
-use luglink_fleet::{ReplicaKey, ReplicaSight};
+use luglink_fleet::{ReplicaKey, ReplicaStats};
 use luglink_types::Timestamp;
 use std::time::Duration;
 
@@ -97,20 +97,20 @@
 
     /// What the other gateways of the zone should know of the replica; `None` when it was not used
     /// in the last moments.
-    pub(super) fn sight(&self, replica: ReplicaKey, now: Timestamp) -> Option<ReplicaSight> {
+    pub(super) fn sight(&self, replica: ReplicaKey, now: Timestamp) -> Option<ReplicaStats> {
         let samples = self.steps.weight_at(now);
         let troubles = self.troubles_at(now);
         let is_witness = troubles >= WITNESSED;
         if self.in_flight == 0 && samples < MEASURED && !is_witness {
             return None;
         }
-        Some(ReplicaSight {
+        Some(ReplicaStats {
             replica,
             in_flight_tenths: self.in_flight * 10,
             samples_tenths: (samples * 10.0).round() as u32,
             step_micros: self.steps.micros().round() as u32,
-            troubles_tenths: (troubles * 10.0).round() as u32,
-            witnesses: u16::from(is_witness),
+            failures_tenths: (troubles * 10.0).round() as u32,
+            reporting_gateways: u16::from(is_witness),
         })
     }
 
--- a/crates/scheduling/src/pool/working_set.rs
+++ b/crates/scheduling/src/pool/working_set.rs
@@ -5,7 +5,7 @@
 //! connection of its own. So programs begin at, and requests go to, only so many replicas as the
 //! load needs, with room to spare, the same ones at all gateways of the zone.
 
-use luglink_fleet::SlowlyShrinking;
+use luglink_fleet::DecayingPeak;
 use luglink_types::Timestamp;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
 
 /// The number of a zone's replicas that get work.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct WorkingSet(SlowlyShrinking);
+pub(super) struct WorkingSet(DecayingPeak);
 
 impl WorkingSet {
     /// Takes what is under way in the zone. `slots` is the number of requests that one replica
@@ -38,7 +38,7 @@
     }
 
     /// Grows at once.
-    pub(super) fn widen(&mut self) {
+    pub(super) fn grow_working_set(&mut self) {
         self.0.grow_to(self.size() as f64 * GROWTH);
     }
 
--- a/crates/scheduling/src/program_table.rs
+++ b/crates/scheduling/src/program_table.rs
@@ -25,7 +25,7 @@
 
 /// A turn that begins.
 #[derive(Clone, Copy, Debug)]
-pub struct TurnBegins<'request> {
+pub struct TurnStarted<'request> {
     /// Stands for its program.
     pub program: u64,
     /// Its route.
@@ -35,7 +35,7 @@
     /// Tokens of its prompt.
     pub prompt_tokens: u64,
     /// Whether it is its program's first one.
-    pub begins_program: bool,
+    pub is_first_turn: bool,
 }
 
 /// What programs under way need, as one gateway sees it.
@@ -114,7 +114,7 @@
 
 impl ProgramTable {
     /// Notes a turn that begins. Each one must be followed by [`Self::end_turn`].
-    pub fn begin_turn(&mut self, turn: &TurnBegins<'_>, now: Timestamp) {
+    pub fn begin_turn(&mut self, turn: &TurnStarted<'_>, now: Timestamp) {
         // Before it is noted: at its beginning there is always one under way.
         let usual = self.usual.get(turn.service);
         if usual.is_none_or(|usual| now.since(usual.at) >= SAMPLE_INTERVAL) {
@@ -123,7 +123,7 @@
         self.note(turn, now);
     }
 
-    fn note(&mut self, turn: &TurnBegins<'_>, now: Timestamp) {
+    fn note(&mut self, turn: &TurnStarted<'_>, now: Timestamp) {
         let prompt = turn.prompt_tokens as f64;
         if !self.profiles.contains_key(&turn.route.name) {
             let name = turn.route.name.clone();
@@ -132,7 +132,7 @@
         let Some(profile) = self.profiles.get_mut(&turn.route.name) else {
             return;
         };
-        profile.note_turn(prompt, turn.begins_program, now);
+        profile.note_turn(prompt, turn.is_first_turn, now);
         if let Some(program) = self.programs.get_mut(&turn.program) {
             if program.in_flight == 0 {
                 profile.note_pause(now.since(program.seen));
@@ -197,7 +197,7 @@
     /// The average of what [`Self::demand`] told lately: what a request under way stands for, at
     /// a gateway that has few at a time.
     #[must_use]
-    pub fn usual_demand(&self, service: &str) -> OwnDemand {
+    pub fn average_demand(&self, service: &str) -> OwnDemand {
         let usual = self.usual.get(service);
         usual.map(|usual| usual.average).unwrap_or_default()
     }
--- a/crates/scheduling/src/route_profile.rs
+++ b/crates/scheduling/src/route_profile.rs
@@ -89,11 +89,11 @@
 
 impl RouteProfile {
     /// Notes a turn that begins. `prompt` in tokens.
-    pub(crate) fn note_turn(&mut self, prompt: f64, begins_program: bool, now: Timestamp) {
+    pub(crate) fn note_turn(&mut self, prompt: f64, is_first_turn: bool, now: Timestamp) {
         self.turns = self.turns * COUNT_RETENTION + 1.0;
         self.beginnings *= COUNT_RETENTION;
         self.prompt.add(prompt, now);
-        if begins_program {
+        if is_first_turn {
             self.beginnings += 1.0;
             self.first_prompt.add(prompt, now);
         }
--- a/crates/scheduling/src/waits.rs
+++ b/crates/scheduling/src/waits.rs
@@ -1,6 +1,6 @@
 //! What a gateway has learned of its routes' waits.
 
-use crate::moves::{ExtraSends, FEW_UNUSUAL, QUICKEST_SHARE, USUAL_SHARE, UsualWait};
+use crate::moves::{ExtraSends, FEW_UNUSUAL, QUICKEST_SHARE, USUAL_SHARE, WaitQuantiles};
 use crate::usual::Usual;
 use luglink_edge::{Configuration, Route};
 use luglink_types::Timestamp;
@@ -36,7 +36,7 @@
     pauses: Usual,
     answers: Usual,
     /// Share of the latest waits for first events that were unusual.
-    unusual_share: f64,
+    outlier_ratio: f64,
     /// Moves that the route's requests have earned.
     pub moves: ExtraSends,
     /// Early second sends that the route's requests have earned.
@@ -50,7 +50,7 @@
             vain: Usual::default(),
             pauses: Usual::default(),
             answers: Usual::default(),
-            unusual_share: 0.0,
+            outlier_ratio: 0.0,
             moves: ExtraSends::new(MOVED_SHARE),
             hedges: ExtraSends::new(HEDGED_SHARE),
         }
@@ -80,20 +80,20 @@
     }
 
     /// Notes the time from a send until nobody waited for its first event any more.
-    pub fn note_vain(&mut self, wait: Duration, now: Timestamp) {
+    pub fn note_abandoned(&mut self, wait: Duration, now: Timestamp) {
         self.count_unusual(true);
         self.vain.note(wait, now);
     }
 
     /// Share of the latest waits for first events that were unusual.
     #[must_use]
-    pub fn unusual_share(&self) -> f64 {
-        self.unusual_share
+    pub fn outlier_ratio(&self) -> f64 {
+        self.outlier_ratio
     }
 
     fn count_unusual(&mut self, is_unusual: bool) {
         let sample = f64::from(u8::from(is_unusual));
-        self.unusual_share += SAMPLE_WEIGHT * (sample - self.unusual_share);
+        self.outlier_ratio += SAMPLE_WEIGHT * (sample - self.outlier_ratio);
     }
 
     /// Notes a pause between two events.
@@ -108,12 +108,12 @@
 
     /// What waits for first events are like. `aim` stands for them while too few are known.
     #[must_use]
-    pub fn first_event(&self, aim: Duration, now: Timestamp) -> UsualWait {
+    pub fn first_event(&self, aim: Duration, now: Timestamp) -> WaitQuantiles {
         let median = self.sound_quantile(0.5, now);
         let usual = self.sound_quantile(USUAL_SHARE, now);
         match (median, usual) {
-            (Some(median), Some(usual)) => UsualWait { median, usual },
-            _ => UsualWait::expected(aim),
+            (Some(median), Some(usual)) => WaitQuantiles { median, usual },
+            _ => WaitQuantiles::expected(aim),
         }
     }
 
@@ -145,13 +145,13 @@
 
     /// A usual pause between events.
     #[must_use]
-    pub fn usual_pause(&self, now: Timestamp) -> Option<Duration> {
+    pub fn p90_pause(&self, now: Timestamp) -> Option<Duration> {
         self.pauses.quantile(USUAL_SHARE, now)
     }
 
     /// A usual time to a whole answer.
     #[must_use]
-    pub fn usual_answer(&self, now: Timestamp) -> Option<Duration> {
+    pub fn p90_answer_time(&self, now: Timestamp) -> Option<Duration> {
         self.answers.quantile(USUAL_SHARE, now)
     }
 }
--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -7,7 +7,7 @@
 use fleet::{DIGEST, DRAFT, End, Outcome, Wanted, Way, Zone, arrivals, together};
 use luglink_edge::{Route, RouteKind, Target};
 use luglink_scheduling::{
-    FleetDemand, Newcomer, OwnDemand, ProgramIntake, Room, ShortOf, ZoneRequests,
+    Capacity, FleetDemand, NewProgram, OwnDemand, ProgramAdmission, Shortage, ZoneRequests,
 };
 use luglink_types::Timestamp;
 use proptest::prelude::*;
@@ -135,7 +135,7 @@
     }
 }
 
-const SERVICE_ROOM: Room = Room {
+const SERVICE_ROOM: Capacity = Capacity {
     tokens: 100_000.0,
     slots: 100.0,
 };
@@ -162,8 +162,8 @@
     }
 }
 
-fn newcomer(route: &Route, place: f64) -> Newcomer<'_> {
-    Newcomer {
+fn newcomer(route: &Route, place: f64) -> NewProgram<'_> {
+    NewProgram {
         place: ((place * 4_294_967_296.0) as u64) << 32,
         route,
         tenant: None,
@@ -176,9 +176,9 @@
 
 fn demand(tokens: f64, requests: f64) -> FleetDemand {
     FleetDemand {
-        tokens_under_way: tokens,
-        programs_under_way: tokens / 1_000.0,
-        requests_under_way: requests,
+        peak_tokens: tokens,
+        active_programs: tokens / 1_000.0,
+        requests_in_flight: requests,
         age: Duration::ZERO,
     }
 }
@@ -186,7 +186,7 @@
 #[test]
 fn what_is_short_is_told() {
     let route = route(1);
-    let mut intake = ProgramIntake::default();
+    let mut intake = ProgramAdmission::default();
     let mut refused_for = |tokens: f64, requests: f64| {
         let demand = demand(tokens, requests);
         let newcomer = newcomer(&route, 0.5);
@@ -194,24 +194,30 @@
         entry.refused_for
     };
     assert_eq!(refused_for(10_000.0, 10.0), None);
-    assert_eq!(refused_for(120_000.0, 10.0), Some(ShortOf::Memory));
-    assert_eq!(refused_for(10_000.0, 120.0), Some(ShortOf::Slots));
+    assert_eq!(refused_for(120_000.0, 10.0), Some(Shortage::Memory));
+    assert_eq!(refused_for(10_000.0, 120.0), Some(Shortage::Slots));
 }
 
 #[test]
 fn where_no_replica_is_known_others_decide() {
     let route = route(1);
-    let mut intake = ProgramIntake::default();
+    let mut intake = ProgramAdmission::default();
     let newcomer = newcomer(&route, 0.99);
     let demand = demand(1e9, 1e9);
-    let entry = intake.admit(&newcomer, Room::default(), &demand, true, Timestamp::ZERO);
+    let entry = intake.admit(
+        &newcomer,
+        Capacity::default(),
+        &demand,
+        true,
+        Timestamp::ZERO,
+    );
     assert_eq!(entry.refused_for, None);
 }
 
 #[test]
 fn who_comes_back_goes_before_new_ones() {
     let route = route(1);
-    let mut intake = ProgramIntake::default();
+    let mut intake = ProgramAdmission::default();
     // Short, but not full.
     let demand = demand(89_000.0, 10.0);
     let mut asks = |place: f64, at: u64| {
@@ -243,10 +249,10 @@
     };
     let fresh = FleetDemand::estimate(own, own, 100.0, zone(100));
     let old = FleetDemand::estimate(own, own, 100.0, zone(2_500));
-    assert!(fresh.tokens_under_way >= 40_000.0, "{fresh:?}");
-    assert_eq!(old.tokens_under_way, 0.0);
+    assert!(fresh.peak_tokens >= 40_000.0, "{fresh:?}");
+    assert_eq!(old.peak_tokens, 0.0);
     let alone = FleetDemand::estimate(own, own, 1.0, None);
-    assert_eq!(alone.tokens_under_way, 4_000.0);
+    assert_eq!(alone.peak_tokens, 4_000.0);
 }
 
 proptest! {
@@ -258,7 +264,7 @@
         place in 0.0..0.999_f64,
     ) {
         let (urgent, patient) = (route(0), route(2));
-        let mut intake = ProgramIntake::default();
+        let mut intake = ProgramAdmission::default();
         let demand = demand(tokens, requests);
         let mut asks = |route: &Route| {
             let newcomer = newcomer(route, place);
@@ -277,13 +283,13 @@
         spread in 0.0..1.0_f64,
     ) {
         let route = route(1);
-        let mut intake = ProgramIntake::default();
+        let mut intake = ProgramAdmission::default();
         let remaining = Duration::from_millis(left_ms);
-        let newcomer = Newcomer { remaining, spread, ..newcomer(&route, 0.5) };
+        let newcomer = NewProgram { remaining, spread, ..newcomer(&route, 0.5) };
         let demand = demand(tokens, 10.0);
         let entry = intake.admit(&newcomer, SERVICE_ROOM, &demand, false, Timestamp::ZERO);
         prop_assert!(entry.refused_for.is_some());
-        prop_assert!(entry.come_back <= remaining.mul_f64(1.0 / 3.0));
-        prop_assert!(entry.come_back > Duration::ZERO);
+        prop_assert!(entry.retry_delay <= remaining.mul_f64(1.0 / 3.0));
+        prop_assert!(entry.retry_delay > Duration::ZERO);
     }
 }
--- a/crates/scheduling/tests/engine/mod.rs
+++ b/crates/scheduling/tests/engine/mod.rs
@@ -31,7 +31,7 @@
 
 /// What happened to a program in a step.
 pub enum Event {
-    TurnBegins(Work),
+    TurnStarted(Work),
     TurnEnds(Work),
 }
 
@@ -81,7 +81,7 @@
         for held in &mut self.programs {
             if matches!(held.state, State::Pausing { until } if until <= now) {
                 held.state = State::Waiting;
-                events.push(Event::TurnBegins(held.work.clone()));
+                events.push(Event::TurnStarted(held.work.clone()));
             }
         }
         self.start_waiting(now);
--- a/crates/scheduling/tests/expected_finish.rs
+++ b/crates/scheduling/tests/expected_finish.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use luglink_fleet::{BackendId, BackendList, ReplicaKey, ReplicaSight, Sights};
+use luglink_fleet::{BackendId, BackendList, ReplicaKey, ReplicaStats, StatsReport};
 use luglink_scheduling::{
-    AnswerLengths, Pool, PromptParts, Reach, ReplicaState, Wish, Work, expect,
+    AnswerLengths, CandidateScope, Pool, PromptParts, ReplicaState, RoutingRequest, Work, expect,
 };
 use luglink_types::Timestamp;
 use proptest::prelude::*;
@@ -90,27 +90,27 @@
     }
 }
 
-fn wish(work: Work) -> Wish<'static> {
-    Wish {
+fn wish(work: Work) -> RoutingRequest<'static> {
+    RoutingRequest {
         service: "llm",
         work: Some(work),
-        ..Wish::default()
+        ..RoutingRequest::default()
     }
 }
 
 /// A view in which every engine has so many requests and such a pause between events.
-fn view(of: impl Fn(usize) -> (u32, u32)) -> Sights {
+fn view(of: impl Fn(usize) -> (u32, u32)) -> StatsReport {
     let sight = |engine| {
         let (requests, step_millis) = of(engine);
-        ReplicaSight {
+        ReplicaStats {
             replica: ReplicaKey::of(&id(engine)),
             in_flight_tenths: requests * 10,
             samples_tenths: 200,
             step_micros: step_millis * 1_000,
-            ..ReplicaSight::default()
+            ..ReplicaStats::default()
         }
     };
-    Sights((0..ENGINES).map(sight).collect())
+    StatsReport((0..ENGINES).map(sight).collect())
 }
 
 /// Marks all engines as used, so that all are weighed.
@@ -120,7 +120,7 @@
     }
 }
 
-fn chosen(pool: &Pool, wish: &Wish<'_>, now: Timestamp) -> BackendId {
+fn chosen(pool: &Pool, wish: &RoutingRequest<'_>, now: Timestamp) -> BackendId {
     pool.choose(wish, |_| true, now).unwrap().backend.id
 }
 
@@ -139,8 +139,8 @@
     for _ in 0..68 {
         let mut pool = pool(true);
         use_all(&mut pool);
-        pool.take_view(&stale, NOW);
-        let wish = Wish {
+        pool.set_zone_view(&stale, NOW);
+        let wish = RoutingRequest {
             draw: random(&mut state),
             ..wish(work(1))
         };
@@ -160,17 +160,17 @@
 #[test]
 fn a_turn_stays_where_its_prompt_is_until_that_costs_much_more() {
     let holder = id(4);
-    let wish = Wish {
+    let wish = RoutingRequest {
         cached_at: Some(&holder),
         ..wish(work(1))
     };
     let stays_at = |pause| {
         let mut pool = pool(true);
         use_all(&mut pool);
-        let sights = view(|engine| (2, if engine == 4 { pause } else { 40 }));
-        pool.take_view(&sights, NOW);
+        let replica_stats = view(|engine| (2, if engine == 4 { pause } else { 40 }));
+        pool.set_zone_view(&replica_stats, NOW);
         let choice = pool.choose(&wish, |_| true, NOW).unwrap();
-        let leaving = choice.grounds.unwrap().leaving;
+        let leaving = choice.basis.unwrap().leaving;
         assert_eq!(leaving.is_none(), choice.backend.id == holder);
         choice.backend.id == holder
     };
@@ -182,19 +182,19 @@
 #[test]
 fn one_gateway_s_word_of_trouble_alone_ejects_no_replica() {
     let holder = id(4);
-    let wish = Wish {
+    let wish = RoutingRequest {
         cached_at: Some(&holder),
         ..wish(work(1))
     };
-    let stays_with = |witnesses, troubles_tenths| {
+    let stays_with = |reporting_gateways, failures_tenths| {
         let mut pool = pool(true);
         use_all(&mut pool);
-        let mut sights = view(|_| (2, 40));
-        sights.0[4].witnesses = witnesses;
-        sights.0[4].troubles_tenths = troubles_tenths;
+        let mut replica_stats = view(|_| (2, 40));
+        replica_stats.0[4].reporting_gateways = reporting_gateways;
+        replica_stats.0[4].failures_tenths = failures_tenths;
         // A replica that hangs gives no events.
-        sights.0[4].samples_tenths = 10;
-        pool.take_view(&sights, NOW);
+        replica_stats.0[4].samples_tenths = 10;
+        pool.set_zone_view(&replica_stats, NOW);
         chosen(&pool, &wish, NOW) == holder
     };
     assert!(stays_with(1, 100));
@@ -224,17 +224,24 @@
         pool.note_step(&id(1), Duration::from_millis(30), NOW);
     }
     pool.troubled(&id(2), NOW);
-    let sights = pool.sights(NOW).0;
-    assert_eq!(sights.len(), 2);
+    let replica_stats = pool.replica_stats(NOW).0;
+    assert_eq!(replica_stats.len(), 2);
     let of = |engine| {
         let key = ReplicaKey::of(&id(engine));
-        *sights.iter().find(|sight| sight.replica == key).unwrap()
+        *replica_stats
+            .iter()
+            .find(|sight| sight.replica == key)
+            .unwrap()
     };
     assert_eq!((of(1).in_flight_tenths, of(1).samples_tenths), (10, 40));
-    assert_eq!((of(1).step_micros, of(1).witnesses), (30_000, 0));
-    assert_eq!((of(2).troubles_tenths, of(2).witnesses), (10, 1));
+    assert_eq!((of(1).step_micros, of(1).reporting_gateways), (30_000, 0));
+    assert_eq!((of(2).failures_tenths, of(2).reporting_gateways), (10, 1));
     pool.end(&id(1));
-    assert!(pool.sights(NOW.plus(Duration::from_secs(20))).0.is_empty());
+    assert!(
+        pool.replica_stats(NOW.plus(Duration::from_secs(20)))
+            .0
+            .is_empty()
+    );
 }
 
 #[test]
@@ -242,7 +249,7 @@
     let mut pool = pool(true);
     use_all(&mut pool);
     pool.begin(&id(3));
-    pool.take_view(&view(|_| (3, 40)), NOW);
+    pool.set_zone_view(&view(|_| (3, 40)), NOW);
     let before = pool.expected_at(&id(3), &work(1), NOW).unwrap();
     for _ in 0..6 {
         pool.begin(&id(3));
@@ -257,7 +264,7 @@
     let mut state = 5;
     for _ in 0..400 {
         let mut pool = pool(true);
-        pool.take_view(&Sights::default(), NOW);
+        pool.set_zone_view(&StatsReport::default(), NOW);
         let drawn = pool.candidates_by_finish("llm", random(&mut state), &work(7), 2, NOW);
         assert_eq!(drawn.len(), 2);
         homes.extend(drawn.into_iter().map(|backend| backend.id));
@@ -265,7 +272,7 @@
     // The working set is 16 while nothing is known of the load, and half of it is for one part.
     assert!(homes.len() <= 8, "{}", homes.len());
     let mut pool = pool(true);
-    pool.take_view(&Sights::default(), NOW);
+    pool.set_zone_view(&StatsReport::default(), NOW);
     let other_part = pool.candidates_by_finish("llm", 1, &work(8), 16, NOW);
     assert!(
         other_part
@@ -290,19 +297,19 @@
 fn without_the_feature_what_a_request_asks_for_changes_nothing() {
     let mut pool = pool(false);
     use_all(&mut pool);
-    pool.take_view(&view(|engine| (engine as u32, 40 + engine as u32)), NOW);
+    pool.set_zone_view(&view(|engine| (engine as u32, 40 + engine as u32)), NOW);
     for draw in 0..200 {
-        let told = Wish {
+        let told = RoutingRequest {
             draw,
             ..wish(work(1))
         };
-        let untold = Wish {
+        let untold = RoutingRequest {
             work: None,
             ..told.clone()
         };
         let told = pool.choose(&told, |_| false, NOW);
         assert_eq!(told, pool.choose(&untold, |_| false, NOW));
-        assert!(told.unwrap().grounds.is_none());
+        assert!(told.unwrap().basis.is_none());
     }
 }
 
@@ -312,19 +319,19 @@
     let mut plain = pool(false);
     for pool in [&mut told, &mut plain] {
         use_all(pool);
-        pool.take_view(&view(|engine| (engine as u32, 40)), NOW);
+        pool.set_zone_view(&view(|engine| (engine as u32, 40)), NOW);
     }
     let late = NOW.plus(Duration::from_secs(3));
-    assert!(told.goes_by_finish(NOW) && !told.goes_by_finish(late));
+    assert!(told.uses_expected_finish(NOW) && !told.uses_expected_finish(late));
     for draw in 0..50 {
-        let wish = Wish {
+        let wish = RoutingRequest {
             draw,
             ..wish(work(1))
         };
         let choice = told.choose(&wish, |_| false, late);
         assert_eq!(choice, plain.choose(&wish, |_| false, late));
         let candidates = told.candidates_by_finish("llm", draw, &work(1), 2, late);
-        let plain = plain.candidates("llm", draw, Reach::Home, 2, late);
+        let plain = plain.candidates("llm", draw, CandidateScope::Home, 2, late);
         assert_eq!(candidates, plain);
     }
 }
@@ -378,10 +385,10 @@
         use_all(&mut pool);
         let before = BackendList::new(backends());
         pool.apply(&before.changes_to(&BackendList::new(listed)));
-        pool.take_view(&view(|engine| loads[engine]), NOW);
+        pool.set_zone_view(&view(|engine| loads[engine]), NOW);
         let tried: Vec<BackendId> = tried.into_iter().map(id).collect();
         let held = id(held);
-        let wish = Wish { tried: &tried, cached_at: Some(&held), draw, ..wish(work(1)) };
+        let wish = RoutingRequest { tried: &tried, cached_at: Some(&held), draw, ..wish(work(1)) };
         if let Some(choice) = pool.choose(&wish, |_| false, NOW) {
             prop_assert!(!choice.backend.draining);
             prop_assert!(!tried.contains(&choice.backend.id));
--- a/crates/scheduling/tests/fleet/mod.rs
+++ b/crates/scheduling/tests/fleet/mod.rs
@@ -3,7 +3,7 @@
 use crate::engine::{Engines, Event, STEP_MS, Work};
 use luglink_edge::{Route, RouteKind, Target};
 use luglink_scheduling::{
-    FleetDemand, Newcomer, ProgramIntake, ProgramTable, Room, TurnBegins, ZoneTrend,
+    Capacity, FleetDemand, NewProgram, ProgramAdmission, ProgramTable, TurnStarted, ZoneTrend,
 };
 use luglink_types::{TenantName, Timestamp};
 use std::time::Duration;
@@ -103,7 +103,7 @@
 #[derive(Default)]
 struct Gateway {
     programs: ProgramTable,
-    intake: ProgramIntake,
+    intake: ProgramAdmission,
 }
 
 /// What came of a load. Each test file looks at some of it.
@@ -169,18 +169,18 @@
             for (_, id, tries) in due {
                 match self.ask(&wanted[id], id, now) {
                     None => self.engines.begin(work(id, &wanted[id].kind), now),
-                    Some(come_back) => {
+                    Some(retry_delay) => {
                         refusals.push(now);
                         ends[id] = End::Refused;
                         if tries < RETRIES {
-                            arrivals.push((now + come_back.as_millis() as u64, id, tries + 1));
+                            arrivals.push((now + retry_delay.as_millis() as u64, id, tries + 1));
                         }
                     }
                 }
             }
             for event in self.engines.step(now) {
                 match event {
-                    Event::TurnBegins(work) => {
+                    Event::TurnStarted(work) => {
                         began_turn[work.id] = now;
                         self.note_turn(&work, &wanted[work.id].kind, now);
                     }
@@ -215,19 +215,19 @@
         let spread = (self.draw() >> 32) as f64 / f64::from(u32::MAX);
         let position = (self.draw() % GATEWAYS as u64) as usize;
         let time = Timestamp::from_millis(now);
-        let room = Room {
+        let room = Capacity {
             tokens: self.engines.memory as f64,
             slots: self.engines.slots as f64,
         };
         let gateway = &mut self.gateways[position];
         let own = gateway.programs.demand("s", time);
-        let usual = gateway.programs.usual_demand("s");
+        let usual = gateway.programs.average_demand("s");
         let demand = FleetDemand::estimate(own, usual, GATEWAYS as f64, self.trend.now(time));
         let route = wanted.kind.route();
         let tenant = wanted
             .tenant
             .map(|tenant| TenantName::from(format!("t{tenant}").as_str()));
-        let newcomer = Newcomer {
+        let newcomer = NewProgram {
             place: xxh3_64(&id.to_le_bytes()),
             route: &route,
             tenant: tenant.as_ref(),
@@ -240,18 +240,18 @@
         let entry = gateway
             .intake
             .admit(&newcomer, room, &demand, fair_shares, time);
-        entry.refused_for.map(|_| entry.come_back)
+        entry.refused_for.map(|_| entry.retry_delay)
     }
 
     /// Each turn reaches any gateway.
     fn note_turn(&mut self, work: &Work, kind: &Kind, now: u64) {
         let position = self.turn_gateway(work.id, work.turns_left);
-        let turn = TurnBegins {
+        let turn = TurnStarted {
             program: work.id as u64,
             route: &kind.route(),
             service: "s",
             prompt_tokens: work.prompt,
-            begins_program: work.turns_left == kind.turns,
+            is_first_turn: work.turns_left == kind.turns,
         };
         self.gateways[position]
             .programs
--- a/crates/scheduling/tests/incarnations.rs
+++ b/crates/scheduling/tests/incarnations.rs
@@ -1,7 +1,7 @@
 //! A replica that starts again under its old identifier: nothing that was believed of it holds.
 
 use luglink_fleet::{Backend, BackendId, BackendList, Incarnation};
-use luglink_scheduling::{Pool, Wish};
+use luglink_scheduling::{Pool, RoutingRequest};
 use luglink_types::Timestamp;
 use std::time::Duration;
 
@@ -37,10 +37,10 @@
 /// Times that each of two replicas is chosen for a hundred requests.
 fn choices(pool: &Pool) -> (usize, usize) {
     let chosen = (0..100).map(|draw| {
-        let wish = Wish {
+        let wish = RoutingRequest {
             service: "llm",
             draw,
-            ..Wish::default()
+            ..RoutingRequest::default()
         };
         pool.choose(&wish, |_| true, NOW).unwrap().backend.id.0
     });
--- a/crates/scheduling/tests/load_shedding.rs
+++ b/crates/scheduling/tests/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Which new programs are let in under load.
 
 use luglink_edge::{Configuration, Route, RouteKind, Target};
-use luglink_scheduling::{Intake, LoadShedder};
+use luglink_scheduling::{LoadShedder, ShedDecision};
 use luglink_types::Timestamp;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -50,7 +50,7 @@
 fn let_in(shedder: &mut LoadShedder, route: &Route, now: Timestamp) -> usize {
     let draws = (0..1_000_u64).map(|program| program * (u64::MAX / 1_000));
     draws
-        .filter(|draw| shedder.admit(route, *draw, now) == Intake::Admit)
+        .filter(|draw| shedder.admit(route, *draw, now) == ShedDecision::Admit)
         .count()
 }
 
@@ -112,8 +112,8 @@
     let (mut shedder, route) = (LoadShedder::default(), route("r"));
     let now = run(&mut shedder, &route, 3 * AIM_MS, Timestamp::ZERO, 10);
     let pause = |draw| match shedder.admit(&route, draw, now) {
-        Intake::Refuse { come_back, .. } => come_back,
-        Intake::Admit => Duration::ZERO,
+        ShedDecision::Refuse { retry_delay, .. } => retry_delay,
+        ShedDecision::Admit => Duration::ZERO,
     };
     let pauses: Vec<Duration> = [0.2, 0.4, 0.9]
         .map(|place: f64| (place * u64::MAX as f64) as u64)
@@ -136,8 +136,8 @@
         let first = shedder.admit(&route, draw, now);
         prop_assert_eq!(shedder.admit(&route, draw, now), first);
         let later = run(&mut shedder, &route, AIM_MS / 4, now, 1);
-        if first == Intake::Admit {
-            prop_assert_eq!(shedder.admit(&route, draw, later), Intake::Admit);
+        if first == ShedDecision::Admit {
+            prop_assert_eq!(shedder.admit(&route, draw, later), ShedDecision::Admit);
         }
     }
 }
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -2,8 +2,8 @@
 
 use luglink_edge::{Configuration, Route, RouteKind};
 use luglink_scheduling::{
-    Awaited, ExtraSends, Features, MoveDecision, Reruns, Restart, Stay, Usual, UsualWait, Waiting,
-    Waits, decide_move, hedge_after, is_hopeless,
+    AwaitedEvent, ExtraSends, Features, MoveDecision, RerunLimits, Restart, Stay, Usual,
+    WaitQuantiles, Waiting, Waits, cannot_meet_deadline, decide_move, hedge_after,
 };
 use luglink_types::{Switch, Switches, Timestamp};
 use proptest::prelude::*;
@@ -122,12 +122,12 @@
         let waits = waits.route(&route);
         waits.moves.earn();
         let mut waiting = waiting(waits.first_event(AIM, now));
-        waiting.unusual_share = waits.unusual_share();
+        waiting.outlier_ratio = waits.outlier_ratio();
         let at = moves_at(&waiting).filter(|at| has_moves && *at < here && waits.moves.spend());
         let waited = match at {
             None => here,
             Some(at) => {
-                waits.note_vain(at, now);
+                waits.note_abandoned(at, now);
                 let other = engines.choose_besides(first, now);
                 at + ELSEWHERE + engines.first_event(other)
             }
@@ -136,7 +136,7 @@
         if at.is_none() && here < CALLER_WAITS {
             waits.note_first_event(here, AIM, now);
         } else if at.is_none() {
-            waits.note_vain(CALLER_WAITS, now);
+            waits.note_abandoned(CALLER_WAITS, now);
         }
         let is_late = waited > 3 * USUAL.mul_f64(engines.slower) + ELSEWHERE;
         day.turns += 1;
@@ -153,22 +153,22 @@
     day
 }
 
-fn waiting(first_event: UsualWait) -> Waiting {
+fn waiting(first_event: WaitQuantiles) -> Waiting {
     Waiting {
-        awaited: Awaited::FirstEvent { program: None },
+        awaited: AwaitedEvent::FirstEvent { program: None },
         waited: Duration::ZERO,
         left: CALLER_WAITS,
         first_event,
-        unusual_share: 0.0,
+        outlier_ratio: 0.0,
         restart: Restart {
             tokens: 3_590,
             step: Some(Duration::from_millis(5)),
         },
-        reruns: Reruns {
+        reruns: RerunLimits {
             is_repeatable: true,
             may_have_run: 1,
             max_attempts: 2,
-            has_other: true,
+            has_untried_replica: true,
         },
     }
 }
@@ -239,14 +239,14 @@
 
 #[test]
 fn nothing_moves_while_many_waits_are_unusual() {
-    let mut waiting = waiting(UsualWait::expected(AIM));
-    waiting.unusual_share = 0.5;
+    let mut waiting = waiting(WaitQuantiles::expected(AIM));
+    waiting.outlier_ratio = 0.5;
     assert_eq!(moves_at(&waiting), None);
 }
 
 #[test]
 fn a_turn_that_no_replica_can_answer_in_time_stays() {
-    let mut waiting = waiting(UsualWait::expected(AIM));
+    let mut waiting = waiting(WaitQuantiles::expected(AIM));
     waiting.left = Duration::from_millis(250);
     let stays = MoveDecision::Stay(Stay::TooLate);
     assert_eq!(decide_move(&waiting), stays);
@@ -254,14 +254,14 @@
 
 #[test]
 fn a_program_that_is_short_of_time_moves_sooner_but_not_at_once() {
-    let usual = UsualWait {
+    let usual = WaitQuantiles {
         median: AIM / 2,
         usual: AIM,
     };
     let mut waiting = waiting(usual);
     let calm = moves_at(&waiting).unwrap();
     let mut within = |program_ms| {
-        waiting.awaited = Awaited::FirstEvent {
+        waiting.awaited = AwaitedEvent::FirstEvent {
             program: Some(Duration::from_millis(program_ms)),
         };
         moves_at(&waiting).unwrap()
@@ -275,9 +275,9 @@
 #[test]
 fn a_stream_moves_when_a_pause_is_far_beyond_those_before() {
     let moves_after = |longest_ms, bearable_ms| {
-        let mut waiting = waiting(UsualWait::expected(AIM));
+        let mut waiting = waiting(WaitQuantiles::expected(AIM));
         waiting.restart.tokens = 0;
-        waiting.awaited = Awaited::NextEvent {
+        waiting.awaited = AwaitedEvent::NextEvent {
             longest: Duration::from_millis(longest_ms),
             usual: Some(Duration::from_millis(30)),
             bearable: Some(Duration::from_millis(bearable_ms)),
@@ -307,9 +307,9 @@
 #[test]
 fn only_what_no_replica_can_answer_is_hopeless() {
     let ms = Duration::from_millis;
-    assert!(!is_hopeless(ms(1), None));
-    assert!(is_hopeless(ms(20), Some(ms(40))));
-    assert!(!is_hopeless(ms(50), Some(ms(40))));
+    assert!(!cannot_meet_deadline(ms(1), None));
+    assert!(cannot_meet_deadline(ms(20), Some(ms(40))));
+    assert!(!cannot_meet_deadline(ms(50), Some(ms(40))));
 }
 
 #[test]
@@ -355,12 +355,12 @@
         longest in 0_u64..5_000,
         usual in proptest::option::of(0_u64..5_000),
         bearable in proptest::option::of(0_u64..5_000),
-    ) -> Awaited {
+    ) -> AwaitedEvent {
         let ms = Duration::from_millis;
         if is_first {
-            Awaited::FirstEvent { program: program.map(ms) }
+            AwaitedEvent::FirstEvent { program: program.map(ms) }
         } else {
-            Awaited::NextEvent {
+            AwaitedEvent::NextEvent {
                 longest: ms(longest),
                 usual: usual.map(ms),
                 bearable: bearable.map(ms),
@@ -378,21 +378,21 @@
         more in 0_u64..2_000,
         tokens in 0_u64..200_000,
         step in proptest::option::of(0_u64..100),
-        unusual_share in 0.0..1.0_f64,
+        outlier_ratio in 0.0..1.0_f64,
         is_repeatable: bool,
         may_have_run in 1_u32..5,
         max_attempts in 0_u32..5,
-        has_other: bool,
+        has_untried_replica: bool,
     ) -> Waiting {
         let ms = Duration::from_millis;
         Waiting {
             awaited,
             waited: ms(waited),
             left: ms(left),
-            first_event: UsualWait { median: ms(median), usual: ms(median + more) },
-            unusual_share,
+            first_event: WaitQuantiles { median: ms(median), usual: ms(median + more) },
+            outlier_ratio,
             restart: Restart { tokens, step: step.map(ms) },
-            reruns: Reruns { is_repeatable, may_have_run, max_attempts, has_other },
+            reruns: RerunLimits { is_repeatable, may_have_run, max_attempts, has_untried_replica },
         }
     }
 }
@@ -402,7 +402,7 @@
     fn nothing_moves_that_may_not(waiting in any_waiting()) {
         let reruns = waiting.reruns;
         if let MoveDecision::Move { .. } = decide_move(&waiting) {
-            prop_assert!(reruns.is_repeatable && reruns.has_other);
+            prop_assert!(reruns.is_repeatable && reruns.has_untried_replica);
             prop_assert!(reruns.may_have_run < reruns.max_attempts);
             prop_assert!(waiting.left > waiting.first_event.median);
         }
@@ -413,8 +413,8 @@
     fn never_more_replicas_than_allowed(waiting in any_waiting()) {
         let mut waiting = waiting;
         waiting.reruns.may_have_run = 1;
-        waiting.reruns.has_other = true;
-        waiting.unusual_share = 0.0;
+        waiting.reruns.has_untried_replica = true;
+        waiting.outlier_ratio = 0.0;
         waiting.left = Duration::from_secs(3_600);
         while moves_at(&waiting).is_some() {
             waiting.waited = Duration::ZERO;
--- a/crates/scheduling/tests/placement.rs
+++ b/crates/scheduling/tests/placement.rs
@@ -53,11 +53,11 @@
                 let least = known.iter().copied().min_by(f64::total_cmp);
                 prop_assert!(known.is_empty() || fullness[position] == least);
             }
-            Placement::Refuse { come_back, .. } => {
+            Placement::Refuse { retry_delay, .. } => {
                 prop_assert!(are_full);
                 // Sooner than a program is over, and not at once.
                 let bounds = Duration::from_millis(125)..Duration::from_secs(2);
-                prop_assert!(bounds.contains(&come_back), "{come_back:?}");
+                prop_assert!(bounds.contains(&retry_delay), "{retry_delay:?}");
             }
         }
     }
--- a/crates/scheduling/tests/pool.rs
+++ b/crates/scheduling/tests/pool.rs
@@ -1,7 +1,7 @@
 //! Which replica gets a request.
 
 use luglink_fleet::{Backend, BackendId, BackendList, GatewayLoad, Incarnation, ServiceLoad};
-use luglink_scheduling::{Pool, Reach, Wish};
+use luglink_scheduling::{CandidateScope, Pool, RoutingRequest};
 use luglink_types::Timestamp;
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -36,15 +36,15 @@
     pool.apply(&before.changes_to(&BackendList::new(backends)));
 }
 
-fn chosen(pool: &Pool, wish: &Wish<'_>, now: Timestamp) -> Option<String> {
+fn chosen(pool: &Pool, wish: &RoutingRequest<'_>, now: Timestamp) -> Option<String> {
     pool.choose(wish, |_| true, now)
         .map(|choice| choice.backend.id.0)
 }
 
-fn wish() -> Wish<'static> {
-    Wish {
+fn wish() -> RoutingRequest<'static> {
+    RoutingRequest {
         service: SERVICE,
-        ..Wish::default()
+        ..RoutingRequest::default()
     }
 }
 
@@ -64,7 +64,7 @@
 fn a_replica_that_was_tried_is_not_taken_again() {
     let pool = pool(vec![backend("a", "here"), backend("b", "there")]);
     let tried = [id("a")];
-    let wish = Wish {
+    let wish = RoutingRequest {
         tried: &tried,
         ..wish()
     };
@@ -89,7 +89,7 @@
 fn the_cache_draws_a_request_unless_its_replica_is_much_busier() {
     let mut pool = pool(vec![backend("cold", "here"), backend("warm", "there")]);
     let warm = id("warm");
-    let wish = Wish {
+    let wish = RoutingRequest {
         cached_at: Some(&warm),
         ..wish()
     };
@@ -112,7 +112,7 @@
     // After its pause it is taken again, at first only when the others have been tried.
     let later = now.plus(second);
     let tried = [id("b")];
-    let alone = Wish {
+    let alone = RoutingRequest {
         tried: &tried,
         ..wish()
     };
@@ -193,7 +193,7 @@
         pool.note_connected(&id(connected));
     }
     let chosen = |pool: &Pool, connected: &str, draw| {
-        let wish = Wish { draw, ..wish() };
+        let wish = RoutingRequest { draw, ..wish() };
         pool.choose(&wish, |id| id.0 == connected, Timestamp::ZERO)
             .map(|choice| choice.backend.id.0)
             .unwrap()
@@ -289,7 +289,7 @@
     let pool = pool(backends.collect());
     for program in 0..100 {
         let home = pool.home(SERVICE, program).unwrap();
-        let found = pool.candidates(SERVICE, program, Reach::Home, 2, Timestamp::ZERO);
+        let found = pool.candidates(SERVICE, program, CandidateScope::Home, 2, Timestamp::ZERO);
         let found = names(&found);
         assert_eq!(found[0], home.0);
         assert_ne!(found[0], found[1]);
@@ -301,7 +301,7 @@
     let backends = (0..3).map(|number| backend(&format!("here-{number}"), "here"));
     let mut pool = pool(backends.collect());
     let candidates = |pool: &Pool, count| {
-        let found = pool.candidates(SERVICE, 1, Reach::Home, count, Timestamp::ZERO);
+        let found = pool.candidates(SERVICE, 1, CandidateScope::Home, count, Timestamp::ZERO);
         names(&found)
             .into_iter()
             .map(str::to_owned)
@@ -319,7 +319,10 @@
         |zone: &'static str| (0..8).map(move |number| backend(&format!("{zone}-{number}"), zone));
     let pool = pool(zone("here").chain(zone("there")).collect());
     let reach = |reach| pool.candidates(SERVICE, 1, reach, 20, Timestamp::ZERO);
-    let (home, elsewhere) = (reach(Reach::Home), reach(Reach::Elsewhere));
+    let (home, elsewhere) = (
+        reach(CandidateScope::Home),
+        reach(CandidateScope::OtherZones),
+    );
     assert!(home.iter().all(|found| found.zone == "here"));
     assert!(elsewhere.iter().all(|found| found.zone == "there"));
     assert_eq!((home.len(), elsewhere.len()), (8, 8));
@@ -356,7 +359,7 @@
         }
         let looks = Cell::new(0);
         for draw in 0..50 {
-            let wish = Wish { draw, ..wish() };
+            let wish = RoutingRequest { draw, ..wish() };
             let is_connected = |_: &BackendId| {
                 looks.set(looks.get() + 1);
                 false
@@ -401,11 +404,11 @@
         let found: BTreeSet<BackendId> = found.into_iter().map(|found| found.id).collect();
         found
     };
-    let before = reach(&pool, Reach::Home);
-    let spare = reach(&pool, Reach::Spare);
+    let before = reach(&pool, CandidateScope::Home);
+    let spare = reach(&pool, CandidateScope::Spare);
     assert!(spare.is_disjoint(&before) && !spare.is_empty());
-    pool.widen(SERVICE);
-    let after = reach(&pool, Reach::Home);
+    pool.grow_working_set(SERVICE);
+    let after = reach(&pool, CandidateScope::Home);
     assert!(after.len() > before.len() && after.is_superset(&before));
 }
 
@@ -445,7 +448,7 @@
         .map(|home| home.0)
         .collect();
     for draw in 0..(set.len() as u64 + 5) {
-        let wish = Wish {
+        let wish = RoutingRequest {
             tried: &tried,
             draw,
             ..wish()
--- a/crates/scheduling/tests/program_table.rs
+++ b/crates/scheduling/tests/program_table.rs
@@ -1,7 +1,7 @@
 //! What programs under way need until they end, and what a zone has under way now.
 
 use luglink_edge::{Route, RouteKind, Target};
-use luglink_scheduling::{ProgramTable, TurnBegins, ZoneTrend};
+use luglink_scheduling::{ProgramTable, TurnStarted, ZoneTrend};
 use luglink_types::Timestamp;
 use std::time::Duration;
 
@@ -36,12 +36,12 @@
     let route = route();
     for turn in 0..5 {
         let begins = from_ms + turn * 200;
-        let turn = TurnBegins {
+        let turn = TurnStarted {
             program,
             route: &route,
             service: "s",
             prompt_tokens: 1_000 + 100 * turn,
-            begins_program: turn == 0,
+            is_first_turn: turn == 0,
         };
         table.begin_turn(&turn, at(begins));
         table.end_turn(program, Duration::from_millis(100), at(begins + 100));
@@ -60,12 +60,12 @@
     now += 2_000;
     assert_eq!(table.demand("s", at(now)).peak(), 0.0);
     let route = route();
-    let first = TurnBegins {
+    let first = TurnStarted {
         program: 99,
         route: &route,
         service: "s",
         prompt_tokens: 1_000,
-        begins_program: true,
+        is_first_turn: true,
     };
     table.begin_turn(&first, at(now));
     let demand = table.demand("s", at(now));
@@ -80,12 +80,12 @@
 fn a_program_that_pauses_is_under_way_until_it_does_not_come_back() {
     let mut table = ProgramTable::default();
     let route = route();
-    let first = TurnBegins {
+    let first = TurnStarted {
         program: 1,
         route: &route,
         service: "s",
         prompt_tokens: 1_000,
-        begins_program: true,
+        is_first_turn: true,
     };
     table.begin_turn(&first, at(0));
     table.end_turn(1, Duration::from_millis(100), at(100));
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -4,9 +4,9 @@
 
 use engine::{EVENTS, Engine, Happened, SLOTS, TICK_MS};
 use luglink_fleet::{
-    Backend, BackendId, BackendList, GatewayLoad, Incarnation, ServiceLoad, Sights,
+    Backend, BackendId, BackendList, GatewayLoad, Incarnation, ServiceLoad, StatsReport,
 };
-use luglink_scheduling::{Placement, Pool, SharedPart, Wish, Work, place, place_soonest};
+use luglink_scheduling::{Placement, Pool, RoutingRequest, SharedPart, Work, place, place_soonest};
 use luglink_types::Timestamp;
 
 pub const ENGINES: usize = 45;
@@ -122,7 +122,7 @@
     pools: Vec<Pool>,
     engines: Vec<Engine>,
     due: Vec<Due>,
-    view: Sights,
+    view: StatsReport,
     random: u64,
     seen: Seen,
 }
@@ -133,7 +133,7 @@
             pools: (0..GATEWAYS).map(|_| pool(run.by_finish)).collect(),
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
             due: Vec::new(),
-            view: Sights::default(),
+            view: StatsReport::default(),
             random: run.seed,
             seen: Seen {
                 occupied: vec![0; ENGINES],
@@ -148,10 +148,14 @@
         let load = zone_load(&self.engines);
         for pool in &mut self.pools {
             pool.follow_zone_load(&load, now);
-            pool.take_view(&self.view, now);
+            pool.set_zone_view(&self.view, now);
         }
-        let words: Vec<Sights> = self.pools.iter().map(|pool| pool.sights(now)).collect();
-        self.view = Sights::sum(&words);
+        let words: Vec<StatsReport> = self
+            .pools
+            .iter()
+            .map(|pool| pool.replica_stats(now))
+            .collect();
+        self.view = StatsReport::sum(&words);
     }
 
     fn begin_turns(&mut self, now_ms: u64) {
@@ -185,7 +189,7 @@
             }
         };
         let cached = id(place);
-        let wish = Wish {
+        let wish = RoutingRequest {
             service: "llm",
             cached_at: Some(&cached),
             draw,
@@ -267,7 +271,7 @@
         .iter()
         .filter_map(|backend| Some(pool.expected_at(&backend.id, work, now)?.finish_seconds))
         .collect();
-    let placement = if pool.goes_by_finish(now) {
+    let placement = if pool.uses_expected_finish(now) {
         place_soonest(&fullness, &seconds, 0.4, 9.0, 0.0)
     } else {
         place(&fullness, 9.0, 0.0)
--- a/crates/store-server/src/server.rs
+++ b/crates/store-server/src/server.rs
@@ -4,8 +4,8 @@
 use crate::errors::{ListenSnafu, StoreServerError};
 use crate::metrics::{StoreMetrics, kind};
 use crate::peers::Peers;
-use luglink_fleet::{Known, News, Presence, Role, StoreName, StorePresence};
-use luglink_fleet_client::{ListSource, Observer, ObserverConfig, Subject};
+use luglink_fleet::{KnownVersions, ObserverUpdate, Presence, Role, StoreName, StorePresence};
+use luglink_fleet_client::{ListSource, Observer, ObserverConfig, ObserverDelegate};
 use luglink_net::{Accepted, FrameSender};
 use luglink_quota::Tolerance;
 use luglink_storage::{FileDisk, WalConfig};
@@ -292,7 +292,7 @@
     }
 }
 
-impl Subject for Shared {
+impl ObserverDelegate for Shared {
     fn presence(&self) -> Presence {
         let node = self.node.borrow();
         Presence {
@@ -307,18 +307,18 @@
         }
     }
 
-    fn known(&self, _: ListSource) -> Known {
-        Known {
+    fn known(&self, _: ListSource) -> KnownVersions {
+        KnownVersions {
             document_version: u64::MAX,
             is_current: true,
             store_epoch: self.node.borrow().epoch(),
-            ..Known::default()
+            ..KnownVersions::default()
         }
     }
 
-    fn on_news(&self, member: SocketAddr, news: News) {
+    fn on_update(&self, member: SocketAddr, news: ObserverUpdate) {
         if news.fresh {
-            self.node.borrow_mut().note_fresh(now());
+            self.node.borrow_mut().note_leader_contact(now());
         }
         let Some(view) = news.stores else { return };
         if view.epoch <= self.node.borrow().epoch() {
--- a/crates/turns/src/node.rs
+++ b/crates/turns/src/node.rs
@@ -186,9 +186,9 @@
     }
 
     /// Notes the word of a control member that hears its leader.
-    pub fn note_fresh(&mut self, now: Timestamp) {
+    pub fn note_leader_contact(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
-        self.quota.note_fresh(self.now);
+        self.quota.note_leader_contact(self.now);
     }
 
     /// Takes a request. Its answer comes out of the next [`StoreNode::flush`].
--- a/crates/turns/src/protocol.rs
+++ b/crates/turns/src/protocol.rs
@@ -3,7 +3,7 @@
 use crate::account::{Account, Spend};
 use crate::record::{ProgramName, TurnId, TurnRecord};
 use luglink_fleet::BackendId;
-use luglink_quota::{QuotaAnswer, QuotaAsk};
+use luglink_quota::{QuotaRequest, QuotaResponse};
 use serde::{Deserialize, Serialize};
 
 /// Asks for a turn and the turns that it goes on from.
@@ -73,7 +73,7 @@
         accounts: Vec<(ProgramName, Account, u64)>,
     },
     /// Asks for a token of a tenant's quota. Nothing of it goes to disk.
-    Quota(QuotaAsk),
+    Quota(QuotaRequest),
 }
 
 /// What a store answers.
@@ -101,5 +101,5 @@
         reason: String,
     },
     /// Whether a request may go by its tenant's quota.
-    Quota(QuotaAnswer),
+    Quota(QuotaResponse),
 }
--- a/crates/turns/tests/golden.rs
+++ b/crates/turns/tests/golden.rs
@@ -5,7 +5,7 @@
 
 use golden::{Golden, to_hex};
 use luglink_fleet::{BackendId, StoreCommand, StoreName, StoreRegistry, StoreView};
-use luglink_quota::{Limit, Purpose, QuotaAnswer, QuotaAsk, Tolerance};
+use luglink_quota::{Limit, Purpose, QuotaRequest, QuotaResponse, Tolerance};
 use luglink_storage::{Disk, FileDisk, MemoryDisk, Wal, WalConfig};
 use luglink_turns::{
     Account, Chain, ChainWish, Output, ProgramName, Replication, RequestToken, Spend, StoreConfig,
@@ -79,7 +79,7 @@
             turns: vec![record("t", &[])],
             accounts: vec![(program(), account(), 60_000)],
         },
-        StoreRequest::Quota(QuotaAsk {
+        StoreRequest::Quota(QuotaRequest {
             tenant: "tenant".into(),
             limit: Limit {
                 version: 3,
@@ -99,9 +99,9 @@
         StoreResponse::Chain(Chain::Found { .. }) => "response-chain-found",
         StoreResponse::Chain(Chain::Absent { .. }) => "response-chain-absent",
         StoreResponse::Failed { .. } => "response-failed",
-        StoreResponse::Quota(QuotaAnswer::Granted) => "response-quota-granted",
-        StoreResponse::Quota(QuotaAnswer::Denied { .. }) => "response-quota-denied",
-        StoreResponse::Quota(QuotaAnswer::NotOwner) => "response-quota-not-owner",
+        StoreResponse::Quota(QuotaResponse::Granted) => "response-quota-granted",
+        StoreResponse::Quota(QuotaResponse::Denied { .. }) => "response-quota-denied",
+        StoreResponse::Quota(QuotaResponse::NotOwner) => "response-quota-not-owner",
     }
 }
 
@@ -122,9 +122,9 @@
         StoreResponse::Chain(found),
         StoreResponse::Chain(Chain::Absent { incarnation: 9 }),
         StoreResponse::Failed { reason },
-        StoreResponse::Quota(QuotaAnswer::Granted),
-        StoreResponse::Quota(QuotaAnswer::Denied { come_back_ms: 300 }),
-        StoreResponse::Quota(QuotaAnswer::NotOwner),
+        StoreResponse::Quota(QuotaResponse::Granted),
+        StoreResponse::Quota(QuotaResponse::Denied { come_back_ms: 300 }),
+        StoreResponse::Quota(QuotaResponse::NotOwner),
     ]
 }
 
--- a/crates/turns/tests/quota.rs
+++ b/crates/turns/tests/quota.rs
@@ -1,7 +1,7 @@
 //! A store gives out quotas, also after a restart.
 
 use luglink_fleet::{StoreCommand, StoreName, StoreRegistry, StoreView};
-use luglink_quota::{Limit, Purpose, QuotaAnswer, QuotaAsk, Tolerance};
+use luglink_quota::{Limit, Purpose, QuotaRequest, QuotaResponse, Tolerance};
 use luglink_storage::{MemoryDisk, WalConfig};
 use luglink_turns::{
     Output, Replication, RequestToken, StoreConfig, StoreNode, StoreRequest, StoreResponse,
@@ -45,12 +45,12 @@
     registry.view().clone()
 }
 
-fn ask(node: &mut StoreNode<MemoryDisk>, now: Timestamp) -> QuotaAnswer {
+fn ask(node: &mut StoreNode<MemoryDisk>, now: Timestamp) -> QuotaResponse {
     let token = RequestToken {
         client: 1,
         request: 1,
     };
-    let ask = QuotaAsk {
+    let ask = QuotaRequest {
         tenant: TenantName::from("tenant"),
         limit: Limit {
             version: 1,
@@ -74,13 +74,16 @@
 fn a_store_that_starts_again_owns_what_its_disk_says_that_it_owned() {
     let mut node = start(MemoryDisk::default(), at(1));
     node.set_view(view(), at(2));
-    node.note_fresh(at(9));
-    assert_eq!(ask(&mut node, at(9)), QuotaAnswer::Granted);
+    node.note_leader_contact(at(9));
+    assert_eq!(ask(&mut node, at(9)), QuotaResponse::Granted);
     // The members tell a store its view only when it lacks it.
     let mut node = start(node.into_disk(), at(10));
     assert_eq!(node.epoch(), view().epoch);
-    node.note_fresh(at(10));
-    assert!(matches!(ask(&mut node, at(10)), QuotaAnswer::Denied { .. }));
-    node.note_fresh(at(12));
-    assert_eq!(ask(&mut node, at(12)), QuotaAnswer::Granted);
+    node.note_leader_contact(at(10));
+    assert!(matches!(
+        ask(&mut node, at(10)),
+        QuotaResponse::Denied { .. }
+    ));
+    node.note_leader_contact(at(12));
+    assert_eq!(ask(&mut node, at(12)), QuotaResponse::Granted);
 }
