--- a/crates/gateway-server/tests/gateway/programs.rs
+++ b/crates/gateway-server/tests/gateway/programs.rs
@@ -66,7 +66,7 @@
         Script::StreamEndsInside(2),
     ];
     for (number, script) in scripts.into_iter().enumerate() {
-        replica.set(script.clone());
+        replica.set_script(script.clone());
         let before = replica.requests();
         let id = format!("t{number}");
         let broken = send(&fleet, turn("/kept/x", &id, "x")).await;
--- a/crates/gateway-server/tests/gateway/tenants.rs
+++ b/crates/gateway-server/tests/gateway/tenants.rs
@@ -68,7 +68,7 @@
     let mut ranked = tenant("one", "k1");
     ranked.priority = Some(6);
     let (fleet, replica) = fleet(vec![ranked, tenant("two", "k2")]).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     for (name, key, priority) in [("one", "k1", "6"), ("two", "k2", "1")] {
         let ask = keyed(TestRequest::get("/safe/x", name), key)
             .with("luglink-tenant", "forged")
@@ -153,7 +153,7 @@
         burst: 6.0,
     });
     let (fleet, replica) = fleet(vec![limited, tenant("two", "k2")]).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     let mut served = 0;
     let refused = loop {
         let got = send(&fleet, keyed(TestRequest::get("/safe/x", "a1"), "k1")).await;
