--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -108,7 +108,7 @@
         return None;
     }
     let turn = TurnStarted {
-        program: inbound.draw,
+        program: inbound.affinity_hash,
         route: &inbound.route,
         service: &inbound.service,
         prompt_tokens: prompt_tokens(inbound),
@@ -140,7 +140,7 @@
     let scale = Scale::of(gateway, service);
     let demand = state.demand(service, scale.gateways, now);
     let newcomer = NewProgram {
-        place,
+        hash_fraction: place,
         route: &inbound.route,
         tenant: inbound.caller.tenant().map(|tenant| &tenant.name),
         prompt_tokens: prompt_tokens(inbound),
@@ -227,7 +227,7 @@
 impl Scale {
     fn of(gateway: &Gateway, service: &str) -> Self {
         let service_size = gateway.pool.borrow().service_size(service);
-        let all_gateways = f64::from(gateway.gateways.get().max(1));
+        let all_gateways = f64::from(gateway.gateway_count.get().max(1));
         let zones = (service_size.zones.max(1) as f64).min(all_gateways);
         let replicas = service_size.usable as f64 / zones;
         let room = gateway.with_service(service, |service| {
--- a/crates/gateway-server/src/attempts.rs
+++ b/crates/gateway-server/src/attempts.rs
@@ -203,7 +203,7 @@
 }
 
 fn log_leaving(inbound: &InboundRequest, choice: &Choice, basis: &ChoiceBasis) {
-    let Some(leaving) = &basis.leaving else {
+    let Some(relocation) = &basis.relocation else {
         return;
     };
     tracing::info!(
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -133,12 +133,12 @@
 
 /// Reserves a turn's tokens, takes one of its tenant's quota, and finds the turns that it goes on
 /// from.
-pub(crate) async fn begin(
+pub(crate) async fn prepare_turn(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
 ) -> Result<PreparedTurn, Refusal> {
     let Some(program) = &inbound.program else {
-        quota::take(gateway, inbound, Purpose::Continues).await?;
+        quota::take_token(gateway, inbound, Purpose::Continues).await?;
         return Ok(PreparedTurn {
             reservation: None,
             chain: Vec::new(),
--- a/crates/gateway-server/src/proxy.rs
+++ b/crates/gateway-server/src/proxy.rs
@@ -108,7 +108,7 @@
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
 ) -> Result<Response<Body>, Refusal> {
-    quota::take(gateway, inbound, Purpose::Continues).await?;
+    quota::take_token(gateway, inbound, Purpose::Continues).await?;
     let response = unary::serve(gateway, inbound).await?;
     let elapsed = inbound.arrived.elapsed();
     gateway
--- a/crates/gateway-server/tests/gateway/held_bytes.rs
+++ b/crates/gateway-server/tests/gateway/held_bytes.rs
@@ -118,7 +118,7 @@
         held(&fleet).await == 0.0
     })
     .await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     wait_until("it serves again", || async {
         let got = TestRequest::get("/safe/x", "after").send(fleet.gateway_address);
         got.await.status == 200
--- a/crates/gateway-server/tests/gateway/programs.rs
+++ b/crates/gateway-server/tests/gateway/programs.rs
@@ -112,7 +112,7 @@
     let (fleet, replica) = fleet(Script::StreamBroken(1)).await;
     let ask = |id: &str| turn("/kept/x", id, "x").with("luglink-token-budget", 70);
     assert!(!send(&fleet, ask("t1")).await.is_whole);
-    replica.set(Script::Stream);
+    replica.set_script(Script::Stream);
     wait_until("10 tokens count, not 50", || async {
         send(&fleet, ask("t2")).await.status == 200
     })
--- a/crates/gateway-server/tests/gateway/replicas.rs
+++ b/crates/gateway-server/tests/gateway/replicas.rs
@@ -207,7 +207,7 @@
         replicas[0].closed.get() == 1
     })
     .await;
-    replicas[0].set(Script::StreamEndless);
+    replicas[0].set_script(Script::StreamEndless);
     let ask = TestRequest::post("/resumable/x", "two", "body");
     ask.send_and_leave(to).await;
     crate::support::wait_until("the replica is free", || async {
--- a/crates/gateway-server/tests/gateway/tenants.rs
+++ b/crates/gateway-server/tests/gateway/tenants.rs
@@ -49,7 +49,7 @@
 #[actix_rt::test]
 async fn without_a_known_key_nothing_runs() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     let safe = |id: &str| TestRequest::get("/safe/x", id);
     assert_eq!(send(&fleet, safe("a1")).await.status, 401);
     assert_eq!(send(&fleet, keyed(safe("a2"), "other")).await.status, 401);
@@ -91,7 +91,7 @@
 #[actix_rt::test]
 async fn without_tenants_a_credential_is_passed_on() {
     let (fleet, replica) = fleet(Vec::new()).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     let ask = keyed(TestRequest::get("/safe/x", "a1"), "k1").with("luglink-tenant", "forged");
     assert_eq!(send(&fleet, ask).await.status, 200);
     let seen = replica.last().headers;
@@ -132,7 +132,7 @@
 #[actix_rt::test]
 async fn a_key_that_is_taken_away_and_one_that_is_added_hold_with_the_next_version() {
     let (fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     let asks = |key: &'static str| keyed(TestRequest::get("/safe/x", "a1"), key);
     assert_eq!(send(&fleet, asks("k1")).await.status, 200);
     let next = with_tenants(2, vec![tenant("one", "k2")]);
@@ -176,7 +176,7 @@
 #[actix_rt::test]
 async fn keys_hold_no_longer_than_told_without_a_word_of_the_members() {
     let (mut fleet, replica) = fleet(vec![tenant("one", "k1")]).await;
-    replica.set(Script::Answer);
+    replica.set_script(Script::Answer);
     let keyed_ask = || keyed(TestRequest::get("/safe/x", "a1"), "k1");
     assert_eq!(send(&fleet, keyed_ask()).await.status, 200);
     for member in std::mem::take(&mut fleet.members) {
--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -256,7 +256,7 @@
             (false, false) if memory >= slots => Some(Shortage::Memory),
             (false, false) => Some(Shortage::Slots),
         };
-        self.remember(newcomer.place, is_admitted, now);
+        self.remember(newcomer.hash_fraction, is_admitted, now);
         AdmissionDecision {
             refused_for,
             fullness,
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -40,7 +40,7 @@
 };
 pub use patience::{capacity_retry_delay, max_capacity_wait, max_startup_wait};
 pub use placement::{Placement, place, place_soonest};
-pub use pool::{CandidateScope, Choice, ChoiceBasis, Extent, Leaving, Pool, RoutingRequest};
+pub use pool::{CandidateScope, Choice, ChoiceBasis, Extent, Pool, Relocation, RoutingRequest};
 pub use program_table::{OwnDemand, ProgramTable, TurnStarted};
 pub use prompt_parts::PromptParts;
 pub use shares::{Demand, TenantDemands, max_min_shares};
--- a/crates/scheduling/src/pool/mod.rs
+++ b/crates/scheduling/src/pool/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::finish::Work;
 use crate::load_view::LoadView;
-pub use by_finish::{ChoiceBasis, Leaving};
+pub use by_finish::{ChoiceBasis, Relocation};
 use index::ServiceIndex;
 use luglink_fleet::{Backend, BackendChanges, BackendId, GatewayLoad, ReplicaKey, StatsReport};
 use luglink_types::Timestamp;
--- a/crates/scheduling/src/waits.rs
+++ b/crates/scheduling/src/waits.rs
@@ -112,7 +112,7 @@
         let median = self.sound_quantile(0.5, now);
         let usual = self.sound_quantile(USUAL_SHARE, now);
         match (median, usual) {
-            (Some(median), Some(usual)) => WaitQuantiles { median, usual },
+            (Some(median), Some(usual)) => WaitQuantiles { median, p90: usual },
             _ => WaitQuantiles::expected(aim),
         }
     }
--- a/crates/scheduling/tests/expected_finish.rs
+++ b/crates/scheduling/tests/expected_finish.rs
@@ -170,8 +170,8 @@
         let replica_stats = view(|engine| (2, if engine == 4 { pause } else { 40 }));
         pool.set_zone_view(&replica_stats, NOW);
         let choice = pool.choose(&wish, |_| true, NOW).unwrap();
-        let leaving = choice.basis.unwrap().leaving;
-        assert_eq!(leaving.is_none(), choice.backend.id == holder);
+        let relocation = choice.basis.unwrap().relocation;
+        assert_eq!(relocation.is_none(), choice.backend.id == holder);
         choice.backend.id == holder
     };
     assert!(stays_at(40));
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -389,7 +389,7 @@
             awaited,
             waited: ms(waited),
             left: ms(left),
-            first_event: WaitQuantiles { median: ms(median), usual: ms(median + more) },
+            first_event: WaitQuantiles { median: ms(median), p90: ms(median + more) },
             outlier_ratio,
             restart: Restart { tokens, step: step.map(ms) },
             reruns: RerunLimits { is_repeatable, may_have_run, max_attempts, has_untried_replica },
