--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,45 +6,46 @@
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
+mod advertised;
 mod backend;
 mod backend_list;
+mod decaying_peak;
 mod document;
 mod incarnation;
 mod list_copy;
 mod list_history;
-mod list_reading;
+mod list_schedule;
 mod members;
-mod naming;
-mod news;
+mod observer_protocol;
 mod placement;
 mod presence;
 mod registry;
-mod shrinking;
-mod sight;
+mod replica_stats;
 mod view;
 mod zone_load;
 mod zone_stats;
 
+pub use advertised::{AdvertisedCount, GatewayLocation, advertised_gateways};
 pub use backend::{Backend, BackendId};
 pub use backend_list::{BackendChanges, BackendList, BackendPatch, ListDigest};
+pub use decaying_peak::DecayingPeak;
 pub use document::{DocumentStore, VersionedDocument};
 pub use incarnation::{Incarnation, KnownIncarnations, ReplicaIncarnation};
 pub use list_copy::{BackendReport, BackendUpdate, KnownList, ListCopy};
 pub use list_history::ListHistory;
-pub use list_reading::{ListReadLimits, ListReadSchedule, ListReader};
+pub use list_schedule::{ListReadLimits, ListReadSchedule, ListReader};
 pub use members::{
-    Contact, FIRST_TELLERS, MemberList, MemberLocation, MembersStamp, NEAR_MEMBERS, ObserverPlace,
+    Contact, IMMEDIATE_DOCUMENT_SENDERS, MAX_NEAR_MEMBERS, MemberList, MemberLocation,
+    MembersStamp, ObserverInfo,
 };
-pub use naming::{AdvertisedCount, GatewayLocation, advertised_gateways};
-pub use news::{KnownVersions, ObserverRequest, ObserverUpdate};
+pub use observer_protocol::{KnownVersions, ObserverRequest, ObserverUpdate};
 pub use placement::owners;
 pub use presence::{
     GatewayPresence, LastStorePresence, MemberPresence, Presence, PresenceTable, RelayedPresence,
     Role, StorePresence,
 };
 pub use registry::{RetireResponse, RetireState, StoreCommand, StoreRegistry};
-pub use shrinking::DecayingPeak;
-pub use sight::{MAX_REPLICA_STATS, ReplicaKey, ReplicaStats, StatsReport};
+pub use replica_stats::{MAX_REPLICA_STATS, ReplicaKey, ReplicaStats, StatsReport};
 pub use view::{StoreMember, StoreName, StoreState, StoreView};
 pub use zone_load::{GatewayLoad, ServiceLoad};
 pub use zone_stats::{MemberStats, StatsSource, StatsTable, ZoneStats};
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -1,10 +1,12 @@
-//! Which stores hold what: highest random weight (Thaler and Ravishankar, 1998).
+//! Placement of keys on stores by rendezvous hashing (highest random weight, Thaler and
+//! Ravishankar, 1998).
 
 use crate::view::{StoreName, StoreView};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The stores that hold the state of `key`, best first: `copies` of them, or all when there are
-/// fewer. A view that differs by one store moves only what that store gains or loses.
+/// Returns the stores that hold the state of `key`, highest weight first: `copies` of them, or all
+/// if there are fewer. Adding or removing a store moves only the keys that this store gains or
+/// loses.
 #[must_use]
 pub fn owners(view: &StoreView, key: &str, copies: usize) -> Vec<StoreName> {
     let seed = xxh3_64_with_seed(key.as_bytes(), 0);
--- a/crates/fleet/src/presence.rs
+++ b/crates/fleet/src/presence.rs
@@ -1,4 +1,4 @@
-//! Who is there, by what each process says of itself again and again.
+//! Presence of processes, from the heartbeats that each of them sends.
 
 use crate::zone_load::GatewayLoad;
 use luglink_types::Timestamp;
@@ -7,49 +7,50 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A gateway's word of itself.
+/// Presence data of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayPresence {
-    /// Where callers reach it.
+    /// Address for callers.
     pub address: SocketAddr,
-    /// Whether callers should be sent to it.
+    /// True if it accepts callers.
     pub ready: bool,
-    /// What it has to do.
+    /// Its load.
     pub load: GatewayLoad,
 }
 
-/// A store's word of itself.
+/// Presence data of a turn store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StorePresence {
-    /// Where gateways and other stores reach it.
+    /// Address for gateways and other stores.
     pub address: SocketAddr,
-    /// Names its disk.
+    /// Identifier of its disk.
     pub incarnation: u64,
-    /// Whether it was there when the deployment first started, with nothing to be filled with.
+    /// True if the store belongs to the initial deployment, so that there is no earlier state to
+    /// copy to it.
     pub founding: bool,
-    /// Newest view for which it has handed over everything that others should hold.
+    /// Epoch of the latest view for which it has transferred all state that other stores own.
     pub handed_over_epoch: u64,
 }
 
-/// A control member's word of itself, to the leader.
+/// Presence data that a control member sends to the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberPresence {
-    /// Gateways that take callers and count on this member to say so.
+    /// Number of gateways that accept callers and are counted by this member.
     pub gateways: u32,
 }
 
-/// What a process is.
+/// Role of a process, with its presence data.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
     /// Serves callers.
     Gateway(GatewayPresence),
-    /// Holds turns and accounts.
+    /// Stores turns and accounts.
     Store(StorePresence),
-    /// Passes on what the leader knows.
+    /// Relays the leader's state to observers.
     Member(MemberPresence),
 }
 
-/// Kinds of processes; names are distinct within one.
+/// Kind of a process; machine names are unique within a kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Kind {
     Gateway,
@@ -67,109 +68,110 @@
     }
 }
 
-/// A process's word of itself.
+/// Heartbeat of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
     /// Name of its machine.
     pub name: String,
     /// Its zone.
     pub zone: String,
-    /// What it is.
+    /// Its role.
     pub role: Role,
 }
 
-/// A store's last word.
+/// Latest presence of a store.
 #[derive(Clone, Copy, Debug)]
 pub struct LastStorePresence<'table> {
     /// Name of its machine.
     pub name: &'table str,
     /// Its zone.
     pub zone: &'table str,
-    /// Time since it was heard from.
+    /// Time since the last heartbeat.
     pub silence: Duration,
-    /// What it said.
+    /// Presence data.
     pub store: &'table StorePresence,
 }
 
-/// A gateway's last word, as one member passes it on to another.
+/// Latest presence of a gateway, relayed from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayedPresence {
-    /// Its word.
+    /// Presence of the gateway.
     pub presence: Presence,
-    /// Time since it was heard from.
+    /// Time since the last heartbeat.
     pub silence: Duration,
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    heard: Timestamp,
+    received_at: Timestamp,
     presence: Presence,
-    /// Whether the process itself said it, rather than another member.
-    is_first_hand: bool,
-    /// Whether the process counts on this member to count it.
+    /// True if the process itself sent it, false if another member relayed it.
+    is_direct: bool,
+    /// True if this member is the one that counts the process.
     is_counted_here: bool,
 }
 
-/// Who was heard from lately.
+/// Processes with a recent heartbeat.
 #[derive(Clone, Debug, Default)]
 pub struct PresenceTable {
-    heard: BTreeMap<(Kind, String), Entry>,
+    entries: BTreeMap<(Kind, String), Entry>,
 }
 
 impl PresenceTable {
-    /// Takes a process's word. `is_counted_here` says that of all members it asks it is to be
-    /// counted by this one.
+    /// Records a heartbeat of a process. `is_counted_here` is true if, of all members that it
+    /// queries, this one counts it.
     pub fn note(&mut self, presence: Presence, is_counted_here: bool, now: Timestamp) {
         let key = (presence.role.kind(), presence.name.clone());
         let entry = Entry {
-            heard: now,
+            received_at: now,
             presence,
-            is_first_hand: true,
+            is_direct: true,
             is_counted_here,
         };
-        self.heard.insert(key, entry);
+        self.entries.insert(key, entry);
     }
 
-    /// Takes a gateway's word that another member heard, unless a later one is known.
-    pub fn note_relayed(&mut self, word: RelayedPresence, now: Timestamp) {
-        let silence = u64::try_from(word.silence.as_micros()).unwrap_or(u64::MAX);
-        let heard = Timestamp::from_micros(now.as_micros().saturating_sub(silence));
-        let key = (word.presence.role.kind(), word.presence.name.clone());
+    /// Records a gateway's heartbeat that another member relayed, unless a later one is known.
+    pub fn note_relayed(&mut self, relayed: RelayedPresence, now: Timestamp) {
+        let silence = u64::try_from(relayed.silence.as_micros()).unwrap_or(u64::MAX);
+        let received_at = Timestamp::from_micros(now.as_micros().saturating_sub(silence));
+        let key = (relayed.presence.role.kind(), relayed.presence.name.clone());
         if self
-            .heard
+            .entries
             .get(&key)
-            .is_some_and(|known| known.heard >= heard)
+            .is_some_and(|known| known.received_at >= received_at)
         {
             return;
         }
         let entry = Entry {
-            heard,
-            presence: word.presence,
-            is_first_hand: false,
+            received_at,
+            presence: relayed.presence,
+            is_direct: false,
             is_counted_here: false,
         };
-        self.heard.insert(key, entry);
+        self.entries.insert(key, entry);
     }
 
-    /// Number of processes that are known.
+    /// Returns the number of known processes.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.heard.len()
+        self.entries.len()
     }
 
-    /// Whether no process is known.
+    /// Returns true if no process is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.heard.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Forgets processes that were silent for `limit`.
+    /// Removes processes without a heartbeat within `limit`.
     pub fn expire(&mut self, now: Timestamp, limit: Duration) {
-        self.heard.retain(|_, entry| now.since(entry.heard) < limit);
+        self.entries
+            .retain(|_, entry| now.since(entry.received_at) < limit);
     }
 
     fn gateways(&self) -> impl Iterator<Item = (&Entry, &GatewayPresence)> {
-        self.heard
+        self.entries
             .values()
             .filter_map(|entry| match &entry.presence.role {
                 Role::Gateway(gateway) => Some((entry, gateway)),
@@ -177,24 +179,24 @@
             })
     }
 
-    /// Gateways with their zones that were heard from within `limit` and take callers.
+    /// Returns the gateways that accept callers and have a heartbeat within `limit`, with their
+    /// zones.
     pub fn ready_gateways(
         &self,
         now: Timestamp,
         limit: Duration,
     ) -> impl Iterator<Item = (&str, &GatewayPresence)> {
         self.gateways()
-            .filter(move |(entry, gateway)| gateway.ready && now.since(entry.heard) < limit)
+            .filter(move |(entry, gateway)| gateway.ready && now.since(entry.received_at) < limit)
             .map(|(entry, gateway)| (entry.presence.zone.as_str(), gateway))
     }
 
-    /// What the gateways of each zone have to do together, those that were heard from within
-    /// `limit`.
+    /// Returns the total load of each zone's gateways that have a heartbeat within `limit`.
     #[must_use]
     pub fn zone_loads(&self, now: Timestamp, limit: Duration) -> BTreeMap<String, GatewayLoad> {
         let mut loads: BTreeMap<&str, Vec<&GatewayLoad>> = BTreeMap::new();
-        let heard = self.gateways();
-        for (entry, gateway) in heard.filter(|(entry, _)| now.since(entry.heard) < limit) {
+        let gateways = self.gateways();
+        for (entry, gateway) in gateways.filter(|(entry, _)| now.since(entry.received_at) < limit) {
             let zone = loads.entry(entry.presence.zone.as_str()).or_default();
             zone.push(&gateway.load);
         }
@@ -203,33 +205,35 @@
             .collect()
     }
 
-    /// Words that gateways said to this member itself within `limit`, for the others of its zone.
+    /// Returns the gateways that sent a heartbeat to this member itself within `limit`, to be
+    /// relayed to the other members of its zone.
     #[must_use]
     pub fn direct_gateways(&self, now: Timestamp, limit: Duration) -> Vec<RelayedPresence> {
         self.gateways()
-            .filter(|(entry, _)| entry.is_first_hand && now.since(entry.heard) < limit)
+            .filter(|(entry, _)| entry.is_direct && now.since(entry.received_at) < limit)
             .map(|(entry, _)| RelayedPresence {
                 presence: entry.presence.clone(),
-                silence: now.since(entry.heard),
+                silence: now.since(entry.received_at),
             })
             .collect()
     }
 
-    /// Gateways that take callers, were heard from within `limit` and are counted here.
+    /// Returns the number of gateways that accept callers, have a heartbeat within `limit` and are
+    /// counted by this member.
     #[must_use]
     pub fn counted_gateways(&self, now: Timestamp, limit: Duration) -> u32 {
         let counted = self.gateways().filter(|(entry, gateway)| {
-            gateway.ready && entry.is_counted_here && now.since(entry.heard) < limit
+            gateway.ready && entry.is_counted_here && now.since(entry.received_at) < limit
         });
         u32::try_from(counted.count()).unwrap_or(u32::MAX)
     }
 
-    /// Gateways that members heard from within `limit` have counted.
+    /// Returns the sum of the gateway counts of all members that have a heartbeat within `limit`.
     #[must_use]
     pub fn total_counted_gateways(&self, now: Timestamp, limit: Duration) -> u32 {
-        self.heard
+        self.entries
             .values()
-            .filter(|entry| now.since(entry.heard) < limit)
+            .filter(|entry| now.since(entry.received_at) < limit)
             .map(|entry| match &entry.presence.role {
                 Role::Member(member) => member.gateways,
                 Role::Gateway(_) | Role::Store(_) => 0,
@@ -237,16 +241,16 @@
             .sum()
     }
 
-    /// Stores with the time since they were heard from.
+    /// Returns all stores with the time since their last heartbeat.
     pub fn stores(&self, now: Timestamp) -> impl Iterator<Item = LastStorePresence<'_>> {
-        self.heard.values().filter_map(move |entry| {
+        self.entries.values().filter_map(move |entry| {
             let Role::Store(store) = &entry.presence.role else {
                 return None;
             };
             Some(LastStorePresence {
                 name: &entry.presence.name,
                 zone: &entry.presence.zone,
-                silence: now.since(entry.heard),
+                silence: now.since(entry.received_at),
                 store,
             })
         })
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -1,105 +1,105 @@
-//! The replicated registry of turn stores.
+//! Replicated registry of turn stores.
 
 use crate::view::{StoreMember, StoreName, StoreState, StoreView};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A change of the registry, as the leader proposes it.
+/// A change of the registry, proposed by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreCommand {
-    /// A store is there with this disk.
+    /// Adds a store with this disk.
     Join {
-        /// The store.
+        /// Name of the store.
         name: StoreName,
-        /// Where it listens.
+        /// Address that it listens on.
         address: SocketAddr,
         /// Its zone.
         zone: String,
-        /// Its disk.
+        /// Identifier of its disk.
         incarnation: u64,
-        /// Whether nothing was written before it came.
+        /// True if the store belongs to the initial deployment, before anything was written.
         founding: bool,
     },
-    /// A store has been filled.
+    /// Marks a store as active, after all state that it owns was copied to it.
     Activate {
-        /// The store.
+        /// Name of the store.
         name: StoreName,
-        /// The disk that was filled.
+        /// Identifier of the disk to which the state was copied.
         incarnation: u64,
     },
-    /// A store was silent for long.
+    /// Marks a store without heartbeats as lost.
     Lose {
-        /// The store.
+        /// Name of the store.
         name: StoreName,
     },
-    /// An operator wants a store emptied.
+    /// Starts the retirement of a store on an operator's request.
     Retire {
-        /// The store.
+        /// Name of the store.
         name: StoreName,
-        /// Stores that must remain.
+        /// Minimum number of writable stores that must remain.
         minimum: usize,
     },
-    /// A leaving store holds nothing that others lack.
+    /// Removes a retired store whose state has been copied to the others.
     Remove {
-        /// The store.
+        /// Name of the store.
         name: StoreName,
     },
 }
 
-/// How far the retirement of a store is.
+/// State of the retirement of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetireState {
-    /// Others are taking over.
+    /// Its state is being copied to other stores.
     Running,
-    /// The machine may go.
+    /// The machine can be removed.
     Completed,
 }
 
-/// Answer to an order to retire a store.
+/// Response to a request to retire a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RetireResponse {
-    /// It is under way or done.
+    /// The retirement is running or completed.
     State(RetireState),
     /// There is no such store.
     Unknown,
-    /// Too few would remain.
+    /// Too few stores would remain.
     TooFew,
 }
 
-/// What a store that joins says of itself.
+/// Data of a store that joins.
 #[derive(Clone, Copy, Debug)]
-struct Newcomer<'command> {
+struct JoiningStore<'command> {
     address: SocketAddr,
     zone: &'command str,
     incarnation: u64,
     founding: bool,
 }
 
-/// The registry.
+/// Registry of all stores and retirements.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreRegistry {
     view: StoreView,
     retirements: BTreeMap<StoreName, RetireState>,
-    /// Whether any store has come back, gone or been passed over. From then on a store that was
-    /// there at the first start may have missed something.
+    /// True once any store has changed its state, changed its disk or been removed. From then on a
+    /// founding store that joins may lack state and must be filled.
     is_past_founding: bool,
 }
 
 impl StoreRegistry {
-    /// The stores.
+    /// Returns the current store view.
     #[must_use]
     pub fn view(&self) -> &StoreView {
         &self.view
     }
 
-    /// How far the retirement of a store is; `None` when none was ordered.
+    /// Returns the state of a store's retirement; `None` if none was requested.
     #[must_use]
     pub fn retirement(&self, name: &StoreName) -> Option<RetireState> {
         self.retirements.get(name).copied()
     }
 
-    /// Applies a change. Repeating one has no effect.
+    /// Applies a change. Repeating a change has no effect.
     pub fn apply(&mut self, command: &StoreCommand) -> RetireResponse {
         match command {
             StoreCommand::Join {
@@ -110,7 +110,7 @@
                 founding,
             } => self.join(
                 name,
-                Newcomer {
+                JoiningStore {
                     address: *address,
                     zone,
                     incarnation: *incarnation,
@@ -125,13 +125,13 @@
         RetireResponse::State(RetireState::Running)
     }
 
-    fn join(&mut self, name: &StoreName, newcomer: Newcomer<'_>) {
-        let Newcomer {
+    fn join(&mut self, name: &StoreName, store: JoiningStore<'_>) {
+        let JoiningStore {
             address,
             zone,
             incarnation,
             founding,
-        } = newcomer;
+        } = store;
         let known = self.view.members.get(name);
         let is_new_disk = known.is_some_and(|member| member.incarnation != incarnation);
         let state = match known {
@@ -142,7 +142,7 @@
             Some(member) if member.state == StoreState::Lost => StoreState::Joining,
             Some(member) if member.address == address => return,
             Some(member) => member.state,
-            // Nothing was written before the founding stores came.
+            // Nothing was written before the founding stores joined.
             None if founding && !self.is_past_founding || self.view.is_empty() => {
                 StoreState::Active
             }
@@ -161,10 +161,10 @@
     }
 
     fn activate(&mut self, name: &StoreName, incarnation: u64) {
-        let joining = self.view.members.get(name).is_some_and(|member| {
+        let is_joining = self.view.members.get(name).is_some_and(|member| {
             member.incarnation == incarnation && member.state == StoreState::Joining
         });
-        if joining {
+        if is_joining {
             self.set_state(name, StoreState::Active);
         }
     }
--- a/crates/fleet/src/sight.rs
+++ b/crates/fleet/src/replica_stats.rs
@@ -1,66 +1,68 @@
-//! What gateways see of the replicas that they use, summed over a zone.
+//! Statistics of replicas, reported by gateways and summed over a zone.
 //!
-//! A gateway of a fleet has a few answers of each replica in some seconds, too few to tell a slow
-//! one in time. All gateways of a zone together have several a second. Each says what it saw with
-//! its word of itself; the members of its zone hear all of them and tell each the sum.
+//! A single gateway gets a few responses from each replica in several seconds, too few to detect a
+//! straggler in time. All gateways of a zone together get several per second. Each gateway sends
+//! its statistics with its heartbeat. The members of its zone receive the reports of all gateways
+//! and return the sums.
 
 use crate::backend::BackendId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Replicas in one word at the most: 20 bytes each keep it under 2 KB. The busiest come first.
+/// Maximum number of replicas in a report: at 20 bytes each, a report stays below 2 KB. Those with
+/// failures come first, then the busiest.
 pub const MAX_REPLICA_STATS: usize = 96;
 
-/// Names a replica in a word of sights: the upper half of [`BackendId::stable_hash`]. Two replicas of a
-/// fleet that share it count as one; each start of a replica has another.
+/// Identifier of a replica in a report: the upper half of [`BackendId::stable_hash`]. Replicas with
+/// the same key count as one. A replica that restarts under a new identifier has a new key.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ReplicaKey(pub u32);
 
 impl ReplicaKey {
-    /// The key of a replica.
+    /// Returns the key of a replica.
     #[must_use]
     pub fn of(id: &BackendId) -> Self {
         Self((id.stable_hash() >> 32) as u32)
     }
 }
 
-/// What one gateway, or all of a zone together, saw of one replica in the last moments.
+/// Recent statistics of one replica at one gateway, or summed over a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaStats {
     /// The replica.
     pub replica: ReplicaKey,
-    /// Requests under way there, in tenths.
+    /// Requests in flight at the replica, in tenths.
     pub in_flight_tenths: u32,
-    /// Answers that `step_micros` is the mean of, in tenths; older ones count for less.
+    /// Number of responses averaged in `step_micros`, in tenths; older ones have a lower weight.
     pub samples_tenths: u32,
-    /// Mean time between two events of its streams, in microseconds.
+    /// Average time between two events of a stream, in microseconds.
     pub step_micros: u32,
-    /// Sends that failed, or have kept silent for far longer than they should, in tenths; older
-    /// ones count for less.
+    /// Requests that failed or have had no event for far too long, in tenths; older ones have a
+    /// lower weight.
     pub failures_tenths: u32,
-    /// Gateways that saw such a send.
+    /// Number of gateways that had such a request.
     pub reporting_gateways: u16,
 }
 
-/// The replicas that one gateway, or all of a zone together, used in the last moments.
+/// Statistics of the replicas that one gateway, or all gateways of a zone, used recently.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatsReport(pub Vec<ReplicaStats>);
 
 impl StatsReport {
-    /// What several gateways saw, together.
+    /// Sums the reports of several gateways.
     #[must_use]
-    pub fn sum<'words>(words: impl IntoIterator<Item = &'words Self>) -> Self {
+    pub fn sum<'reports>(reports: impl IntoIterator<Item = &'reports Self>) -> Self {
         let mut sums: BTreeMap<ReplicaKey, ReplicaStats> = BTreeMap::new();
-        for sight in words.into_iter().flat_map(|word| &word.0) {
-            sums.entry(sight.replica)
-                .and_modify(|sum| sum.add(sight))
-                .or_insert(*sight);
+        for stats in reports.into_iter().flat_map(|report| &report.0) {
+            sums.entry(stats.replica)
+                .and_modify(|sum| sum.add(stats))
+                .or_insert(*stats);
         }
         let mut all: Vec<ReplicaStats> = sums.into_values().collect();
-        all.sort_by_key(|sight| {
-            std::cmp::Reverse((sight.reporting_gateways, sight.in_flight_tenths))
+        all.sort_by_key(|stats| {
+            std::cmp::Reverse((stats.reporting_gateways, stats.in_flight_tenths))
         });
         all.truncate(MAX_REPLICA_STATS);
         Self(all)
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! The turn stores that hold state, as one numbered view.
+//! Numbered views of the turn stores.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -14,52 +14,53 @@
     }
 }
 
-/// What a store may be relied on for.
+/// State of a store in a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreState {
-    /// Takes writes, but may lack what was written before it came.
+    /// Accepts writes, but may lack records written before it joined.
     Joining,
-    /// Holds everything that it should.
+    /// Holds all records that it owns.
     Active,
-    /// Is to be emptied; others take over what it holds.
+    /// Is being retired: other stores take over its records.
     Leaving,
-    /// Was silent for long while enough others were there.
+    /// Sent no heartbeat for a long time, while enough other stores remained.
     Lost,
 }
 
-/// One store.
+/// A store in a view.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreMember {
-    /// Where gateways and other stores reach it.
+    /// Address for gateways and other stores.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
-    /// Names its disk; a lost disk comes back under another number.
+    /// Identifier of its disk; a store that lost its disk joins with another one.
     pub incarnation: u64,
-    /// What it may be relied on for.
+    /// Its state.
     pub state: StoreState,
-    /// Epoch of the view in which it got this state.
+    /// Epoch of the view in which it entered this state.
     pub since_epoch: u64,
 }
 
-/// The stores at one epoch.
+/// All stores at one epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreView {
-    /// Rises with every change.
+    /// Incremented with every change.
     pub epoch: u64,
-    /// The stores by name.
+    /// Stores by name.
     pub members: BTreeMap<StoreName, StoreMember>,
 }
 
 impl StoreView {
-    /// Stores that take writes: those that hold state or are being filled.
+    /// Returns the stores that accept writes: active and joining ones.
     pub fn writable(&self) -> impl Iterator<Item = (&StoreName, &StoreMember)> {
         self.members
             .iter()
             .filter(|(_, member)| matches!(member.state, StoreState::Active | StoreState::Joining))
     }
 
-    /// Whether a store's word that it lacks something can be relied on.
+    /// Returns true if the store holds all records that it owns, so that its response that a record
+    /// does not exist can be trusted.
     #[must_use]
     pub fn is_authoritative(&self, name: &StoreName, incarnation: u64) -> bool {
         self.members.get(name).is_some_and(|member| {
@@ -68,13 +69,13 @@
         })
     }
 
-    /// How many stores may hold a record, lost ones included.
+    /// Returns the number of stores, including lost ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there is no store.
+    /// Returns true if there are no stores.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
--- a/crates/fleet/src/zone_load.rs
+++ b/crates/fleet/src/zone_load.rs
@@ -1,38 +1,38 @@
-//! What the gateways of a zone have to do together.
+//! Load of all gateways of a zone.
 //!
-//! A gateway of a large fleet sees one request in some hundreds, and so cannot tell how much of
-//! the fleet the load needs. Each says what it has to do with its word of itself; the members of
-//! its zone hear all of them and tell each the sum.
+//! A gateway of a large fleet gets one of several hundred requests, so it cannot estimate how many
+//! replicas the total load needs. Each gateway sends its load with its heartbeat. The members of
+//! its zone receive the load of all gateways and return the sum.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Requests under way at replicas of a service, in the mean of the last moments.
+/// Recent average number of requests in flight at the replicas of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Requests, in hundredths.
+    /// Requests in flight, in hundredths.
     pub in_flight_hundredths: u32,
 }
 
-/// What one gateway, or all of a zone together, have to do.
+/// Load of one gateway, or of all gateways of a zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GatewayLoad {
-    /// Requests of callers in a minute, by those of the last moments.
+    /// Recent rate of callers' requests, per minute.
     pub requests_per_minute: u32,
-    /// What is under way.
+    /// Requests in flight by service.
     pub services: Vec<ServiceLoad>,
 }
 
 impl GatewayLoad {
-    /// Requests of callers in a second.
+    /// Returns the rate of callers' requests, per second.
     #[must_use]
     pub fn requests_per_s(&self) -> f64 {
         f64::from(self.requests_per_minute) / 60.0
     }
 
-    /// The loads of several gateways together.
+    /// Sums the loads of several gateways.
     #[must_use]
     pub fn sum<'loads>(loads: impl IntoIterator<Item = &'loads Self>) -> Self {
         let mut requests_per_minute = 0_u32;
--- a/crates/fleet/src/zone_stats.rs
+++ b/crates/fleet/src/zone_stats.rs
@@ -1,72 +1,74 @@
-//! What the gateways of each zone see of the replicas, as one member knows it.
+//! Replica statistics of each zone, aggregated at a control member.
 //!
-//! While a zone has few members, each of them hears every gateway of the zone, and sums what it
-//! hears. In a larger zone each gateway is heard by some members and counted by one; members then
-//! sum the gateways that they count, and tell each other these sums instead of all words.
+//! In a zone with few members, every gateway reports to every member, and each member sums all
+//! reports. In a larger zone a gateway reports to some members and is counted by one of them. Each
+//! member then sums the reports of the gateways that it counts, and the members exchange these sums
+//! instead of all reports.
 
-use crate::sight::{ReplicaStats, StatsReport};
+use crate::replica_stats::{ReplicaStats, StatsReport};
 use luglink_types::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time for which a sum serves all who ask. Gateways ask one after the other, and a member has
-/// little processor time.
-const SUM_LASTS: Duration = Duration::from_millis(50);
+/// Lifetime of a cached sum. Gateways request it one after the other, and members have little
+/// processor time.
+const CACHED_SUM_LIFETIME: Duration = Duration::from_millis(50);
 
-/// What all gateways of a zone saw together.
+/// Statistics summed over all gateways of a zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneStats {
-    /// The sum.
+    /// Sum of the reports.
     pub replica_stats: StatsReport,
-    /// Mean age of the words in it.
+    /// Average age of the summed reports.
     pub age: Duration,
 }
 
-/// What one member's gateways saw, as it tells the other members of its zone.
+/// Statistics of the gateways that one member counts, as sent to the other members of its zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStats {
-    /// Names the member; each of its words replaces the one before.
+    /// Identifier of the member; its newest message replaces the previous one.
     pub member: u32,
-    /// By the zones of the gateways that it counts.
+    /// Sums by zone of the gateways that it counts.
     pub zones: BTreeMap<String, ZoneStats>,
 }
 
-/// A gateway's word, as it came.
+/// The gateway that sent a report.
 #[derive(Clone, Copy, Debug)]
-pub struct StatsSource<'word> {
+pub struct StatsSource<'request> {
     /// Name of its machine.
-    pub name: &'word str,
+    pub name: &'request str,
     /// Its zone.
-    pub zone: &'word str,
-    /// Whether it counts on this member to count it.
+    pub zone: &'request str,
+    /// True if this member is the one that counts it.
     pub is_counted_here: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Word {
+struct GatewayReport {
     zone: String,
     replica_stats: StatsReport,
-    heard: Timestamp,
+    received_at: Timestamp,
     is_counted_here: bool,
 }
 
-/// A word, or a sum of words.
+/// A report or a sum of reports, with its age.
 #[derive(Clone, Copy, Debug)]
-struct AgedWord<'table> {
+struct AgedReport<'table> {
     replica_stats: &'table StatsReport,
     age: Duration,
-    /// Age at which what it witnesses was faded already.
-    faded_at: Duration,
+    /// Age up to which the weights were already reduced.
+    weighted_at: Duration,
 }
 
-impl AgedWord<'_> {
-    /// What is left of what it witnesses, when nothing is at the age of `limit`.
-    fn share_left(&self, limit: Duration) -> f64 {
-        let left_at = |age: Duration| limit.saturating_sub(age).as_secs_f64();
-        match left_at(self.faded_at) {
+impl AgedReport<'_> {
+    /// Returns the weight of the report's samples and failures. The weight decreases linearly to 0
+    /// at the age of `limit`; the reduction up to `weighted_at` is already included in the report.
+    fn weight(&self, limit: Duration) -> f64 {
+        let remaining_at = |age: Duration| limit.saturating_sub(age).as_secs_f64();
+        match remaining_at(self.weighted_at) {
             0.0 => 0.0,
-            before => left_at(self.age) / before,
+            previous => remaining_at(self.age) / previous,
         }
     }
 }
@@ -77,65 +79,67 @@
     summed_at: Timestamp,
 }
 
-/// The newest word of each gateway and of each neighbour.
+/// The latest report of each gateway and of each other member of the zone.
 #[derive(Clone, Debug, Default)]
 pub struct StatsTable {
-    gateways: BTreeMap<String, Word>,
+    gateways: BTreeMap<String, GatewayReport>,
     neighbours: BTreeMap<u32, (MemberStats, Timestamp)>,
     sums: BTreeMap<String, Cached>,
     has_neighbours: bool,
 }
 
 impl StatsTable {
-    /// Takes whether other members of the zone hear gateways that this one does not.
+    /// Sets whether there are gateways in the zone that report to other members only.
     pub fn set_has_neighbours(&mut self, has_neighbours: bool) {
         self.has_neighbours = has_neighbours;
     }
 
-    /// Takes a gateway's word.
-    pub fn note(&mut self, of: StatsSource<'_>, replica_stats: StatsReport, now: Timestamp) {
-        let word = Word {
-            zone: of.zone.to_owned(),
+    /// Records a gateway's report.
+    pub fn note(&mut self, source: StatsSource<'_>, replica_stats: StatsReport, now: Timestamp) {
+        let report = GatewayReport {
+            zone: source.zone.to_owned(),
             replica_stats,
-            heard: now,
-            is_counted_here: of.is_counted_here,
+            received_at: now,
+            is_counted_here: source.is_counted_here,
         };
-        self.gateways.insert(of.name.to_owned(), word);
+        self.gateways.insert(source.name.to_owned(), report);
     }
 
-    /// Takes another member's word of the gateways that it counts.
-    pub fn note_neighbour(&mut self, word: MemberStats, now: Timestamp) {
-        self.neighbours.insert(word.member, (word, now));
+    /// Records the sums that another member of the zone sent.
+    pub fn note_neighbour(&mut self, stats: MemberStats, now: Timestamp) {
+        self.neighbours.insert(stats.member, (stats, now));
     }
 
-    /// Forgets words that are older than `limit`.
+    /// Removes reports older than `limit`.
     pub fn expire(&mut self, now: Timestamp, limit: Duration) {
         self.gateways
-            .retain(|_, word| now.since(word.heard) < limit);
+            .retain(|_, report| now.since(report.received_at) < limit);
         self.neighbours
-            .retain(|_, (_, heard)| now.since(*heard) < limit);
+            .retain(|_, (_, received_at)| now.since(*received_at) < limit);
         self.sums
             .retain(|_, cached| now.since(cached.summed_at) < limit);
     }
 
-    /// What the gateways of a zone saw together. Words older than `limit` are left out, and what
-    /// they witness counts for less the older they are.
+    /// Returns the statistics summed over the gateways of a zone. Reports older than `limit` are
+    /// ignored, and the weight of samples and failures decreases with their age.
     pub fn sum(&mut self, zone: &str, now: Timestamp, limit: Duration) -> ZoneStats {
         let cached = self.sums.get(zone);
-        if let Some(cached) = cached.filter(|cached| now.since(cached.summed_at) < SUM_LASTS) {
+        if let Some(cached) =
+            cached.filter(|cached| now.since(cached.summed_at) < CACHED_SUM_LIFETIME)
+        {
             return cached.sum.clone();
         }
-        let own = self.own_words(zone, self.has_neighbours, now);
-        let told = self.neighbours.values().filter_map(|(word, heard)| {
-            let told = word.zones.get(zone)?;
-            Some(AgedWord {
-                replica_stats: &told.replica_stats,
-                age: told.age + now.since(*heard),
-                faded_at: told.age,
+        let own = self.own_reports(zone, self.has_neighbours, now);
+        let received = self.neighbours.values().filter_map(|(stats, received_at)| {
+            let zone_stats = stats.zones.get(zone)?;
+            Some(AgedReport {
+                replica_stats: &zone_stats.replica_stats,
+                age: zone_stats.age + now.since(*received_at),
+                weighted_at: zone_stats.age,
             })
         });
-        let told = told.filter(|_| self.has_neighbours);
-        let sum = sum_of(own.chain(told), limit);
+        let received = received.filter(|_| self.has_neighbours);
+        let sum = sum_of(own.chain(received), limit);
         let cached = Cached {
             sum: sum.clone(),
             summed_at: now,
@@ -144,59 +148,62 @@
         sum
     }
 
-    /// What the gateways that this member counts saw, for the other members of its zone.
+    /// Returns the sums of the gateways that this member counts, for the other members of its zone.
     #[must_use]
     pub fn counted(&self, member: u32, now: Timestamp, limit: Duration) -> MemberStats {
-        let counted = self.gateways.values().filter(|word| word.is_counted_here);
+        let counted = self
+            .gateways
+            .values()
+            .filter(|report| report.is_counted_here);
         let mut zones: BTreeMap<String, ZoneStats> = counted
-            .map(|word| (word.zone.clone(), ZoneStats::default()))
+            .map(|report| (report.zone.clone(), ZoneStats::default()))
             .collect();
-        for (zone, told) in &mut zones {
-            *told = sum_of(self.own_words(zone, true, now), limit);
+        for (zone, stats) in &mut zones {
+            *stats = sum_of(self.own_reports(zone, true, now), limit);
         }
         MemberStats { member, zones }
     }
 
-    /// Words of a zone's gateways with their ages.
-    fn own_words<'table>(
+    /// Returns the reports that a zone's gateways sent to this member, with their ages.
+    fn own_reports<'table>(
         &'table self,
         zone: &str,
         counted_only: bool,
         now: Timestamp,
-    ) -> impl Iterator<Item = AgedWord<'table>> {
-        let words = self.gateways.values();
-        words
-            .filter(move |word| word.zone == zone && (word.is_counted_here || !counted_only))
-            .map(move |word| AgedWord {
-                replica_stats: &word.replica_stats,
-                age: now.since(word.heard),
-                faded_at: Duration::ZERO,
+    ) -> impl Iterator<Item = AgedReport<'table>> {
+        let reports = self.gateways.values();
+        reports
+            .filter(move |report| report.zone == zone && (report.is_counted_here || !counted_only))
+            .map(move |report| AgedReport {
+                replica_stats: &report.replica_stats,
+                age: now.since(report.received_at),
+                weighted_at: Duration::ZERO,
             })
     }
 }
 
-fn sum_of<'words>(words: impl Iterator<Item = AgedWord<'words>>, limit: Duration) -> ZoneStats {
-    let fresh: Vec<AgedWord<'_>> = words.filter(|word| word.age < limit).collect();
-    let count = u32::try_from(fresh.len()).unwrap_or(u32::MAX).max(1);
-    let total: Duration = fresh.iter().map(|word| word.age).sum();
-    let faded: Vec<StatsReport> = fresh
+fn sum_of<'table>(reports: impl Iterator<Item = AgedReport<'table>>, limit: Duration) -> ZoneStats {
+    let recent: Vec<AgedReport<'_>> = reports.filter(|report| report.age < limit).collect();
+    let count = u32::try_from(recent.len()).unwrap_or(u32::MAX).max(1);
+    let total: Duration = recent.iter().map(|report| report.age).sum();
+    let weighted: Vec<StatsReport> = recent
         .iter()
-        .map(|word| faded(word.replica_stats, word.share_left(limit)))
+        .map(|report| weighted(report.replica_stats, report.weight(limit)))
         .collect();
     ZoneStats {
-        replica_stats: StatsReport::sum(&faded),
+        replica_stats: StatsReport::sum(&weighted),
         age: total / count,
     }
 }
 
-/// A word whose evidence counts for a share. What is under way stays: a word of a moment ago is
-/// the best guess of now.
-fn faded(word: &StatsReport, share: f64) -> StatsReport {
-    let fade = |tenths: u32| (f64::from(tenths) * share).round() as u32;
-    let replica_stats = word.0.iter().map(|sight| ReplicaStats {
-        samples_tenths: fade(sight.samples_tenths),
-        failures_tenths: fade(sight.failures_tenths),
-        ..*sight
+/// Returns a report whose samples and failures are multiplied by `weight`. Requests in flight are
+/// not: a slightly older number is the best estimate of the current one.
+fn weighted(report: &StatsReport, weight: f64) -> StatsReport {
+    let scale = |tenths: u32| (f64::from(tenths) * weight).round() as u32;
+    let replica_stats = report.0.iter().map(|stats| ReplicaStats {
+        samples_tenths: scale(stats.samples_tenths),
+        failures_tenths: scale(stats.failures_tenths),
+        ..*stats
     });
     StatsReport(replica_stats.collect())
 }
--- a/crates/fleet/tests/backends.rs
+++ b/crates/fleet/tests/backends.rs
@@ -1,4 +1,4 @@
-//! Lists of replicas: changes instead of whole lists, whoever tells them.
+//! Replica lists: incremental updates between processes, whichever process sends them.
 
 use luglink_fleet::{
     Backend, BackendChanges, BackendId, BackendList, BackendReport, BackendUpdate, Incarnation,
@@ -8,11 +8,11 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Replicas of the whole fleet, and of twice that.
-const SIZES: [u16; 2] = [9_999, 20_000];
+/// Number of replicas in the target fleet, and in one twice as large.
+const FLEET_SIZES: [u16; 2] = [9_999, 20_000];
 
-/// Time between readings of the list.
-const INTERVAL: Duration = Duration::from_millis(1_250);
+/// Time between two reads of the list.
+const READ_INTERVAL: Duration = Duration::from_millis(1_250);
 
 fn backend(number: u16, draining: bool) -> Backend {
     Backend {
@@ -36,25 +36,25 @@
     )
 }
 
-/// All replicas, of which those of `leaving` leave.
-fn fleet(size: u16, leaving: std::ops::Range<u16>) -> BackendList {
-    list((0..size).map(|number| (number, leaving.contains(&number))))
+/// A list of all replicas, of which those in `draining` are draining.
+fn fleet(size: u16, draining: std::ops::Range<u16>) -> BackendList {
+    list((0..size).map(|number| (number, draining.contains(&number))))
 }
 
-fn after(readings: u32) -> Timestamp {
-    Timestamp::from_millis(1_000_000).plus(INTERVAL * readings)
+fn after(reads: u32) -> Timestamp {
+    Timestamp::from_millis(1_000_000).plus(READ_INTERVAL * reads)
 }
 
-/// What a process says that has taken the list of a reading.
-fn has(list: &BackendList, reading: u32, now: Timestamp) -> KnownList {
+/// Request of a process that has the list of the given read.
+fn has(list: &BackendList, read: u32, now: Timestamp) -> KnownList {
     KnownList {
         fingerprint: list.fingerprint(),
-        age: Some(now.since(after(reading))),
+        age: Some(now.since(after(read))),
         digest: None,
     }
 }
 
-fn named(update: &BackendUpdate) -> usize {
+fn replicas_in(update: &BackendUpdate) -> usize {
     match update {
         BackendUpdate::None | BackendUpdate::Unknown => 0,
         BackendUpdate::Changes(changes) => changes.len(),
@@ -63,11 +63,10 @@
     }
 }
 
-/// At the size we design for every gateway is told of every change: what is told must not grow
-/// with the list.
+/// Every change is sent to every gateway, so the size of an update must not grow with the list.
 #[test]
-fn a_change_costs_what_has_changed() {
-    for size in SIZES {
+fn an_update_contains_only_what_has_changed() {
+    for size in FLEET_SIZES {
         let mut history = ListHistory::default();
         let first = fleet(size, 0..0);
         history.replace(first.clone(), after(0));
@@ -76,7 +75,7 @@
         let now = after(1);
         let report = history.report(&has(&first, 0, now), now).unwrap();
         let BackendUpdate::Changes(changes) = report.update else {
-            panic!("the first list is remembered");
+            panic!("the first list is in the history");
         };
         assert_eq!(changes.changed, [backend(7, true)]);
         assert!(changes.removed.is_empty());
@@ -85,31 +84,31 @@
     }
 }
 
-/// A leader falls while replicas leave: its successor reads a list that nobody was told of before,
-/// and nobody has the list that it had last. Sending the whole list to 1,728 gateways would take
-/// longer than replicas may take to leave.
+/// A leader fails while replicas drain. Its successor reads a newer list, and does not have the
+/// list that gateways got last. Sending the full list to 1,728 gateways would take longer than
+/// the time in which they must know of draining replicas.
 #[test]
-fn a_list_that_nobody_remembers_costs_a_digest_and_the_parts_that_differ() {
-    for size in SIZES {
-        let told = fleet(size, 0..60);
+fn a_list_that_is_not_in_the_history_is_updated_by_digest_and_patch() {
+    for size in FLEET_SIZES {
+        let received = fleet(size, 0..60);
         let mut gateway = ListCopy::default();
-        gateway.replace(told.clone(), after(1));
-        // The successor was told of the list before, and reads the one after.
+        gateway.replace(received.clone(), after(1));
+        // The successor has the list before the gateway's, and reads the one after it.
         let mut successor = ListHistory::default();
         successor.replace(fleet(size, 0..0), after(0));
         successor.replace(fleet(size, 0..120), after(2));
         let now = after(2);
-        let asked = successor.report(&gateway.known(now), now).unwrap();
-        assert_eq!(asked.update, BackendUpdate::Unknown);
-        assert_eq!(gateway.follow(asked, now), None);
+        let first_report = successor.report(&gateway.known(now), now).unwrap();
+        assert_eq!(first_report.update, BackendUpdate::Unknown);
+        assert_eq!(gateway.follow(first_report, now), None);
         let known = gateway.known(now);
         assert!(known.digest.is_some());
-        let told = successor.report(&known, now).unwrap();
-        let replicas = named(&told.update);
-        // Sixty have changed; each brings the others of its bucket, which has 32 at the most in
-        // the mean.
+        let patch_report = successor.report(&known, now).unwrap();
+        let replicas = replicas_in(&patch_report.update);
+        // Sixty replicas have changed. Each adds the others of its bucket, whose average size is at
+        // most 32.
         assert!((60..60 * 33).contains(&replicas), "{replicas}");
-        let changes = gateway.follow(told, now).unwrap();
+        let changes = gateway.follow(patch_report, now).unwrap();
         assert_eq!(changes.changed.len(), 60);
         assert_eq!(gateway.list(), successor.copy().list());
         assert!(gateway.known(now).digest.is_none());
@@ -117,35 +116,39 @@
 }
 
 #[test]
-fn what_is_remembered_never_grows_beyond_the_list() {
+fn the_history_is_bounded_by_the_size_of_the_list() {
     let size = 2_000;
     let mut history = ListHistory::default();
     let mut lists = Vec::new();
-    for reading in 0..200 {
-        let start = reading * 9;
-        let read = fleet(size, start..start + 60);
-        lists.push(read.clone());
-        history.replace(read, after(u32::from(reading)));
+    for read in 0..200 {
+        let start = read * 9;
+        let current = fleet(size, start..start + 60);
+        lists.push(current.clone());
+        history.replace(current, after(u32::from(read)));
     }
     let now = after(199);
-    let mut remembered = 0;
-    for (reading, known) in (0_u32..).zip(&lists) {
-        let report = history.report(&has(known, reading, now), now).unwrap();
-        assert!(named(&report.update) <= usize::from(size));
-        remembered += usize::from(matches!(report.update, BackendUpdate::Changes(_)));
+    let mut updated_by_changes = 0;
+    for (read, known) in (0_u32..).zip(&lists) {
+        let report = history.report(&has(known, read, now), now).unwrap();
+        assert!(replicas_in(&report.update) <= usize::from(size));
+        updated_by_changes += usize::from(matches!(report.update, BackendUpdate::Changes(_)));
     }
-    // Each reading changes 18: half of the list is remembered, and the rest by digest.
-    assert!((20..60).contains(&remembered), "{remembered}");
+    // Each read changes 18 replicas, and the history keeps changes of half as many replicas as the
+    // list has. Older lists need a digest.
+    assert!(
+        (20..60).contains(&updated_by_changes),
+        "{updated_by_changes}"
+    );
 }
 
 #[test]
-fn a_copy_never_goes_back() {
+fn a_copy_is_never_replaced_by_an_older_list() {
     let mut copy = ListCopy::default();
     let newer = list([(1, true)]);
     copy.replace(newer.clone(), after(5));
     let older = |update| BackendReport {
         fingerprint: list([(1, false)]).fingerprint(),
-        age: INTERVAL * 3,
+        age: READ_INTERVAL * 3,
         update,
     };
     let whole = older(BackendUpdate::Whole(list([(1, false)]).into()));
@@ -158,7 +161,7 @@
 }
 
 #[test]
-fn a_member_that_lags_tells_nothing_to_those_who_have_a_newer_list() {
+fn a_lagging_member_sends_nothing_to_a_process_with_a_newer_list() {
     let mut lagging = ListHistory::default();
     lagging.replace(list([(1, false)]), after(1));
     let newer = list([(1, true)]);
@@ -168,7 +171,7 @@
 }
 
 #[test]
-fn changes_of_another_list_are_not_taken() {
+fn changes_with_another_base_are_not_applied() {
     let first = list([(1, false)]);
     let second = list([(1, true)]);
     let mut third = list([(2, false)]);
@@ -177,10 +180,10 @@
 }
 
 #[test]
-fn a_replica_that_two_pages_name_is_leaving_when_one_says_so() {
+fn a_replica_listed_on_two_pages_is_draining_if_one_entry_says_so() {
     for order in [[false, true], [true, false]] {
-        let named = order.map(|draining| backend(1, draining));
-        let list = BackendList::new(named.to_vec());
+        let entries = order.map(|draining| backend(1, draining));
+        let list = BackendList::new(entries.to_vec());
         assert_eq!(list.backends().collect::<Vec<_>>(), [&backend(1, true)]);
         assert_eq!(
             list.fingerprint(),
@@ -193,17 +196,17 @@
     prop::collection::vec((0_u16..200, any::<bool>()), 0..200).prop_map(list)
 }
 
-/// A process in a random interleaving of readers, members that follow and processes that ask them.
+/// Step of a random interleaving of readers, members that follow them, and a gateway.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The first or the second reader reads what the platform shows now.
+    /// The first or the second reader reads the platform's current list.
     Read(bool),
-    /// What the platform shows changes.
+    /// The platform's list changes.
     Change(BackendList),
-    /// The member of that number follows a reader or another member.
+    /// A member gets an update from a reader or another member.
     Follow(usize, usize),
-    /// The gateway asks a member.
-    Ask(usize),
+    /// The gateway gets an update from a member.
+    Query(usize),
     /// Time passes.
     Wait(u64),
 }
@@ -215,23 +218,26 @@
         2 => any::<bool>().prop_map(Step::Read),
         2 => any_list().prop_map(Step::Change),
         4 => (0..HISTORIES, 0..HISTORIES).prop_map(|(to, from)| Step::Follow(to, from)),
-        4 => (0..HISTORIES).prop_map(Step::Ask),
+        4 => (0..HISTORIES).prop_map(Step::Query),
         2 => (1_u64..2_000).prop_map(Step::Wait),
     ]
 }
 
-/// Lists that the platform has shown, and until when.
-type Shown = Vec<(BackendList, Timestamp)>;
+/// Past and current lists of the platform, with the times at which they were replaced.
+type PlatformLists = Vec<(BackendList, Timestamp)>;
 
-/// The last time at which the platform showed a list no later than `now`.
-fn last_shown(shown: &Shown, list: &BackendList) -> Timestamp {
-    let times = shown.iter().filter(|(known, _)| known == list);
-    times.map(|(_, until)| *until).max().expect("it was shown")
+/// Returns the last time at which this was the platform's list. Panics if it never was.
+fn last_current(platform: &PlatformLists, list: &BackendList) -> Timestamp {
+    let times = platform.iter().filter(|(known, _)| known == list);
+    times
+        .map(|(_, until)| *until)
+        .max()
+        .expect("the platform has had the list")
 }
 
 proptest! {
     #[test]
-    fn changes_lead_from_any_list_to_any_other(before in any_list(), after in any_list()) {
+    fn changes_turn_any_list_into_any_other(before in any_list(), after in any_list()) {
         let mut changed = before.clone();
         prop_assert!(changed.apply(&before.changes_to(&after)));
         prop_assert_eq!(changed.fingerprint(), after.fingerprint());
@@ -239,7 +245,7 @@
     }
 
     #[test]
-    fn merged_changes_lead_where_they_lead_one_by_one(lists in prop::collection::vec(any_list(), 2..6)) {
+    fn merged_changes_have_the_same_result_as_single_ones(lists in prop::collection::vec(any_list(), 2..6)) {
         let steps: Vec<BackendChanges> =
             lists.windows(2).map(|pair| pair[0].changes_to(&pair[1])).collect();
         let mut changed = lists[0].clone();
@@ -248,34 +254,34 @@
     }
 
     #[test]
-    fn a_patch_leads_from_any_list_to_any_other(before in any_list(), after in any_list()) {
+    fn a_patch_turns_any_list_into_any_other(before in any_list(), after in any_list()) {
         let patch = after.patch_for(&before.digest()).unwrap();
         prop_assert_eq!(before.patched(&patch), Some(after));
     }
 
-    /// Whoever asks whom, every copy is a list that the platform has shown, no copy goes back to
-    /// one that it had replaced, and a gateway that asks a member twice, the second time with its
-    /// digest, has a list as new as the member's.
+    /// Whichever processes exchange updates: the gateway's copy is always a list that the platform
+    /// has had, and is never replaced by an older one. A gateway that queries a member again, with
+    /// its digest if needed, has a list as new as the member's.
     #[test]
-    fn copies_are_lists_that_were_shown_and_never_go_back(
+    fn copies_are_lists_of_the_platform_and_never_get_older(
         first in any_list(),
         steps in prop::collection::vec(any_step(), 1..60),
     ) {
         let mut now = after(0);
-        let mut shown: Shown = vec![(first, Timestamp::MAX)];
+        let mut platform: PlatformLists = vec![(first, Timestamp::MAX)];
         let mut histories = vec![ListHistory::default(); HISTORIES];
         let mut gateway = ListCopy::default();
         for step in steps {
             now = now.plus(Duration::from_millis(200));
-            let gateway_had = gateway.clone();
+            let previous = gateway.clone();
             match step {
                 Step::Wait(millis) => now = now.plus(Duration::from_millis(millis)),
                 Step::Change(list) => {
-                    shown.last_mut().unwrap().1 = now;
-                    shown.push((list, Timestamp::MAX));
+                    platform.last_mut().unwrap().1 = now;
+                    platform.push((list, Timestamp::MAX));
                 }
                 Step::Read(is_second) => {
-                    let current = shown.last().unwrap().0.clone();
+                    let current = platform.last().unwrap().0.clone();
                     histories[usize::from(is_second)].replace(current, now);
                 }
                 Step::Follow(to, from) => {
@@ -286,7 +292,7 @@
                         }
                     }
                 }
-                Step::Ask(member) => {
+                Step::Query(member) => {
                     for _ in 0..3 {
                         let known = gateway.known(now);
                         if let Some(report) = histories[member].report(&known, now) {
@@ -300,8 +306,8 @@
                 }
             }
             if gateway.seen().is_some() {
-                last_shown(&shown, gateway.list());
-                prop_assert!(gateway.seen() >= gateway_had.seen());
+                last_current(&platform, gateway.list());
+                prop_assert!(gateway.seen() >= previous.seen());
             }
         }
     }
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -1,4 +1,5 @@
-//! Replicas that start again under their old identifiers, beside builds that do not know of it.
+//! Replicas that restart under their old identifiers, in deployments with builds that do not
+//! support incarnations.
 
 use luglink_fleet::{
     Backend, BackendId, BackendList, BackendUpdate, Incarnation, KnownIncarnations, KnownList,
@@ -7,7 +8,7 @@
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Fingerprint of three replicas as builds without incarnations compute it.
+/// Fingerprint of three replicas, as computed by builds without incarnations.
 const FINGERPRINT_OF_OLDER_BUILDS: u64 = 7_804_934_275_385_515_978;
 
 fn backend(number: u16, start: u64) -> Backend {
@@ -34,22 +35,25 @@
 }
 
 fn starts(list: &BackendList) -> Vec<u64> {
-    list.backends().map(|one| one.incarnation.0).collect()
+    list.backends()
+        .map(|backend| backend.incarnation.0)
+        .collect()
 }
 
-fn told(number: u16, start: u64) -> ReplicaIncarnation {
+fn incarnation(number: u16, start: u64) -> ReplicaIncarnation {
     ReplicaIncarnation {
         replica: BackendId(format!("i-{number}")),
         incarnation: Incarnation(start),
     }
 }
 
-/// A process that follows a member's list and asks for incarnations.
+/// A process that follows a member's list and requests incarnations.
 #[derive(Default)]
 struct Follower(ListCopy);
 
 impl Follower {
-    fn ask(&mut self, member: &mut ListHistory, now: Timestamp) -> usize {
+    /// Gets an update from a member. Returns the number of incarnations in it.
+    fn query(&mut self, member: &mut ListHistory, now: Timestamp) -> usize {
         let known = self.0.known(now);
         let known_incarnations = self.0.known_incarnations();
         let report = member.report(&known, now);
@@ -72,12 +76,12 @@
 }
 
 #[test]
-fn the_latest_life_of_a_replica_counts_whichever_entry_comes_first() {
-    let leaving = Backend {
+fn the_latest_incarnation_of_a_replica_wins_in_any_order_of_entries() {
+    let draining = Backend {
         draining: true,
         ..backend(1, 5)
     };
-    for entries in [[leaving.clone(), backend(1, 9)], [backend(1, 9), leaving]] {
+    for entries in [[draining.clone(), backend(1, 9)], [backend(1, 9), draining]] {
         let list = BackendList::new(entries.to_vec());
         let only: Vec<&Backend> = list.backends().collect();
         assert_eq!(only, [&backend(1, 9)]);
@@ -85,63 +89,63 @@
 }
 
 #[test]
-fn a_restart_alone_reaches_those_who_ask_for_incarnations() {
+fn a_restart_without_other_changes_reaches_processes_that_request_incarnations() {
     let mut member = ListHistory::default();
     let mut follower = Follower::default();
     member.replace(list(&[(1, 5), (2, 5), (3, 5)]), at(0));
-    assert_eq!(follower.ask(&mut member, at(1)), 3);
+    assert_eq!(follower.query(&mut member, at(1)), 3);
     assert_eq!(starts(follower.0.list()), [5, 5, 5]);
-    assert_eq!(follower.ask(&mut member, at(2)), 0);
+    assert_eq!(follower.query(&mut member, at(2)), 0);
     member.replace(list(&[(1, 5), (2, 5), (3, 8)]), at(3));
     assert_eq!(
-        follower.ask(&mut member, at(4)),
+        follower.query(&mut member, at(4)),
         1,
-        "only what changed is told"
+        "only the changed incarnation is sent"
     );
     assert_eq!(starts(follower.0.list()), [5, 5, 8]);
-    assert_eq!(follower.ask(&mut member, at(5)), 0);
+    assert_eq!(follower.query(&mut member, at(5)), 0);
 }
 
 #[test]
-fn changes_of_the_list_keep_what_is_known_of_lives() {
+fn changes_of_the_list_keep_known_incarnations() {
     let mut member = ListHistory::default();
     let mut follower = Follower::default();
     member.replace(list(&[(1, 5), (3, 5), (4, 5)]), at(0));
-    follower.ask(&mut member, at(1));
+    follower.query(&mut member, at(1));
     member.replace(list(&[(1, 5), (2, 7), (4, 5)]), at(3));
-    follower.ask(&mut member, at(4));
+    follower.query(&mut member, at(4));
     assert_eq!(starts(follower.0.list()), [5, 7, 5]);
-    assert_eq!(follower.ask(&mut member, at(5)), 0);
+    assert_eq!(follower.query(&mut member, at(5)), 0);
 }
 
 #[test]
-fn a_member_that_remembers_nothing_tells_all() {
+fn a_member_without_history_sends_all_incarnations() {
     let mut first = ListHistory::default();
     let mut follower = Follower::default();
     first.replace(list(&[(1, 5), (3, 5)]), at(0));
-    follower.ask(&mut first, at(1));
+    follower.query(&mut first, at(1));
     let mut second = ListHistory::default();
     second.replace(list(&[(1, 6), (3, 9)]), at(2));
-    follower.ask(&mut second, at(3));
+    follower.query(&mut second, at(3));
     assert_eq!(starts(follower.0.list()), [6, 9]);
 }
 
 #[test]
-fn a_member_that_lags_takes_nobody_back() {
+fn a_lagging_member_does_not_overwrite_later_incarnations() {
     let mut ahead = ListHistory::default();
     let mut behind = ListHistory::default();
     ahead.replace(list(&[(1, 5), (3, 5)]), at(0));
     behind.replace(list(&[(1, 5), (3, 5)]), at(0));
     let mut follower = Follower::default();
-    follower.ask(&mut ahead, at(1));
+    follower.query(&mut ahead, at(1));
     ahead.replace(list(&[(1, 5), (3, 8)]), at(2));
-    follower.ask(&mut ahead, at(3));
-    follower.ask(&mut behind, at(4));
+    follower.query(&mut ahead, at(3));
+    follower.query(&mut behind, at(4));
     assert_eq!(starts(follower.0.list()), [5, 8]);
 }
 
 #[test]
-fn an_older_build_between_two_newer_ones_takes_nothing_away() {
+fn a_list_of_a_build_without_incarnations_keeps_the_known_ones() {
     let mut copy = ListCopy::default();
     copy.replace(list(&[(1, 5), (3, 5)]), at(0));
     let mut older = ListHistory::default();
@@ -160,18 +164,20 @@
 }
 
 #[test]
-fn replicas_that_are_not_listed_are_not_told_of() {
+fn incarnations_of_unlisted_replicas_and_earlier_ones_are_ignored() {
     let mut copy = ListCopy::default();
     copy.replace(list(&[(1, 5)]), at(0));
-    assert!(copy.merge_incarnations(&[told(9, 9)]).is_none());
-    assert!(copy.merge_incarnations(&[told(1, 4)]).is_none());
-    let changes = copy.merge_incarnations(&[told(1, 6), told(9, 9)]).unwrap();
+    assert!(copy.merge_incarnations(&[incarnation(9, 9)]).is_none());
+    assert!(copy.merge_incarnations(&[incarnation(1, 4)]).is_none());
+    let changes = copy
+        .merge_incarnations(&[incarnation(1, 6), incarnation(9, 9)])
+        .unwrap();
     assert_eq!(changes.changed, [backend(1, 6)]);
     assert_eq!(copy.age(at(1)), Some(Duration::from_secs(1)));
 }
 
 #[test]
-fn what_is_remembered_of_restarts_is_bounded() {
+fn the_history_of_restarts_is_bounded() {
     let mut member = ListHistory::default();
     member.replace(list(&[(1, 1), (3, 1)]), at(0));
     let known = member.copy().known_incarnations();
--- a/crates/fleet/tests/list_reading.rs
+++ b/crates/fleet/tests/list_schedule.rs
@@ -1,4 +1,4 @@
-//! Who reads the platform's list, against a platform that answers so many calls a second.
+//! Schedules of the readers of the platform's list, against a platform with a rate limit.
 
 use luglink_fleet::{ListReadLimits, ListReadSchedule, ListReader};
 use luglink_types::Timestamp;
@@ -6,57 +6,57 @@
 
 const STEP: Duration = Duration::from_millis(50);
 
-/// Calls that one reader gets done in a step: it asks for a page after the other.
-const CALLS_A_STEP: u32 = 10;
+/// Number of calls that one reader makes in a step: it requests the pages one after the other.
+const CALLS_PER_STEP: u32 = 10;
 
-const RATES: ListReadLimits = ListReadLimits {
+const LIMITS: ListReadLimits = ListReadLimits {
     calls_per_s: 390.0,
     min_interval: Duration::from_millis(150),
     stale_after: Duration::from_millis(2_500),
 };
 
-/// A process that reads when it is due.
+/// A process that reads the list when its schedule says so.
 struct Process {
     reader: ListReader,
-    reading: ListReadSchedule,
-    /// When the platform showed its list.
+    schedule: ListReadSchedule,
+    /// When its list was read from the platform.
     seen: Option<Timestamp>,
-    /// When its reading began, and the pages that it still needs.
-    under_way: Option<(Timestamp, u32)>,
+    /// When its current read began, and the number of pages left.
+    in_progress: Option<(Timestamp, u32)>,
 }
 
-/// Processes before a platform that refuses what is beyond its rate.
+/// Processes and a platform that rejects calls beyond its rate limit.
 struct Model {
     now: Timestamp,
     processes: Vec<Process>,
     pages: u32,
-    /// Calls that the platform may still answer.
+    /// Number of calls that the platform accepts now.
     credit: f64,
     draws: u64,
     calls: u32,
-    readings: u32,
+    completed_reads: u32,
 }
 
 impl Model {
     fn new(count: u32, replicas: usize, reader: ListReader, seen: Option<Timestamp>) -> Self {
         let process = || {
-            let mut reading = ListReadSchedule::new(RATES);
-            reading.expect_replicas(replicas);
+            let mut schedule = ListReadSchedule::new(LIMITS);
+            schedule.expect_replicas(replicas);
             Process {
                 reader,
-                reading,
+                schedule,
                 seen,
-                under_way: None,
+                in_progress: None,
             }
         };
         Self {
             now: Timestamp::from_millis(1_000_000),
             processes: (0..count).map(|_| process()).collect(),
             pages: u32::try_from(replicas / 200 + 1).unwrap(),
-            credit: RATES.calls_per_s,
+            credit: LIMITS.calls_per_s,
             draws: 0,
             calls: 0,
-            readings: 0,
+            completed_reads: 0,
         }
     }
 
@@ -67,16 +67,17 @@
 
     fn step(&mut self) {
         self.now = self.now.plus(STEP);
-        let refill = RATES.calls_per_s * STEP.as_secs_f64();
-        self.credit = (self.credit + refill).min(RATES.calls_per_s);
+        let refill = LIMITS.calls_per_s * STEP.as_secs_f64();
+        self.credit = (self.credit + refill).min(LIMITS.calls_per_s);
         for number in 0..self.processes.len() {
             let draw = self.draw();
             let now = self.now;
             let process = &mut self.processes[number];
             let age = process.seen.map(|seen| now.since(seen));
-            if process.under_way.is_none() && process.reading.is_due(process.reader, age, now, draw)
+            if process.in_progress.is_none()
+                && process.schedule.is_due(process.reader, age, now, draw)
             {
-                process.under_way = Some((now, self.pages));
+                process.in_progress = Some((now, self.pages));
             }
             self.call(number, draw);
         }
@@ -84,29 +85,29 @@
 
     fn call(&mut self, number: usize, draw: u64) {
         let process = &mut self.processes[number];
-        let Some((began, left)) = process.under_way else {
+        let Some((began, left)) = process.in_progress else {
             return;
         };
-        let calls = left.min(CALLS_A_STEP);
+        let calls = left.min(CALLS_PER_STEP);
         for _ in 0..calls {
             self.calls += 1;
             if self.credit < 1.0 {
-                process.reading.failed(true, began, draw);
-                process.under_way = None;
+                process.schedule.failed(true, began, draw);
+                process.in_progress = None;
                 return;
             }
             self.credit -= 1.0;
         }
-        process.under_way = Some((began, left - calls));
+        process.in_progress = Some((began, left - calls));
         if left == calls {
-            process.reading.succeeded(self.pages, began, draw);
+            process.schedule.succeeded(self.pages, began, draw);
             process.seen = Some(began);
-            process.under_way = None;
-            self.readings += 1;
+            process.in_progress = None;
+            self.completed_reads += 1;
         }
     }
 
-    /// Calls a second in the next seconds.
+    /// Runs the model for some seconds and returns the call rate.
     fn calls_per_s(&mut self, seconds: u32) -> f64 {
         self.calls = 0;
         for _ in 0..seconds * 20 {
@@ -116,20 +117,20 @@
     }
 }
 
-/// The whole fleet, and twice that.
+/// Numbers of gateways and replicas in the target fleet, and in one twice as large.
 const FLEETS: [(u32, usize); 2] = [(900, 9_999), (1_800, 20_000)];
 
-/// What broke first at this size: each gateway counted one gateway, and asked a platform that
-/// refused again after 60 ms for ever, ten thousand times a second.
+/// Guards against overloading the platform at a start: if each gateway assumes that it is the only
+/// one and retries a rejected call every 60 ms, the fleet makes ten thousand calls a second.
 #[test]
-fn those_that_no_member_has_told_anything_ask_the_platform_nothing() {
+fn processes_without_a_list_or_without_the_fleet_size_do_not_call_the_platform() {
     for (gateways, replicas) in FLEETS {
         let seen = Some(Timestamp::from_millis(1_000_000));
-        let has_list_only = [ListReader::Gateway(0), ListReader::Member(0)].map(|it| (it, seen));
-        // After a start all wait for their first list, and do not know how long it is.
-        let is_told_only = [ListReader::Gateway(gateways), ListReader::Member(66)];
-        let is_told_only = is_told_only.map(|reader| (reader, None));
-        for (reader, seen) in has_list_only.into_iter().chain(is_told_only) {
+        let with_list_only = [ListReader::Gateway(0), ListReader::Member(0)].map(|it| (it, seen));
+        // After a start all processes wait for their first list and do not know its length.
+        let with_size_only = [ListReader::Gateway(gateways), ListReader::Member(66)];
+        let with_size_only = with_size_only.map(|reader| (reader, None));
+        for (reader, seen) in with_list_only.into_iter().chain(with_size_only) {
             let mut model = Model::new(gateways, replicas, reader, seen);
             assert_eq!(model.calls_per_s(60), 0.0);
         }
@@ -137,37 +138,41 @@
 }
 
 #[test]
-fn gateways_that_lose_all_members_stay_within_their_share_however_many_they_are() {
+fn gateways_that_lose_all_members_stay_within_their_share_in_any_fleet_size() {
     for (gateways, replicas) in FLEETS {
         let reader = ListReader::Gateway(gateways);
         let seen = Some(Timestamp::from_millis(1_000_000));
         let mut model = Model::new(gateways, replicas, reader, seen);
         for _ in 0..10 {
             let calls = model.calls_per_s(30);
-            assert!(calls < RATES.calls_per_s * 0.5, "{gateways}: {calls}");
+            assert!(calls < LIMITS.calls_per_s * 0.5, "{gateways}: {calls}");
         }
-        assert!(model.readings > 100, "the rest of the rate is not wasted");
-        // Members are back: their word is younger than what counts as old.
+        assert!(
+            model.completed_reads > 100,
+            "too few reads complete: {}",
+            model.completed_reads
+        );
+        // Members are back and send lists that are not stale.
         for process in &mut model.processes {
             process.seen = Some(Timestamp::MAX);
-            process.under_way = None;
+            process.in_progress = None;
         }
         assert_eq!(model.calls_per_s(10), 0.0);
     }
 }
 
-/// They count a tenth of the gateways that there are, as after a split: what is asked then is far
-/// beyond the rate, and must fall by itself.
+/// After a partition, gateways may know a number of gateways that is far too low. Their calls then
+/// exceed the platform's rate limit, and backoff must reduce them.
 #[test]
-fn refusals_make_readers_ask_less_until_the_platform_keeps_up() {
+fn rejected_readers_back_off_until_the_platform_keeps_up() {
     for (gateways, replicas) in FLEETS {
         let reader = ListReader::Gateway(gateways / 50);
         let seen = Some(Timestamp::from_millis(1_000_000));
         let mut model = Model::new(gateways, replicas, reader, seen);
         model.calls_per_s(120);
         let calls = model.calls_per_s(60);
-        assert!(calls < RATES.calls_per_s * 2.0, "{gateways}: {calls}");
-        assert!(model.readings > 0);
+        assert!(calls < LIMITS.calls_per_s * 2.0, "{gateways}: {calls}");
+        assert!(model.completed_reads > 0);
     }
 }
 
@@ -179,36 +184,36 @@
         let mut model = Model::new(members, replicas, reader, seen);
         for _ in 0..5 {
             let calls = model.calls_per_s(30);
-            assert!(calls < RATES.calls_per_s * 0.45, "{members}: {calls}");
+            assert!(calls < LIMITS.calls_per_s * 0.45, "{members}: {calls}");
         }
-        assert!(model.readings >= 50, "{}", model.readings);
+        assert!(model.completed_reads >= 50, "{}", model.completed_reads);
     }
 }
 
-/// A longer list must not make the word of a leaving replica later than the bound allows, and a
-/// leader must leave most of the platform's calls to others.
+/// With a long list, draining replicas must still become known in time, and the leader must leave
+/// most of the platform's rate limit to others.
 #[test]
-fn the_leader_reads_so_often_that_the_list_is_never_old() {
+fn the_leader_reads_often_enough_that_the_list_is_never_stale() {
     for replicas in [20, 200, 9_999, 20_000] {
         let mut model = Model::new(1, replicas, ListReader::Leader, None);
         let calls = model.calls_per_s(60);
-        assert!(calls < RATES.calls_per_s * 0.25, "{replicas}: {calls}");
+        assert!(calls < LIMITS.calls_per_s * 0.25, "{replicas}: {calls}");
         let mut oldest = Duration::ZERO;
         for _ in 0..400 {
             model.step();
             let seen = model.processes[0].seen.unwrap();
             oldest = oldest.max(model.now.since(seen));
         }
-        assert!(oldest < RATES.stale_after, "{replicas}: {oldest:?}");
+        assert!(oldest < LIMITS.stale_after, "{replicas}: {oldest:?}");
     }
 }
 
-/// A leader that was none before reads at once: what it was told last may be old.
+/// The list that a new leader received last may be old.
 #[test]
-fn a_new_leader_reads_at_once() {
-    let mut reading = ListReadSchedule::new(RATES);
+fn a_new_leader_reads_immediately() {
+    let mut schedule = ListReadSchedule::new(LIMITS);
     let now = Timestamp::from_millis(1_000_000);
     let young = Some(Duration::from_millis(10));
-    assert!(!reading.is_due(ListReader::Member(5), young, now, 1));
-    assert!(reading.is_due(ListReader::Leader, young, now, 1));
+    assert!(!schedule.is_due(ListReader::Member(5), young, now, 1));
+    assert!(schedule.is_due(ListReader::Leader, young, now, 1));
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -1,7 +1,7 @@
-//! Which members a process asks.
+//! Selection of the members that an observer queries.
 
 use luglink_fleet::{
-    Contact, MemberList, MemberLocation, MembersStamp, NEAR_MEMBERS, ObserverPlace,
+    Contact, MAX_NEAR_MEMBERS, MemberList, MemberLocation, MembersStamp, ObserverInfo,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -12,119 +12,121 @@
     Ipv4Addr::new(10, 0, 0, u8::try_from(number).unwrap())
 }
 
-/// Members that take turns among the zones; the first one leads.
+/// Members that are distributed over the zones in turn. The first one is the leader.
 fn list(members: usize) -> MemberList {
-    let place = |number: usize| MemberLocation {
+    let location = |number: usize| MemberLocation {
         ip: ip(number),
         zone: ZONES[number % ZONES.len()].to_owned(),
     };
     MemberList {
         stamp: MembersStamp::default(),
         leader: Some(ip(0)),
-        locations: (0..members).map(place).collect(),
+        locations: (0..members).map(location).collect(),
     }
 }
 
-/// A turn store, which the leader must hear.
-fn observer(number: usize) -> ObserverPlace {
-    ObserverPlace {
+/// A turn store, which always queries the leader.
+fn observer(number: usize) -> ObserverInfo {
+    ObserverInfo {
         name: format!("front-{number}"),
         zone: ZONES[number % ZONES.len()].to_owned(),
-        asks_leader: true,
+        queries_leader: true,
     }
 }
 
-fn gateway(number: usize) -> ObserverPlace {
-    ObserverPlace {
-        asks_leader: false,
+fn gateway(number: usize) -> ObserverInfo {
+    ObserverInfo {
+        queries_leader: false,
         ..observer(number)
     }
 }
 
 fn zone_of(list: &MemberList, ip: Ipv4Addr) -> &str {
-    let place = list.locations.iter().find(|place| place.ip == ip);
-    &place.unwrap().zone
+    let location = list.locations.iter().find(|location| location.ip == ip);
+    &location.unwrap().zone
 }
 
 #[test]
-fn all_of_a_few_members_are_asked() {
+fn a_process_queries_all_members_if_there_are_few() {
     for members in 1..=6 {
         let list = list(members);
-        let asked = list.observed_by(&observer(3), Contact::Held, &BTreeSet::new());
-        let distinct: BTreeSet<_> = asked.iter().copied().collect();
+        let queried = list.members_for(&observer(3), Contact::Established, &BTreeSet::new());
+        let distinct: BTreeSet<_> = queried.iter().copied().collect();
         assert_eq!(distinct, list.addresses().collect());
-        assert_eq!(asked.len(), members);
+        assert_eq!(queried.len(), members);
     }
 }
 
 #[test]
-fn of_many_members_each_process_asks_a_few_however_many_there_are() {
+fn a_process_queries_at_most_six_of_many_members() {
     for members in [7, 12, 36, 200] {
         let list = list(members);
         for number in 0..300 {
-            let asked = list.observed_by(&observer(number), Contact::Held, &BTreeSet::new());
-            let distinct: BTreeSet<_> = asked.iter().copied().collect();
-            assert_eq!(distinct.len(), asked.len());
-            assert!(asked.len() <= 6, "{asked:?}");
-            assert!(asked.contains(&ip(0)), "the leader is always asked");
+            let queried =
+                list.members_for(&observer(number), Contact::Established, &BTreeSet::new());
+            let distinct: BTreeSet<_> = queried.iter().copied().collect();
+            assert_eq!(distinct.len(), queried.len());
+            assert!(queried.len() <= 6, "{queried:?}");
+            assert!(queried.contains(&ip(0)), "the leader is always queried");
         }
     }
 }
 
-/// There may be a thousand gateways; what the leader hears must not grow with them.
+/// The leader's load must not grow with the number of gateways, of which there may be thousands.
 #[test]
-fn gateways_of_a_large_fleet_leave_the_leader_alone_unless_it_is_near_or_their_far_one() {
+fn gateways_of_a_large_fleet_query_the_leader_no_more_than_any_other_member() {
     for members in [12, 66, 132] {
         let list = list(members);
         let gateways = 1_728;
-        let asked = (0..gateways).filter(|number| {
-            let place = gateway(*number);
-            let asked = list.observed_by(&place, Contact::Held, &BTreeSet::new());
-            assert!(asked.len() <= NEAR_MEMBERS + 1);
-            asked.contains(&ip(0))
+        let queried = (0..gateways).filter(|number| {
+            let gateway = gateway(*number);
+            let queried = list.members_for(&gateway, Contact::Established, &BTreeSet::new());
+            assert!(queried.len() <= MAX_NEAR_MEMBERS + 1);
+            queried.contains(&ip(0))
         });
-        // As any other member: its part of the zone, and its part of those elsewhere.
-        let near = (members / 6).clamp(1, NEAR_MEMBERS) * gateways / members;
+        // The expected share of a member: gateways of its zone, and gateways of other zones that
+        // use it as their member in another zone.
+        let near = (members / 6).clamp(1, MAX_NEAR_MEMBERS) * gateways / members;
         let far = gateways / members;
-        let share = asked.count();
+        let share = queried.count();
         assert!(share <= (near + far) * 3 / 2, "{members}: {share}");
     }
 }
 
 #[test]
-fn a_process_that_has_lost_contact_asks_a_few_more_and_comes_round_to_all() {
+fn a_process_without_contact_queries_a_few_more_members_and_all_of_them_in_turn() {
     let list = list(66);
     let mut avoided = BTreeSet::new();
-    let mut met = BTreeSet::new();
+    let mut tried = BTreeSet::new();
     for _ in 0..20 {
-        let asked = list.observed_by(&gateway(1), Contact::Lost, &avoided);
-        assert!(asked.len() <= 8, "{asked:?}");
-        met.extend(asked.iter().copied());
-        avoided.extend(asked);
+        let queried = list.members_for(&gateway(1), Contact::Lost, &avoided);
+        assert!(queried.len() <= 8, "{queried:?}");
+        tried.extend(queried.iter().copied());
+        avoided.extend(queried);
     }
-    assert_eq!(met.len(), 66);
+    assert_eq!(tried.len(), 66);
 }
 
 #[test]
-fn members_of_a_large_zone_tell_each_other_and_those_of_a_small_one_need_not() {
+fn only_members_of_a_large_zone_have_zone_peers() {
     let small = list(24);
     assert!(small.zone_peers_of(ip(3)).is_empty());
     let large = list(66);
-    let neighbours = large.zone_peers_of(ip(3));
-    assert_eq!(neighbours.len(), 10);
-    assert!(!neighbours.contains(&ip(3)));
+    let peers = large.zone_peers_of(ip(3));
+    assert_eq!(peers.len(), 10);
+    assert!(!peers.contains(&ip(3)));
     let is_near = |ip: &Ipv4Addr| zone_of(&large, *ip) == ZONES[3];
-    assert!(neighbours.iter().all(is_near));
+    assert!(peers.iter().all(is_near));
     assert!(large.zone_peers_of(Ipv4Addr::LOCALHOST).is_empty());
 }
 
 #[test]
-fn members_of_the_own_zone_come_first_and_one_is_elsewhere() {
+fn members_of_the_own_zone_come_first_and_one_is_in_another_zone() {
     let list = list(36);
     for number in 0..100 {
         let observer = observer(number);
-        let asked = list.observed_by(&observer, Contact::Held, &BTreeSet::new());
-        let zones: Vec<&str> = asked.iter().map(|ip| zone_of(&list, *ip)).collect();
+        let queried = list.members_for(&observer, Contact::Established, &BTreeSet::new());
+        let zones: Vec<&str> = queried.iter().map(|ip| zone_of(&list, *ip)).collect();
         let near = zones.iter().take_while(|zone| **zone == observer.zone);
         assert_eq!(near.count(), 4);
         assert_ne!(zones[4], observer.zone);
@@ -132,45 +134,46 @@
 }
 
 #[test]
-fn every_member_of_a_zone_hears_all_processes_of_the_zone() {
+fn every_process_of_a_small_zone_queries_all_its_members() {
     let list = list(24);
     for number in 0..100 {
         let observer = observer(number);
-        let asked = list.observed_by(&observer, Contact::Held, &BTreeSet::new());
+        let queried = list.members_for(&observer, Contact::Established, &BTreeSet::new());
         let near = list
             .locations
             .iter()
-            .filter(|place| place.zone == observer.zone);
-        for place in near {
-            assert!(asked.contains(&place.ip), "{place:?} {asked:?}");
+            .filter(|location| location.zone == observer.zone);
+        for location in near {
+            assert!(queried.contains(&location.ip), "{location:?} {queried:?}");
         }
     }
 }
 
 #[test]
-fn members_share_the_processes_of_a_fleet() {
+fn processes_are_distributed_evenly_over_the_members() {
     let list = list(24);
-    let mut asked = BTreeMap::<Ipv4Addr, u32>::new();
+    let mut queried = BTreeMap::<Ipv4Addr, u32>::new();
     for number in 0..600 {
-        for ip in list.observed_by(&observer(number), Contact::Held, &BTreeSet::new()) {
-            *asked.entry(ip).or_default() += 1;
+        for ip in list.members_for(&observer(number), Contact::Established, &BTreeSet::new()) {
+            *queried.entry(ip).or_default() += 1;
         }
     }
-    assert_eq!(asked[&ip(0)], 600);
+    assert_eq!(queried[&ip(0)], 600);
     for member in 1..24 {
-        // A sixth of the processes is in its zone, and each of the others asks one elsewhere.
-        let share = asked[&ip(member)];
+        // A sixth of the processes is in its zone. Each of the others queries one member in another
+        // zone.
+        let share = queried[&ip(member)];
         assert!((105..160).contains(&share), "{member}: {share}");
     }
 }
 
 #[test]
-fn another_member_takes_the_place_of_one_that_is_avoided() {
+fn another_member_replaces_an_avoided_one() {
     let list = list(36);
     for number in 0..100 {
-        let before = list.observed_by(&observer(number), Contact::Held, &BTreeSet::new());
+        let before = list.members_for(&observer(number), Contact::Established, &BTreeSet::new());
         let avoided = BTreeSet::from([before[0], before[4]]);
-        let after = list.observed_by(&observer(number), Contact::Held, &avoided);
+        let after = list.members_for(&observer(number), Contact::Established, &avoided);
         assert_eq!(after.len(), before.len());
         assert!(after.iter().all(|ip| !avoided.contains(ip)), "{after:?}");
         assert!(after.contains(&before[1]), "the others stay");
@@ -178,18 +181,18 @@
 }
 
 #[test]
-fn members_that_are_all_avoided_are_asked_all_the_same() {
+fn avoided_members_are_queried_if_there_are_no_others() {
     let list = list(12);
     let everyone: BTreeSet<Ipv4Addr> = list.addresses().collect();
     assert_eq!(
-        list.observed_by(&observer(1), Contact::Held, &everyone)
+        list.members_for(&observer(1), Contact::Established, &everyone)
             .len(),
         4
-    ); // two near, one far, the leader
+    ); // two in its zone, one in another zone, the leader
 }
 
 #[test]
-fn a_newer_term_or_membership_makes_a_newer_list() {
+fn a_list_with_a_newer_term_or_membership_is_newer() {
     let stamp = |term, knows_leader, membership| MembersStamp {
         term,
         knows_leader,
@@ -202,7 +205,7 @@
 }
 
 #[test]
-fn a_member_hears_its_whole_zone_while_that_has_few_members() {
+fn a_member_covers_its_whole_zone_if_the_zone_has_few_members() {
     let small = list(24);
     assert!(small.covers_whole_zone(ip(3), zone_of(&small, ip(3))));
     assert!(!small.covers_whole_zone(ip(3), zone_of(&small, ip(4))));
--- a/crates/fleet/tests/registry.rs
+++ b/crates/fleet/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of turn stores, the document store, and placement.
+//! Registry of turn stores, document store, and placement.
 
 use luglink_fleet::{
     DocumentStore, RetireResponse, RetireState, StoreCommand, StoreName, StoreRegistry, StoreState,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn founding_stores_hold_state_at_once_and_later_ones_must_be_filled() {
+fn founding_stores_are_active_at_once_and_later_ones_must_be_filled() {
     let mut registry = founded(&["a", "b", "c"]);
     registry.apply(&join("d", 9, false));
     assert_eq!(state(&registry, "a"), StoreState::Active);
@@ -51,11 +51,11 @@
 }
 
 #[test]
-fn a_store_that_lost_its_disk_must_be_filled_though_it_was_founding() {
+fn a_founding_store_that_lost_its_disk_must_be_filled() {
     let mut registry = founded(&["a", "b", "c"]);
     registry.apply(&join("a", 2, true));
     assert_eq!(state(&registry, "a"), StoreState::Joining);
-    // Word of the old disk's filling must not make the new one count.
+    // An activation of the old disk must not activate the new one.
     registry.apply(&StoreCommand::Activate {
         name: name("a"),
         incarnation: 1,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_lost_store_comes_back_to_be_filled_with_what_it_missed() {
+fn a_lost_store_that_returns_must_be_filled() {
     let mut registry = founded(&["a", "b", "c", "d"]);
     registry.apply(&StoreCommand::Lose { name: name("a") });
     assert_eq!(state(&registry, "a"), StoreState::Lost);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn repeated_words_change_no_epoch() {
+fn repeated_commands_do_not_change_the_epoch() {
     let mut registry = founded(&["a", "b", "c"]);
     let epoch = registry.view().epoch;
     registry.apply(&join("a", 1, true));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn retirement_is_refused_when_too_few_would_remain_and_repeats_are_taken() {
+fn retirement_is_rejected_if_too_few_stores_would_remain_and_can_be_repeated() {
     let retire = |text: &str| StoreCommand::Retire {
         name: name(text),
         minimum: 3,
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_leaving_store_that_restarts_empty_does_not_take_writes_again() {
+fn a_leaving_store_that_restarts_empty_does_not_accept_writes_again() {
     let mut registry = founded(&["a", "b", "c", "d"]);
     registry.apply(&StoreCommand::Retire {
         name: name("a"),
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn only_a_filled_store_with_the_known_disk_can_deny_a_turn() {
+fn only_an_active_store_with_the_known_disk_is_authoritative() {
     let mut registry = founded(&["a", "b"]);
     assert!(registry.view().is_authoritative(&name("a"), 1));
     assert!(!registry.view().is_authoritative(&name("a"), 2));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn the_highest_version_holds_and_its_content_never_changes() {
+fn the_highest_version_is_stored_and_its_content_never_changes() {
     let document = |version: u64, text: &str| VersionedDocument {
         version,
         content: text.as_bytes().to_vec(),
@@ -140,9 +140,9 @@
 }
 
 proptest! {
-    /// A store that comes moves only what it gains; nothing moves between the others.
+    /// A new store takes over keys from the others, but no keys move between the others.
     #[test]
-    fn a_new_store_takes_and_moves_nothing_else(key in "[a-z]{1,12}", copies in 1_usize..4) {
+    fn a_new_store_moves_no_keys_between_the_others(key in "[a-z]{1,12}", copies in 1_usize..4) {
         let mut registry = founded(&["a", "b", "c", "d"]);
         let before = owners(registry.view(), &key, copies);
         registry.apply(&join("e", 1, false));
