--- a/crates/fleet-client/src/lib.rs
+++ b/crates/fleet-client/src/lib.rs
@@ -1,9 +1,9 @@
-//! Observes the control members on behalf of a gateway or a turn store.
+//! Client by which a gateway or a turn store observes the control members.
 //!
-//! The observer asks a few members, over a link each, again and again: the leader, those of its
-//! zone and one elsewhere. So it hears news from whichever member has them first, and a member that
-//! is cut off delays nothing: others take its place. Its questions carry the process's own word, so
-//! the members that it asks know that it is there, and the leader knows of every process.
+//! The observer continuously queries a few members over one connection each: some in its zone, one
+//! in another zone, and, for a turn store, the leader. So it gets updates from the first member that
+//! has them, and a member that is unreachable is replaced by another without delaying updates. Each
+//! request has the presence of the process, so that requests are heartbeats too.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/fleet-client/src/observer.rs
+++ b/crates/fleet-client/src/observer.rs
@@ -1,8 +1,8 @@
-//! The observing loop.
+//! Request loop of an observer.
 
 use luglink_control::{Request, RequestParts, Response, ResponseParts};
 use luglink_fleet::{
-    Contact, FIRST_TELLERS, KnownVersions, MemberList, ObserverPlace, ObserverRequest,
+    Contact, IMMEDIATE_DOCUMENT_SENDERS, KnownVersions, MemberList, ObserverInfo, ObserverRequest,
     ObserverUpdate, Presence, Role,
 };
 use luglink_net::RequestClient;
@@ -15,109 +15,111 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time beyond the usual wait for news after which a member counts as silent.
-const ANSWER_LIMIT: Duration = Duration::from_millis(900);
+/// Request timeout in addition to twice the duration of the last answered request.
+const BASE_REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pause after a question that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(150);
+/// Delay after a failed request.
+const FAILURE_DELAY: Duration = Duration::from_millis(150);
 
-/// Shortest time between two questions to one member.
-const QUESTION_INTERVAL: Duration = Duration::from_millis(30);
+/// Minimum delay between two requests to one member.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Time for which a member that was silent, or did not hear its leader, is passed over while
-/// others can take its place. About an election and the news of it.
-const AVOIDED_FOR: Duration = Duration::from_secs(2);
+/// Time for which a member that did not answer, or has no leader, is avoided if others can replace
+/// it: about the time of an election and of the transfer of its result.
+const AVOIDANCE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Members that an observer asks for the list of replicas: when the first has none, or falls
-/// silent, the second has told it meanwhile.
+/// Number of members from which an observer requests the replica list: if the first one has no
+/// list or does not answer, the second one has already sent it.
 const LIST_SOURCES: usize = 2;
 
-/// Time without word from any member that hears its leader, after which more members are asked:
-/// longer than most elections, and less than half of the shortest bound on a change (2 s).
-const ISOLATED_AFTER: Duration = Duration::from_millis(1_200);
+/// Time without a response of a member that has a leader, after which more members are queried:
+/// longer than most elections, and less than half of the shortest bound on a configuration change
+/// (2 s).
+const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Time between looks whether other members should be asked.
+/// Interval at which the set of queried members is updated.
 const PLAN_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What the observer speaks for.
+/// The process on whose behalf the observer queries control members.
 pub trait ObserverDelegate: 'static {
-    /// The process's word of itself.
+    /// Returns the presence of the process.
     fn presence(&self) -> Presence;
 
-    /// What the process knows, but for the members, which the observer knows.
+    /// Returns the versions of the data that the process has. The observer sets the version of the
+    /// member list.
     fn known(&self, source: ListSource) -> KnownVersions;
 
-    /// What follows the question to a member.
+    /// Returns the optional parts of a request to a member.
     fn parts(&self, _asked: AskedMember) -> RequestParts {
         RequestParts::default()
     }
 
-    /// Takes news. `member` is the control member that tells them.
-    fn on_update(&self, member: SocketAddr, news: ObserverUpdate);
+    /// Handles an update that the control member `member` sent.
+    fn on_update(&self, member: SocketAddr, update: ObserverUpdate);
 
-    /// Takes what follows the news, after those.
+    /// Handles the optional parts of a response. Called after [`Self::on_update`].
     fn on_response_parts(&self, _parts: ResponseParts) {}
 }
 
-/// What the member that is asked is for a process's list of replicas.
+/// Role of a queried member as a source of the replica list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListSource {
-    /// The one that tells it.
+    /// Sends the list.
     Primary,
-    /// One that tells changes of it too.
+    /// Sends changes of the list too.
     Secondary,
-    /// One that does not.
+    /// Does not send the list.
     Inactive,
 }
 
-/// What a member is asked for.
+/// Role of a queried member for the observing process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AskedMember {
-    /// What it is for the process's list of replicas.
+    /// Its role as a source of the replica list.
     pub source: ListSource,
-    /// Whether it is the one member that counts this process.
+    /// True if it is the one member that counts the process.
     pub is_counted_here: bool,
-    /// Whether it hears all processes of this one's zone.
+    /// True if all processes of the observer's zone report to it.
     pub covers_whole_zone: bool,
 }
 
-/// Where control members are.
+/// Addresses of control members.
 #[derive(Clone, Debug)]
 pub struct ObserverConfig {
-    /// Members to begin with.
+    /// Addresses of the members to query first.
     pub seeds: Vec<SocketAddr>,
     /// Internal port of all members.
     pub member_port: u16,
 }
 
-/// Asks control members again and again: all that settings name until it has heard of the
-/// others, then those that [`MemberList::observed_by`] chooses, and besides them those that the
-/// settings name while none that it asks hears a leader.
+/// Continuously queries control members: the seeds until it has a member list, then the members
+/// that [`MemberList::members_for`] selects. While no queried member has a leader, it queries the
+/// seeds too.
 #[derive(Debug)]
-pub struct Observer<S> {
-    subject: Rc<S>,
-    place: ObserverPlace,
+pub struct Observer<D> {
+    delegate: Rc<D>,
+    info: ObserverInfo,
     member_port: u16,
     seeds: RefCell<BTreeSet<SocketAddr>>,
     members: RefCell<MemberList>,
-    /// Members that are passed over, until when.
+    /// Avoided members, with the end of the avoidance.
     avoided: RefCell<BTreeMap<SocketAddr, Instant>>,
-    /// When a member that hears its leader last answered.
+    /// Time of the last response of a member that has a leader.
     fresh_at: Cell<Instant>,
     tasks: RefCell<BTreeMap<SocketAddr, actix_rt::task::JoinHandle<()>>>,
 }
 
-impl<S: ObserverDelegate> Observer<S> {
-    /// Starts to ask the seeds.
-    pub fn start(subject: Rc<S>, config: ObserverConfig) -> Rc<Self> {
-        let presence = subject.presence();
+impl<D: ObserverDelegate> Observer<D> {
+    /// Starts an observer, which queries the seeds first.
+    pub fn start(delegate: Rc<D>, config: ObserverConfig) -> Rc<Self> {
+        let presence = delegate.presence();
         let observer = Rc::new(Self {
-            place: ObserverPlace {
+            info: ObserverInfo {
                 name: presence.name,
                 zone: presence.zone,
-                asks_leader: matches!(presence.role, Role::Store(_)),
+                queries_leader: matches!(presence.role, Role::Store(_)),
             },
-            subject,
+            delegate,
             member_port: config.member_port,
             seeds: RefCell::new(config.seeds.into_iter().collect()),
             members: RefCell::default(),
@@ -125,52 +127,52 @@
             fresh_at: Cell::new(Instant::now()),
             tasks: RefCell::default(),
         });
-        observer.ask_planned();
-        actix_rt::spawn(Rc::clone(&observer).plan_again_and_again());
+        observer.query_planned();
+        actix_rt::spawn(Rc::clone(&observer).plan_periodically());
         observer
     }
 
-    /// Takes members that settings have come to name.
+    /// Adds seeds, for example after a change of the settings.
     pub fn add(self: &Rc<Self>, members: &[SocketAddr]) {
         self.seeds.borrow_mut().extend(members);
-        self.ask_planned();
+        self.query_planned();
     }
 
-    async fn plan_again_and_again(self: Rc<Self>) {
+    async fn plan_periodically(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(PLAN_INTERVAL).await;
             let now = Instant::now();
             self.avoided.borrow_mut().retain(|_, until| *until > now);
-            self.ask_planned();
+            self.query_planned();
         }
     }
 
-    /// Asks the members of the plan that are not asked yet. Those that are asked and not in the
-    /// plan any more stop by themselves after their current question.
-    fn ask_planned(self: &Rc<Self>) {
+    /// Starts a task for each planned member that has none. The task of a member that is no longer
+    /// planned ends by itself after its current request.
+    fn query_planned(self: &Rc<Self>) {
         for member in self.planned() {
             if !self.tasks.borrow().contains_key(&member) {
-                tracing::info!(%member, "observing a control member");
-                let task = actix_rt::spawn(Rc::clone(self).ask_again_and_again(member));
+                tracing::info!(%member, "observing control member");
+                let task = actix_rt::spawn(Rc::clone(self).query_repeatedly(member));
                 self.tasks.borrow_mut().insert(member, task);
             }
         }
     }
 
-    /// The members to ask, those that should tell of a new document first.
+    /// Returns the members to query. The first ones send new documents.
     fn planned(&self) -> Vec<SocketAddr> {
         let members = self.members.borrow();
-        let named = self.seeds.borrow();
+        let seeds = self.seeds.borrow();
         if members.locations.is_empty() {
-            return named.iter().copied().collect();
+            return seeds.iter().copied().collect();
         }
         let contact = self.contact();
-        let observed = members.observed_by(&self.place, contact, &self.avoided_addresses());
-        let at_port = |ip: Ipv4Addr| SocketAddr::from((ip, self.member_port));
-        let mut planned: Vec<SocketAddr> = observed.into_iter().map(at_port).collect();
+        let selected = members.members_for(&self.info, contact, &self.avoided_addresses());
+        let with_port = |ip: Ipv4Addr| SocketAddr::from((ip, self.member_port));
+        let mut planned: Vec<SocketAddr> = selected.into_iter().map(with_port).collect();
         if contact == Contact::Lost {
-            // The members that are known may all be gone.
-            let unplanned = named.iter().filter(|seed| !planned.contains(seed));
+            // All known members may have been replaced.
+            let unplanned = seeds.iter().filter(|seed| !planned.contains(seed));
             let unplanned: Vec<SocketAddr> = unplanned.copied().collect();
             planned.extend(unplanned);
         }
@@ -187,57 +189,60 @@
     }
 
     fn contact(&self) -> Contact {
-        match self.fresh_at.get().elapsed() < ISOLATED_AFTER {
-            true => Contact::Held,
+        match self.fresh_at.get().elapsed() < ISOLATION_TIMEOUT {
+            true => Contact::Established,
             false => Contact::Lost,
         }
     }
 
-    async fn ask_again_and_again(self: Rc<Self>, member: SocketAddr) {
+    async fn query_repeatedly(self: Rc<Self>, member: SocketAddr) {
         let hello = Hello {
             version: PROTOCOL_VERSION,
             role: ClientRole::Observer,
             id: 0,
         };
         let client = RequestClient::open(member, hello);
-        let mut heard = false;
-        let mut usual = Duration::ZERO;
+        let mut is_reachable = false;
+        let mut last_duration = Duration::ZERO;
         while let Some(order) = self.planned().iter().position(|planned| *planned == member) {
-            let asked = Instant::now();
-            match self.ask(&client, order, ANSWER_LIMIT + usual * 2).await {
-                Some((news, parts)) => {
-                    usual = asked.elapsed();
-                    if !heard {
-                        tracing::info!(%member, fresh = news.fresh, "control member regained");
+            let sent_at = Instant::now();
+            match self
+                .query(&client, order, BASE_REQUEST_TIMEOUT + last_duration * 2)
+                .await
+            {
+                Some((update, parts)) => {
+                    last_duration = sent_at.elapsed();
+                    if !is_reachable {
+                        tracing::info!(%member, fresh = update.fresh, "control member reachable");
                     }
-                    heard = true;
-                    self.learn(member, &news);
-                    self.subject.on_update(member, news);
-                    self.subject.on_response_parts(parts);
-                    self.ask_planned();
-                    actix_rt::time::sleep(QUESTION_INTERVAL).await;
+                    is_reachable = true;
+                    self.process(member, &update);
+                    self.delegate.on_update(member, update);
+                    self.delegate.on_response_parts(parts);
+                    self.query_planned();
+                    actix_rt::time::sleep(REQUEST_INTERVAL).await;
                 }
                 None => {
-                    if heard {
-                        tracing::warn!(%member, "control member lost");
+                    if is_reachable {
+                        tracing::warn!(%member, "control member unreachable");
                     }
-                    heard = false;
+                    is_reachable = false;
                     self.avoid(member);
-                    self.ask_planned();
-                    actix_rt::time::sleep(FAILURE_PAUSE).await;
+                    self.query_planned();
+                    actix_rt::time::sleep(FAILURE_DELAY).await;
                 }
             }
         }
-        tracing::info!(%member, "control member not observed any more");
+        tracing::info!(%member, "control member no longer observed");
         self.tasks.borrow_mut().remove(&member);
     }
 
-    /// Asks a member, the one at `order` in the plan.
-    async fn ask(
+    /// Queries the member at position `order` in the plan.
+    async fn query(
         &self,
         client: &RequestClient,
         order: usize,
-        limit: Duration,
+        timeout: Duration,
     ) -> Option<(ObserverUpdate, ResponseParts)> {
         let is_lost = self.contact() == Contact::Lost;
         let source = match order {
@@ -246,24 +251,24 @@
             _ => ListSource::Inactive,
         };
         let request = Request::Observe(Box::new(ObserverRequest {
-            presence: self.subject.presence(),
+            presence: self.delegate.presence(),
             known: KnownVersions {
                 members: self.members.borrow().stamp,
-                ..self.subject.known(source)
+                ..self.delegate.known(source)
             },
-            sends_document_at_once: order < FIRST_TELLERS || is_lost,
+            sends_document_at_once: order < IMMEDIATE_DOCUMENT_SENDERS || is_lost,
             is_counted_here: order == 0,
         }));
-        let parts = self.subject.parts(AskedMember {
+        let parts = self.delegate.parts(AskedMember {
             source,
             is_counted_here: order == 0,
             covers_whole_zone: self.covers_whole_zone(client.address()),
         });
         let body = encode_with_parts(&request, &parts.encode().ok()?).ok()?;
-        let answer = client.request(body, limit).await.ok()?;
-        let (response, parts) = decode_with_parts(&answer).ok()?;
+        let reply = client.request(body, timeout).await.ok()?;
+        let (response, parts) = decode_with_parts(&reply).ok()?;
         match response {
-            Response::ObserverUpdate(news) => Some((*news, read_parts(&parts))),
+            Response::ObserverUpdate(update) => Some((*update, decode_parts(&parts))),
             _ => None,
         }
     }
@@ -273,18 +278,18 @@
             return false;
         };
         let members = self.members.borrow();
-        members.covers_whole_zone(ip, &self.place.zone)
+        members.covers_whole_zone(ip, &self.info.zone)
     }
 
-    /// Notes whether a member hears its leader, and the list of members that it tells.
-    fn learn(&self, member: SocketAddr, news: &ObserverUpdate) {
-        if news.fresh {
+    /// Processes whether the member has a leader, and its member list.
+    fn process(&self, member: SocketAddr, update: &ObserverUpdate) {
+        if update.fresh {
             self.fresh_at.set(Instant::now());
             self.avoided.borrow_mut().remove(&member);
         } else {
             self.avoid(member);
         }
-        let Some(list) = &news.members else { return };
+        let Some(list) = &update.members else { return };
         let mut members = self.members.borrow_mut();
         if list.stamp > members.stamp {
             tracing::info!(
@@ -292,22 +297,22 @@
                 term = list.stamp.term,
                 leader = list.leader.map(tracing::field::display),
                 members = list.locations.len(),
-                "new list of control members"
+                "received new list of control members"
             );
             *members = list.clone();
         }
     }
 
     fn avoid(&self, member: SocketAddr) {
-        let until = Instant::now() + AVOIDED_FOR;
+        let until = Instant::now() + AVOIDANCE_PERIOD;
         self.avoided.borrow_mut().insert(member, until);
     }
 }
 
-/// What follows an answer. A part that cannot be read is passed over: the news stand without.
-fn read_parts(parts: &Parts) -> ResponseParts {
+/// Decodes the optional parts of a response. If that fails, the update is used without them.
+fn decode_parts(parts: &Parts) -> ResponseParts {
     ResponseParts::decode(parts).unwrap_or_else(|error| {
-        tracing::warn!(%error, "the parts behind news cannot be read");
+        tracing::warn!(%error, "failed to decode the optional parts of an observer update");
         ResponseParts::default()
     })
 }
--- a/crates/fleet-client/tests/observer.rs
+++ b/crates/fleet-client/tests/observer.rs
@@ -1,4 +1,4 @@
-//! Which members an observer asks, with members that answer by a script.
+//! Selection of the members that an observer queries, with scripted members.
 
 use luglink_control::{Request, Response};
 use luglink_fleet::{
@@ -17,27 +17,28 @@
 
 const ZONES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// Longest wait for something that should come about; far more than it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum wait for an expected condition, far above the time that it takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How a member answers.
+/// Behaviour of a member.
 #[derive(Clone, Copy, PartialEq)]
-enum Manner {
-    /// It hears its leader.
+enum Behaviour {
+    /// It answers and has a leader.
     Fresh,
-    /// It hears no leader.
+    /// It answers and has no leader.
     Stale,
     /// It does not answer.
     Silent,
 }
 
-/// A member that answers questions with the list of members.
+/// A member that answers requests with the member list.
 struct Member {
     ip: Ipv4Addr,
-    manner: Cell<Manner>,
-    /// Questions, and among them those that count on it to tell of a document first.
-    asked: Cell<u32>,
-    asked_to_tell: Cell<u32>,
+    behaviour: Cell<Behaviour>,
+    /// Number of requests.
+    requests: Cell<u32>,
+    /// Number of requests that want a new document without delay.
+    immediate_requests: Cell<u32>,
     list: RefCell<MemberList>,
     clients: RefCell<BTreeMap<u64, FrameSender>>,
 }
@@ -55,7 +56,7 @@
                 frame: Frame::Request {
                     correlation, body, ..
                 },
-            } => self.on_question(connection, correlation, &body),
+            } => self.on_request(connection, correlation, &body),
             Accepted::Frame { .. } => {}
             Accepted::Closed { connection } => {
                 self.clients.borrow_mut().remove(&connection);
@@ -63,31 +64,32 @@
         }
     }
 
-    fn on_question(&self, connection: u64, correlation: u64, body: &[u8]) {
-        let Ok(Request::Observe(observation)) = decode_body::<Request>(body) else {
-            panic!("expected an observation");
+    fn on_request(&self, connection: u64, correlation: u64, body: &[u8]) {
+        let Ok(Request::Observe(request)) = decode_body::<Request>(body) else {
+            panic!("expected an observer request");
         };
-        self.asked.set(self.asked.get() + 1);
-        if observation.sends_document_at_once {
-            self.asked_to_tell.set(self.asked_to_tell.get() + 1);
+        self.requests.set(self.requests.get() + 1);
+        if request.sends_document_at_once {
+            self.immediate_requests
+                .set(self.immediate_requests.get() + 1);
         }
-        if self.manner.get() == Manner::Silent {
+        if self.behaviour.get() == Behaviour::Silent {
             return;
         }
         let list = self.list.borrow().clone();
-        let news = ObserverUpdate {
-            fresh: self.manner.get() == Manner::Fresh,
-            members: (list.stamp > observation.known.members).then_some(list),
+        let update = ObserverUpdate {
+            fresh: self.behaviour.get() == Behaviour::Fresh,
+            members: (list.stamp > request.known.members).then_some(list),
             ..ObserverUpdate::default()
         };
-        let response = encode_body(&Response::ObserverUpdate(Box::new(news))).unwrap();
+        let response = encode_body(&Response::ObserverUpdate(Box::new(update))).unwrap();
         if let Some(client) = self.clients.borrow().get(&connection) {
             client.send(Frame::response(correlation, response));
         }
     }
 }
 
-/// A process of zone "a" that only observes.
+/// A process in zone "a" that only observes.
 struct Watcher(Role);
 
 fn gateway() -> Watcher {
@@ -123,7 +125,7 @@
     fn on_update(&self, _: SocketAddr, _: ObserverUpdate) {}
 }
 
-/// Members on loopback addresses of their own; the first one leads.
+/// Members on separate loopback addresses. The first one is the leader.
 struct Fleet {
     members: Vec<Rc<Member>>,
     port: u16,
@@ -132,7 +134,7 @@
 impl Fleet {
     async fn start(count: u8) -> Self {
         let ip = |number: u8| Ipv4Addr::new(127, 0, 7, number + 1);
-        let place = |number: u8| MemberLocation {
+        let location = |number: u8| MemberLocation {
             ip: ip(number),
             zone: ZONES[usize::from(number) % ZONES.len()].to_owned(),
         };
@@ -143,7 +145,7 @@
                 ..MembersStamp::default()
             },
             leader: Some(ip(0)),
-            locations: (0..count).map(place).collect(),
+            locations: (0..count).map(location).collect(),
         };
         let mut port = 0;
         let mut members = Vec::new();
@@ -152,9 +154,9 @@
             port = listener.local_addr().unwrap().port();
             let member = Rc::new(Member {
                 ip: ip(number),
-                manner: Cell::new(Manner::Fresh),
-                asked: Cell::new(0),
-                asked_to_tell: Cell::new(0),
+                behaviour: Cell::new(Behaviour::Fresh),
+                requests: Cell::new(0),
+                immediate_requests: Cell::new(0),
                 list: RefCell::new(list.clone()),
                 clients: RefCell::default(),
             });
@@ -173,85 +175,90 @@
         Observer::start(Rc::new(watcher), config)
     }
 
-    /// Members that are asked in a while, once those of before have been told to stop.
-    async fn asked(&self) -> BTreeSet<usize> {
+    /// Returns the members that are queried during the next 300 ms.
+    async fn queried(&self) -> BTreeSet<usize> {
         for member in &self.members {
-            member.asked.set(0);
-            member.asked_to_tell.set(0);
+            member.requests.set(0);
+            member.immediate_requests.set(0);
         }
         actix_rt::time::sleep(Duration::from_millis(300)).await;
-        let asked = self.members.iter().enumerate();
-        let asked = asked.filter(|(_, member)| member.asked.get() > 0);
-        asked.map(|(number, _)| number).collect()
+        let queried = self.members.iter().enumerate();
+        let queried = queried.filter(|(_, member)| member.requests.get() > 0);
+        queried.map(|(number, _)| number).collect()
     }
 
     async fn wait_for(&self, what: &str, holds: impl Fn(&BTreeSet<usize>) -> bool) {
-        let waiting = async { while !holds(&self.asked().await) {} };
-        let in_time = actix_rt::time::timeout(PATIENCE, waiting).await;
+        let waiting = async { while !holds(&self.queried().await) {} };
+        let in_time = actix_rt::time::timeout(WAIT_TIMEOUT, waiting).await;
         assert!(in_time.is_ok(), "{what}");
     }
 }
 
-/// Members of the observer's zone among sixteen, but for the leader.
+/// Members of the observer's zone among sixteen, except the leader.
 const NEAR: [usize; 3] = [4, 8, 12];
 
-fn asks_a_few(asked: &BTreeSet<usize>) -> bool {
-    let far = asked.iter().filter(|number| *number % ZONES.len() != 0);
-    asked.contains(&0) && NEAR.iter().all(|number| asked.contains(number)) && far.count() == 1
+fn is_usual_selection(queried: &BTreeSet<usize>) -> bool {
+    let far = queried.iter().filter(|number| *number % ZONES.len() != 0);
+    queried.contains(&0) && NEAR.iter().all(|number| queried.contains(number)) && far.count() == 1
 }
 
 #[actix_rt::test]
-async fn an_observer_learns_of_all_members_and_asks_a_few() {
+async fn an_observer_learns_the_member_list_and_queries_a_few_members() {
     let fleet = Fleet::start(16).await;
     let _observer = fleet.observe(gateway());
     fleet
-        .wait_for("the leader, its zone and one more", asks_a_few)
+        .wait_for(
+            "the leader, members of the zone and one of another",
+            is_usual_selection,
+        )
         .await;
-    let tellers = fleet.members.iter();
-    let tellers = tellers.filter(|member| member.asked_to_tell.get() > 0);
-    let tellers: Vec<Ipv4Addr> = tellers.map(|member| member.ip).collect();
-    assert_eq!(tellers.len(), 2, "two tell of a document first");
+    let senders = fleet.members.iter();
+    let senders = senders.filter(|member| member.immediate_requests.get() > 0);
+    let senders: Vec<Ipv4Addr> = senders.map(|member| member.ip).collect();
+    assert_eq!(senders.len(), 2, "two send a document without delay");
     let near: Vec<Ipv4Addr> = NEAR.map(|number| fleet.members[number].ip).to_vec();
-    assert!(tellers.iter().all(|ip| near.contains(ip)), "{tellers:?}");
+    assert!(senders.iter().all(|ip| near.contains(ip)), "{senders:?}");
 }
 
 #[actix_rt::test]
-async fn others_take_the_place_of_members_that_are_silent_or_hear_no_leader() {
+async fn members_that_are_silent_or_have_no_leader_are_replaced() {
     let fleet = Fleet::start(16).await;
     let _observer = fleet.observe(gateway());
-    fleet.wait_for("a few members", asks_a_few).await;
-    fleet.members[NEAR[0]].manner.set(Manner::Silent);
-    fleet.members[NEAR[1]].manner.set(Manner::Stale);
-    let far = |asked: &BTreeSet<usize>| {
-        let far = asked.iter().filter(|number| *number % ZONES.len() != 0);
+    fleet.wait_for("a few members", is_usual_selection).await;
+    fleet.members[NEAR[0]].behaviour.set(Behaviour::Silent);
+    fleet.members[NEAR[1]].behaviour.set(Behaviour::Stale);
+    let far = |queried: &BTreeSet<usize>| {
+        let far = queried.iter().filter(|number| *number % ZONES.len() != 0);
         far.count()
     };
-    // The zone has one sound member besides the leader; others make up for the rest.
+    // Besides the leader, one member of the zone is left. Members of other zones replace the rest.
     fleet
-        .wait_for("members elsewhere", |asked| far(asked) >= 2)
+        .wait_for("members of other zones", |queried| far(queried) >= 2)
         .await;
 }
 
 #[actix_rt::test]
-async fn members_are_asked_a_few_at_a_time_and_all_in_turn_while_none_hears_a_leader() {
+async fn without_a_leader_all_members_are_queried_in_turn_a_few_at_a_time() {
     let fleet = Fleet::start(16).await;
     let _gateway = fleet.observe(gateway());
-    fleet.wait_for("a few members", asks_a_few).await;
+    fleet.wait_for("a few members", is_usual_selection).await;
     for member in &fleet.members {
-        member.manner.set(Manner::Stale);
+        member.behaviour.set(Behaviour::Stale);
     }
-    let met = RefCell::new(BTreeSet::<usize>::new());
-    let everyone = |asked: &BTreeSet<usize>| {
-        met.borrow_mut().extend(asked);
-        met.borrow().len() == fleet.members.len()
+    let tried = RefCell::new(BTreeSet::<usize>::new());
+    let everyone = |queried: &BTreeSet<usize>| {
+        tried.borrow_mut().extend(queried);
+        tried.borrow().len() == fleet.members.len()
     };
     fleet.wait_for("all members in turn", everyone).await;
-    // One that hears the new leader is enough to ask a few again.
+    // Once a queried member has a leader, the observer queries a few members again.
     for member in &fleet.members {
-        member.manner.set(Manner::Fresh);
+        member.behaviour.set(Behaviour::Fresh);
     }
     fleet
-        .wait_for("a few again", |asked| !asked.is_empty() && asked.len() <= 5)
+        .wait_for("a few again", |queried| {
+            !queried.is_empty() && queried.len() <= 5
+        })
         .await;
 }
 
@@ -260,7 +267,7 @@
     let fleet = Fleet::start(16).await;
     let _store = fleet.observe(store());
     fleet
-        .wait_for("the leader", |asked| asked.contains(&0))
+        .wait_for("the leader", |queried| queried.contains(&0))
         .await;
     let list = MemberList {
         stamp: MembersStamp {
@@ -273,8 +280,8 @@
     for member in &fleet.members {
         *member.list.borrow_mut() = list.clone();
     }
-    let led_by_another = |asked: &BTreeSet<usize>| asked.contains(&5) && asked.len() <= 6;
+    let queries_new_leader = |queried: &BTreeSet<usize>| queried.contains(&5) && queried.len() <= 6;
     fleet
-        .wait_for("the new leader and a few", led_by_another)
+        .wait_for("the new leader and a few", queries_new_leader)
         .await;
 }
--- a/crates/fleet/tests/list_schedule.rs
+++ b/crates/fleet/tests/list_schedule.rs
@@ -147,11 +147,7 @@
             let calls = model.calls_per_s(30);
             assert!(calls < LIMITS.calls_per_s * 0.5, "{gateways}: {calls}");
         }
-        assert!(
-            model.completed_reads > 100,
-            "too few reads complete: {}",
-            model.completed_reads
-        );
+        assert!(model.completed_reads > 100, "too few reads complete");
         // Members are back and send lists that are not stale.
         for process in &mut model.processes {
             process.seen = Some(Timestamp::MAX);
