--- a/crates/list-client/src/lib.rs
+++ b/crates/list-client/src/lib.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of replicas.
+//! Client for the platform's list of replicas.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -12,94 +12,94 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest page, in bytes.
+/// Maximum size of a page, in bytes.
 const MAX_PAGE_BYTES: usize = 4 << 20;
 
-/// Most pages of one list; more would mean that the list never ends.
+/// Maximum number of pages of a list; a list with more is assumed to have no end.
 const MAX_PAGES: u32 = 1_000;
 
-/// The list cannot be had.
+/// Failure to read the list.
 #[derive(Debug, Snafu)]
 pub enum ListError {
-    /// There is no connection.
+    /// Connecting to the platform failed.
     #[snafu(display("{source}"), context(false))]
     Connect {
-        /// Why not.
+        /// Cause.
         source: ConnectError,
     },
-    /// The question was not answered.
+    /// The request failed.
     #[snafu(display("{source}"), context(false))]
     Send {
-        /// Why not.
+        /// Cause.
         source: SendError,
     },
-    /// The platform refuses, for example because it is asked too often.
-    #[snafu(display("status {status}"))]
-    Refused {
-        /// What it answered.
+    /// The platform rejected the request, for example because of its rate limit.
+    #[snafu(display("the platform rejected the list request with status {status}"))]
+    Rejected {
+        /// Status of the response.
         status: StatusCode,
     },
-    /// A page did not arrive whole.
-    #[snafu(display("the page is incomplete or too long"))]
+    /// A page was cut short or exceeds [`MAX_PAGE_BYTES`].
+    #[snafu(display("the page is incomplete or longer than {MAX_PAGE_BYTES} bytes"))]
     Page,
-    /// A page cannot be understood.
+    /// A page cannot be parsed.
     #[snafu(display("{source}"), context(false))]
     Malformed {
-        /// Why not.
+        /// Cause.
         source: DialectError,
     },
-    /// The question cannot be formed.
-    #[snafu(display("{source}"))]
-    Question {
-        /// Why not.
+    /// The request cannot be built.
+    #[snafu(display("failed to build the list request: {source}"))]
+    Request {
+        /// Cause.
         source: hyper::http::Error,
     },
-    /// There was no answer in time.
-    #[snafu(display("no list within {limit:?}"))]
-    Silent {
-        /// What was waited.
+    /// The list was not read in time.
+    #[snafu(display("the list was not read within {limit:?}"))]
+    Timeout {
+        /// Time limit of the read.
         limit: Duration,
     },
-    /// The list does not end.
-    #[snafu(display("more than {MAX_PAGES} pages"))]
-    Endless,
+    /// The list has more than [`MAX_PAGES`] pages.
+    #[snafu(display("the list has more than {MAX_PAGES} pages"))]
+    TooLong,
 }
 
-/// First pause after the platform said that it is asked too often; doubles with each such answer.
-const FIRST_REFUSAL_PAUSE: Duration = Duration::from_millis(60);
+/// First delay after a rate-limited request; doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Longest such pause.
-const LONGEST_REFUSAL_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum delay after a rate-limited request.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// What to do when the platform says that it is asked too often.
+/// Reaction to a rate-limited request (status 429).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateLimitPolicy {
-    /// Ask for the same page after a growing pause: this reader reads for all others.
+    /// Retries the page with exponential backoff: this process reads for all others.
     Wait,
-    /// Give the reading up: others may read as well.
+    /// Aborts the read: other processes may read too.
     GiveUp,
 }
 
-/// A list and what it cost.
+/// A list with statistics of the read.
 #[derive(Clone, Debug)]
-pub struct Fetched {
+pub struct FetchedList {
     /// The list.
     pub list: BackendList,
-    /// Calls that it took.
+    /// Number of pages, each of which took one call.
     pub pages: u32,
-    /// Entries that name no replica to use.
+    /// Number of entries that were skipped because they cannot be read.
     pub skipped_entries: u32,
 }
 
 impl ListError {
-    /// Whether the platform said that it is asked too often.
+    /// Returns true if the platform rejected the request because of its rate limit.
     #[must_use]
     pub fn is_rate_limited(&self) -> bool {
-        matches!(self, Self::Refused { status } if *status == StatusCode::TOO_MANY_REQUESTS)
+        matches!(self, Self::Rejected { status } if *status == StatusCode::TOO_MANY_REQUESTS)
     }
 }
 
-/// Reads the whole list. The connection is kept from one look to the next.
+/// Client that reads the full list. It reuses its connection.
 #[derive(Debug)]
 pub struct ListClient {
     address: SocketAddr,
@@ -107,7 +107,7 @@
 }
 
 impl ListClient {
-    /// A client of the list at `address`.
+    /// Creates a client for the platform at `address`.
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         Self {
@@ -119,17 +119,17 @@
     /// Reads the list.
     ///
     /// # Errors
-    /// It cannot be had within `limit`.
+    /// Returns an error if the read fails or takes longer than `limit`.
     pub async fn fetch(
         &mut self,
         dialect: &dyn Dialect,
         limit: Duration,
-        at_refusal: RateLimitPolicy,
-    ) -> Result<Fetched, ListError> {
-        let reading = self.fetch_pages(dialect, limit, at_refusal);
-        let fetched = actix_rt::time::timeout(limit, reading).await;
-        let result = fetched.ok().context(SilentSnafu { limit });
-        // A reading that was given up may have left an answer on its way.
+        policy: RateLimitPolicy,
+    ) -> Result<FetchedList, ListError> {
+        let read = self.fetch_pages(dialect, limit, policy);
+        let fetched = actix_rt::time::timeout(limit, read).await;
+        let result = fetched.ok().context(TimeoutSnafu { limit });
+        // After an aborted read the connection may still receive a response.
         if !matches!(result, Ok(Ok(_))) {
             self.connection = None;
         }
@@ -140,9 +140,9 @@
         &mut self,
         dialect: &dyn Dialect,
         limit: Duration,
-        at_refusal: RateLimitPolicy,
-    ) -> Result<Fetched, ListError> {
-        let mut pause = FIRST_REFUSAL_PAUSE;
+        policy: RateLimitPolicy,
+    ) -> Result<FetchedList, ListError> {
+        let mut delay = INITIAL_BACKOFF;
         let mut backends = Vec::new();
         let mut skipped_entries = 0_u32;
         let mut next = None;
@@ -150,24 +150,22 @@
             let path = dialect.list_path(next.as_deref());
             let content = loop {
                 match self.fetch_page(&path, limit).await {
-                    Err(error)
-                        if error.is_rate_limited() && at_refusal == RateLimitPolicy::Wait =>
-                    {
-                        actix_rt::time::sleep(pause).await;
-                        pause = (pause * 2).min(LONGEST_REFUSAL_PAUSE);
+                    Err(error) if error.is_rate_limited() && policy == RateLimitPolicy::Wait => {
+                        actix_rt::time::sleep(delay).await;
+                        delay = (delay * 2).min(MAX_BACKOFF);
                     }
                     result => break result?,
                 }
             };
             let page = dialect.backend_page(&content)?;
-            log_passed_over(&page.skipped_entries, &path);
+            log_skipped(&page.skipped_entries, &path);
             skipped_entries = skipped_entries.saturating_add(page.skipped_entries.count);
             backends.extend(page.backends);
             match page.next {
                 Some(token) => next = Some(token),
                 None => {
                     let list = BackendList::new(backends);
-                    return Ok(Fetched {
+                    return Ok(FetchedList {
                         list,
                         pages,
                         skipped_entries,
@@ -175,7 +173,7 @@
                 }
             }
         }
-        EndlessSnafu.fail()
+        TooLongSnafu.fail()
     }
 
     async fn fetch_page(&mut self, path: &str, limit: Duration) -> Result<Bytes, ListError> {
@@ -186,7 +184,7 @@
         let request = Request::get(path)
             .header(hyper::header::HOST, self.address.to_string())
             .body(empty_body())
-            .context(QuestionSnafu)?;
+            .context(RequestSnafu)?;
         let response = connection.send(request).await?;
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_PAGE_BYTES);
@@ -194,15 +192,20 @@
         if connection.rest().await {
             self.connection = Some(connection);
         }
-        ensure!(status == StatusCode::OK, RefusedSnafu { status });
+        ensure!(status == StatusCode::OK, RejectedSnafu { status });
         Ok(content)
     }
 }
 
-/// Writes one line for all entries of a page that were passed over.
-fn log_passed_over(skipped_entries: &SkippedEntries, path: &str) {
+/// Logs the skipped entries of a page in one line.
+fn log_skipped(skipped_entries: &SkippedEntries, path: &str) {
     if let Some(first_reason) = &skipped_entries.first_reason {
         let count = skipped_entries.count;
-        tracing::warn!(path, count, first_reason, "entries of the list passed over");
+        tracing::warn!(
+            path,
+            count,
+            first_reason,
+            "skipped unreadable entries of the replica list"
+        );
     }
 }
