--- a/crates/quota/src/bucket.rs
+++ b/crates/quota/src/bucket.rs
@@ -1,30 +1,30 @@
-//! A token bucket.
+//! Token bucket.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Tokens that come at a steady rate and are kept up to a depth.
+/// Bucket of tokens that is refilled at a constant rate up to its depth.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
     level: f64,
-    as_of: Timestamp,
+    refilled_at: Timestamp,
     rate_per_s: f64,
     depth: f64,
 }
 
 impl TokenBucket {
-    /// A bucket that held `level` tokens at `since`.
+    /// Creates a bucket that held `level` tokens at `since`.
     #[must_use]
     pub fn new(level: f64, since: Timestamp, rate_per_s: f64, depth: f64) -> Self {
         Self {
             level: level.min(depth),
-            as_of: since,
+            refilled_at: since,
             rate_per_s,
             depth,
         }
     }
 
-    /// Changes rate and depth from now on. Tokens beyond the new depth are lost.
+    /// Changes rate and depth. Tokens beyond the new depth are discarded.
     pub fn resize(&mut self, rate_per_s: f64, depth: f64, now: Timestamp) {
         self.refill(now);
         self.rate_per_s = rate_per_s;
@@ -32,10 +32,10 @@
         self.level = self.level.min(depth);
     }
 
-    /// Takes a token if that leaves at least `reserve` of them.
+    /// Takes a token if at least `reserve` tokens remain.
     ///
     /// # Errors
-    /// There are too few; says after what time there will be enough, if nobody takes any.
+    /// Returns the time until there are enough tokens, if no others are taken.
     pub fn take(&mut self, reserve: f64, now: Timestamp) -> Result<(), Duration> {
         self.refill(now);
         let missing = reserve + 1.0 - self.level;
@@ -47,7 +47,7 @@
         Err(Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
     }
 
-    /// Whether it holds all that it can.
+    /// Returns true if the bucket is full.
     #[must_use]
     pub fn is_full(&self, now: Timestamp) -> bool {
         let mut filled = *self;
@@ -56,11 +56,11 @@
     }
 
     fn refill(&mut self, now: Timestamp) {
-        if now <= self.as_of {
+        if now <= self.refilled_at {
             return;
         }
-        let passed = now.since(self.as_of).as_secs_f64();
-        self.level = (self.level + passed * self.rate_per_s).min(self.depth);
-        self.as_of = now;
+        let elapsed = now.since(self.refilled_at).as_secs_f64();
+        self.level = (self.level + elapsed * self.rate_per_s).min(self.depth);
+        self.refilled_at = now;
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,25 +1,26 @@
-//! How many requests of a tenant all gateways together let through, as pure logic.
+//! Distributed rate limit of a tenant over all gateways, as pure logic.
 //!
 //! # Invariant
 //!
-//! In every window, the requests of a tenant that are let through come to at most
-//! `rate * window + burst` and what the deployment's [`Tolerance`] adds. It holds whatever the
-//! gateways do, and whoever is cut off, frozen, killed or replaced, as long as no more stores than
-//! may be lost are replaced in one window, or all of them once.
+//! In every window, the number of admitted requests of a tenant is at most `rate * window + burst`
+//! plus the deployment's [`Tolerance`]. This holds for any behaviour of gateways, and if processes
+//! are partitioned, paused, killed or replaced. The condition is that within one window at most as
+//! many stores are replaced as may be lost, or all stores once.
 //!
-//! # How
+//! # Algorithm
 //!
-//! Some turn stores own a tenant: the first few of the order in which stores rank for its name,
-//! one more than may be lost at once. Each owner holds an equal part of the limit in a
-//! [`TokenBucket`] of its own, and a gateway asks one owner after the other for a token before it
-//! lets a request through. So nothing has to be agreed on, no gateway holds anything that could
-//! be lost or used late, and losing an owner costs its part of the limit and nothing else.
+//! A tenant is owned by the turn stores that rank first for its name, one more than may be lost at
+//! once. Each owner holds an equal part of the limit in its own [`TokenBucket`]. A gateway requests
+//! a token from one owner after the other before it admits a request. So no consensus is needed, no
+//! gateway holds tokens that could be lost or used late, and losing an owner loses only its part of
+//! the limit.
 //!
-//! Owners change with the view of the stores. Two rules keep the parts from adding up to more
-//! than the limit then: an owner gives no tokens once it has not heard for [`FRESH_FOR`] from a
-//! control member that hears its leader, which is sooner than the leader passes a silent store
-//! over; and an owner that is new to a tenant begins with a bucket that is nearly empty, because
-//! the one before it may just have given out all of its own.
+//! Owners change with the store view. Two rules prevent that the parts then exceed the limit:
+//!
+//! - An owner grants no tokens after [`LEADER_CONTACT_TIMEOUT`] without a response of a control
+//!   member that has a leader. The leader replaces a silent store later than that.
+//! - A new owner of a tenant starts with a nearly empty bucket, because the previous one may just
+//!   have granted all its tokens.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -30,5 +31,5 @@
 
 pub use bucket::TokenBucket;
 pub use limit::{Limit, Tolerance};
-pub use owner::{FRESH_FOR, QuotaOwner};
+pub use owner::{LEADER_CONTACT_TIMEOUT, QuotaOwner};
 pub use protocol::{Purpose, QuotaRequest, QuotaResponse};
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -1,4 +1,4 @@
-//! What a turn store does for the tenants that it owns.
+//! Turn store as an owner of tenant quotas.
 
 use crate::bucket::TokenBucket;
 use crate::limit::{Limit, Tolerance};
@@ -8,26 +8,25 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time after the last word of a control member that hears its leader, for which a store still
-/// gives tokens. A leader passes a store over after 2 s of silence at the earliest, counted from a
-/// question that the store put up to half a second before the last answer.
-pub const FRESH_FOR: Duration = Duration::from_millis(1_400);
+/// Time for which a store grants tokens after the last response of a control member that has a
+/// leader. The leader replaces a store after 2 s of silence at the earliest, counted from a request
+/// that the store sent up to half a second before that response.
+pub const LEADER_CONTACT_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// Part of a bucket that is kept for programs that have begun. One that is refused in its middle
-/// has used engines and tokens for nothing.
-const RESERVE_SHARE: f64 = 0.3;
+/// Part of a bucket that is reserved for programs that have started: refusing a program halfway
+/// wastes the engine time and the tokens that it has used.
+const RESERVE_RATIO: f64 = 0.3;
 
-/// Views that are remembered, to know since when the store owns a tenant that it is asked about
-/// for the first time.
-const REMEMBERED_VIEWS: usize = 16;
+/// Maximum number of recent views, from which the store derives since when it owns a tenant.
+const MAX_VIEWS: usize = 16;
 
-/// Tenants whose buckets are held at the most. Those that are full are let go first, since a new
-/// one would be full too.
-const MAX_BUCKETS: usize = 4_096;
+/// Number of buckets from which full ones are dropped. A new bucket that replaces a dropped one is
+/// full too.
+const CLEANUP_THRESHOLD: usize = 4_096;
 
-/// A view, and since when this store has it.
+/// A view with the time from which this store has it.
 #[derive(Clone, Debug)]
-struct HeldView {
+struct ReceivedView {
     since: Timestamp,
     view: StoreView,
 }
@@ -38,19 +37,19 @@
     bucket: TokenBucket,
 }
 
-/// The tenants that a store owns a part of.
+/// The quotas of which a store owns a part.
 #[derive(Clone, Debug)]
 pub struct QuotaOwner {
     name: StoreName,
     owners: usize,
     tolerance: Tolerance,
-    views: Vec<HeldView>,
-    fresh_at: Option<Timestamp>,
+    views: Vec<ReceivedView>,
+    leader_contact_at: Option<Timestamp>,
     tenants: HashMap<TenantName, OwnedTenant>,
 }
 
 impl QuotaOwner {
-    /// The part of the store of that name; each tenant has `owners`.
+    /// Creates the state of the store `name`. Each tenant has `owners` owners.
     #[must_use]
     pub fn new(name: StoreName, owners: usize, tolerance: Tolerance) -> Self {
         Self {
@@ -58,83 +57,84 @@
             owners,
             tolerance,
             views: Vec::new(),
-            fresh_at: None,
+            leader_contact_at: None,
             tenants: HashMap::new(),
         }
     }
 
-    /// The stores that own a tenant, best first.
+    /// Returns the stores that own a tenant, highest rank first.
     #[must_use]
     pub fn owners_of(view: &StoreView, tenant: &TenantName, count: usize) -> Vec<StoreName> {
         owners(view, tenant.as_str(), count)
     }
 
-    /// Takes a newer view. Tenants that it gives to others are forgotten, and all of them when
-    /// views between were missed: others may have owned them meanwhile.
+    /// Adds a newer view. Drops tenants that this store no longer owns, and all tenants if a view
+    /// was missed: other stores may have owned them in between.
     pub fn set_view(&mut self, view: StoreView, now: Timestamp) {
-        let held = self.views.last().map(|held| held.view.epoch);
-        if held.is_none_or(|held| view.epoch > held + 1) {
+        let last_epoch = self.views.last().map(|last| last.view.epoch);
+        if last_epoch.is_none_or(|last_epoch| view.epoch > last_epoch + 1) {
             self.views.clear();
             self.tenants.clear();
         }
         let (name, count) = (&self.name, self.owners);
         self.tenants
             .retain(|tenant, _| owns(&view, name, tenant, count));
-        self.views.push(HeldView { since: now, view });
-        if self.views.len() > REMEMBERED_VIEWS {
+        self.views.push(ReceivedView { since: now, view });
+        if self.views.len() > MAX_VIEWS {
             self.views.remove(0);
         }
     }
 
-    /// Notes the word of a control member that hears its leader.
+    /// Records a response of a control member that has a leader.
     pub fn note_leader_contact(&mut self, now: Timestamp) {
-        self.fresh_at = self.fresh_at.max(Some(now));
+        self.leader_contact_at = self.leader_contact_at.max(Some(now));
     }
 
-    /// Answers a gateway.
-    pub fn answer(&mut self, ask: &QuotaRequest, now: Timestamp) -> QuotaResponse {
-        let is_fresh = self
-            .fresh_at
-            .is_some_and(|fresh_at| now.since(fresh_at) <= FRESH_FOR);
-        let Some(since) = self.owned_since(&ask.tenant).filter(|_| is_fresh) else {
+    /// Answers a gateway's request.
+    pub fn answer(&mut self, request: &QuotaRequest, now: Timestamp) -> QuotaResponse {
+        let is_in_contact = self
+            .leader_contact_at
+            .is_some_and(|contact_at| now.since(contact_at) <= LEADER_CONTACT_TIMEOUT);
+        let Some(since) = self.owned_since(&request.tenant).filter(|_| is_in_contact) else {
             return QuotaResponse::NotOwner;
         };
         let (owners, tolerance) = (self.owners, self.tolerance);
-        self.make_room(now);
+        self.drop_full_buckets(now);
         let owned = self
             .tenants
-            .entry(ask.tenant.clone())
+            .entry(request.tenant.clone())
             .or_insert_with(|| OwnedTenant {
-                limit: ask.limit,
+                limit: request.limit,
                 bucket: TokenBucket::new(
-                    ask.limit.owner_start(tolerance, owners),
+                    request.limit.owner_initial_level(tolerance, owners),
                     since,
-                    ask.limit.owner_rate(owners),
-                    ask.limit.owner_depth(tolerance, owners),
+                    request.limit.owner_rate(owners),
+                    request.limit.owner_depth(tolerance, owners),
                 ),
             });
-        owned.adopt(ask.limit, tolerance, owners, now);
-        owned.take(ask.purpose, tolerance, owners, now)
+        owned.update_limit(request.limit, tolerance, owners, now);
+        owned.take(request.purpose, tolerance, owners, now)
     }
 
-    /// Since when this store has owned a tenant without a break, as far as it remembers.
+    /// Returns the time from which this store has owned a tenant without interruption, within the
+    /// recent views; `None` if it does not own the tenant.
     fn owned_since(&self, tenant: &TenantName) -> Option<Timestamp> {
-        let is_mine = |held: &&HeldView| owns(&held.view, &self.name, tenant, self.owners);
-        let unbroken = self.views.iter().rev().take_while(is_mine);
-        unbroken.last().map(|held| held.since)
+        let is_owner = |recent: &&ReceivedView| owns(&recent.view, &self.name, tenant, self.owners);
+        let uninterrupted = self.views.iter().rev().take_while(is_owner);
+        uninterrupted.last().map(|earliest| earliest.since)
     }
 
-    fn make_room(&mut self, now: Timestamp) {
-        if self.tenants.len() >= MAX_BUCKETS {
+    fn drop_full_buckets(&mut self, now: Timestamp) {
+        if self.tenants.len() >= CLEANUP_THRESHOLD {
             self.tenants.retain(|_, owned| !owned.bucket.is_full(now));
         }
     }
 }
 
 impl OwnedTenant {
-    /// Takes a limit of a newer configuration. Gateways that have not heard of it yet ask by the
-    /// older one; it does not come back.
-    fn adopt(&mut self, limit: Limit, tolerance: Tolerance, owners: usize, now: Timestamp) {
+    /// Applies the limit of a newer configuration. Other limits are ignored, since gateways that do
+    /// not have the newer configuration yet still send the old one.
+    fn update_limit(&mut self, limit: Limit, tolerance: Tolerance, owners: usize, now: Timestamp) {
         if limit.version <= self.limit.version {
             return;
         }
@@ -152,7 +152,7 @@
     ) -> QuotaResponse {
         let depth = self.limit.owner_depth(tolerance, owners);
         let reserve = match purpose {
-            Purpose::Begins => RESERVE_SHARE * (depth - 1.0),
+            Purpose::Begins => RESERVE_RATIO * (depth - 1.0),
             Purpose::Continues => 0.0,
         };
         match self.bucket.take(reserve, now) {
--- a/crates/quota/src/protocol.rs
+++ b/crates/quota/src/protocol.rs
@@ -1,40 +1,40 @@
-//! What a gateway asks an owner, and what it is told.
+//! Requests of gateways to owners, and their responses.
 
 use crate::limit::Limit;
 use luglink_types::TenantName;
 use serde::{Deserialize, Serialize};
 
-/// What a request is to its program.
+/// Relation of a request to its program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// It begins one. Refusing it costs nothing yet, and letting it through will cost a token for
-    /// each request to come.
+    /// The first request of a program. Refusing it wastes no work, while granting it takes a token
+    /// for each later request of the program too.
     Begins,
-    /// It belongs to one that has begun, or to none.
+    /// A later request of a program, or a request without a program.
     Continues,
 }
 
-/// Asks for a token.
+/// Request for a token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaRequest {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: TenantName,
-    /// Its limit, as the gateway knows it.
+    /// Limit of the tenant in the gateway's configuration.
     pub limit: Limit,
-    /// What the token is for.
+    /// Relation of the request to its program.
     pub purpose: Purpose,
 }
 
-/// What an owner answers.
+/// Response of an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaResponse {
-    /// The request may go.
+    /// A token is granted.
     Granted,
-    /// The owner has no token left for it.
+    /// The owner has too few tokens.
     Denied {
-        /// Time until it will, in milliseconds.
+        /// Time until it has enough tokens, in milliseconds.
         come_back_ms: u64,
     },
-    /// The store does not own the tenant, or does not know whether it still does.
+    /// The store does not own the tenant, or cannot know whether it still does.
     NotOwner,
 }
--- a/crates/quota/tests/invariant.rs
+++ b/crates/quota/tests/invariant.rs
@@ -1,9 +1,9 @@
-//! What all gateways together let through stays within the limit, whatever happens to stores,
-//! links and views.
+//! Tests that all gateways together stay within a tenant's limit while stores restart, links fail
+//! and views change.
 
 use luglink_fleet::{StoreMember, StoreName, StoreState, StoreView};
 use luglink_quota::{
-    FRESH_FOR, Limit, Purpose, QuotaOwner, QuotaRequest, QuotaResponse, Tolerance,
+    LEADER_CONTACT_TIMEOUT, Limit, Purpose, QuotaOwner, QuotaRequest, QuotaResponse, Tolerance,
 };
 use luglink_types::{TenantName, Timestamp};
 use proptest::prelude::*;
@@ -21,17 +21,18 @@
     slack: 20.0,
 };
 
-/// A deployment that bears nothing beyond the limit.
+/// A deployment that tolerates no requests beyond the limit.
 const STRICT: Tolerance = Tolerance {
     window: WINDOW,
     overage: 0.0,
     slack: 0.0,
 };
 
-/// Silence after which the leader passes a store over, and the longest time from a store's
-/// question to its answer.
-const SILENCE: Duration = Duration::from_millis(2_000);
-const LONGEST_HOLD: Duration = Duration::from_millis(500);
+/// Time without a request of a store after which the leader replaces it.
+const STORE_TIMEOUT: Duration = Duration::from_millis(2_000);
+
+/// Maximum time from a store's request to the response.
+const MAX_POLL_DURATION: Duration = Duration::from_millis(500);
 
 fn name(store: usize) -> StoreName {
     StoreName(format!("store-{store}"))
@@ -66,22 +67,22 @@
     QuotaOwner::new(name(store), OWNERS, TOLERANCE)
 }
 
-/// Something that happens in one step of 100 ms.
+/// Event in one step of 100 ms.
 #[derive(Clone, Debug)]
 enum Event {
-    /// Every gateway asks so often.
+    /// Every gateway sends this many requests.
     Ask(u32),
-    /// A store is cut off from the leader, and stays in touch with the gateways.
+    /// A store loses its connection to the leader, but not to the gateways.
     Cut(usize),
-    /// The cut ends.
+    /// The store is connected again.
     Heal(usize),
-    /// A store's process is killed and starts at once.
+    /// The process of a store is killed and restarts immediately.
     Restart(usize),
-    /// A gateway hears of no new view for now.
+    /// A gateway stops receiving views.
     Deafen(usize),
-    /// It does again.
+    /// The gateway receives views again.
     Hear(usize),
-    /// Nothing, for so many steps.
+    /// No event for this many steps.
     Calm(u32),
 }
 
@@ -110,13 +111,13 @@
         })
 }
 
-/// A leader, stores and gateways.
+/// Model of a leader, stores and gateways.
 struct World {
     now: Timestamp,
     owners: Vec<QuotaOwner>,
     is_cut: [bool; STORES],
-    /// When the leader took each store's last question.
-    heard: [Timestamp; STORES],
+    /// Time at which the leader received each store's last request.
+    last_request: [Timestamp; STORES],
     is_writable: [bool; STORES],
     view: StoreView,
     store_epochs: [u64; STORES],
@@ -132,7 +133,7 @@
             now: Timestamp::from_millis(1_000),
             owners: (0..STORES).map(owner).collect(),
             is_cut: [false; STORES],
-            heard: [Timestamp::from_millis(1_000); STORES],
+            last_request: [Timestamp::from_millis(1_000); STORES],
             is_writable: [true; STORES],
             store_epochs: [0; STORES],
             gateway_views: vec![first.clone(); GATEWAYS],
@@ -142,15 +143,18 @@
         }
     }
 
-    /// The leader's word reaches whoever is in touch; it passes over one silent store at most, as
-    /// many as may be lost less one.
+    /// Advances by 100 ms: the leader answers connected stores, and replaces silent ones while
+    /// fewer than `OWNERS - 1` are lost.
     fn step(&mut self) {
         self.now = self.now.plus(Duration::from_millis(100));
         for store in 0..STORES {
             if !self.is_cut[store] {
-                // The question that this answer belongs to came a hold ago.
-                let asked = self.now.since(Timestamp::ZERO).saturating_sub(LONGEST_HOLD);
-                self.heard[store] = Timestamp::ZERO.plus(asked);
+                // The leader received the request for this response one poll duration ago.
+                let requested = self
+                    .now
+                    .since(Timestamp::ZERO)
+                    .saturating_sub(MAX_POLL_DURATION);
+                self.last_request[store] = Timestamp::ZERO.plus(requested);
                 self.owners[store].note_leader_contact(self.now);
             }
         }
@@ -171,18 +175,18 @@
     fn change_view(&mut self) {
         let before = self.is_writable;
         for store in 0..STORES {
-            let silence = self.now.since(self.heard[store]);
-            if !self.is_writable[store] && silence < SILENCE {
+            let silence = self.now.since(self.last_request[store]);
+            if !self.is_writable[store] && silence < STORE_TIMEOUT {
                 self.is_writable[store] = true;
             }
         }
         let lost = self
             .is_writable
             .iter()
-            .filter(|is_there| !**is_there)
+            .filter(|is_writable| !**is_writable)
             .count();
         let silent = (0..STORES).find(|store| {
-            self.is_writable[*store] && self.now.since(self.heard[*store]) >= SILENCE
+            self.is_writable[*store] && self.now.since(self.last_request[*store]) >= STORE_TIMEOUT
         });
         if lost < OWNERS - 1
             && let Some(silent) = silent
@@ -195,7 +199,7 @@
     }
 
     fn ask(&mut self, times: u32, limit: Limit, purpose: Purpose) {
-        let ask = QuotaRequest {
+        let request = QuotaRequest {
             tenant: tenant(),
             limit,
             purpose,
@@ -205,7 +209,7 @@
                 let owners = QuotaOwner::owners_of(&self.gateway_views[gateway], &tenant(), OWNERS);
                 let granted = owners.iter().any(|owner| {
                     let store = (0..STORES).find(|store| name(*store) == *owner).unwrap();
-                    self.owners[store].answer(&ask, self.now) == QuotaResponse::Granted
+                    self.owners[store].answer(&request, self.now) == QuotaResponse::Granted
                 });
                 if granted {
                     self.granted.push(self.now);
@@ -230,7 +234,7 @@
         self.step();
     }
 
-    /// The most that was let through in a window.
+    /// Returns the largest number of granted requests in a window.
     fn worst_window(&self) -> usize {
         let windows = self.granted.iter().enumerate().map(|(first, from)| {
             let until = from.plus(WINDOW);
@@ -260,14 +264,14 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn no_window_passes_the_limit(
+    fn no_window_exceeds_the_limit(
         events in event_with_one_restart(),
         rate in 1.0_f64..40.0,
         burst in 0.0_f64..40.0,
     ) {
         let limit = limit(1, rate, burst);
         let mut world = World::new();
-        // As long as it takes the buckets to fill.
+        // Time in which the buckets fill up.
         world.apply(&Event::Calm(150), limit);
         for event in &events {
             world.apply(event, limit);
@@ -275,12 +279,12 @@
         let worst = world.worst_window();
         prop_assert!(
             worst as f64 <= allowed(limit),
-            "{worst} where {} are allowed", allowed(limit)
+            "{worst} requests in a window, {} are allowed", allowed(limit)
         );
     }
 
     #[test]
-    fn a_lower_limit_binds_whoever_still_asks_by_the_higher_one(
+    fn a_lowered_limit_applies_to_gateways_that_still_send_the_higher_one(
         asks in prop::collection::vec(1_u32..12, 80..120),
         before in 20.0_f64..60.0,
         after in 1.0_f64..8.0,
@@ -289,7 +293,7 @@
         let mut world = World::new();
         world.apply(&Event::Calm(100), old);
         for (step, times) in asks.iter().enumerate() {
-            // From the 20th step on some gateways know the new limit.
+            // From the 20th step on, some requests have the new limit.
             world.apply(&Event::Ask(*times), old);
             if step >= 20 {
                 world.apply(&Event::Ask(1), new);
@@ -322,14 +326,14 @@
 }
 
 #[test]
-fn losing_an_owner_leaves_the_parts_of_the_others() {
+fn losing_an_owner_leaves_the_other_parts_of_the_limit() {
     let limit = limit(1, 30.0, 0.0);
     let mut world = World::new();
     world.apply(&Event::Calm(100), limit);
     let first = QuotaOwner::owners_of(&world.view, &tenant(), OWNERS)[0].clone();
     let store = (0..STORES).find(|store| name(*store) == first).unwrap();
     world.apply(&Event::Cut(store), limit);
-    // Its word is too old by now, and nobody has taken its place yet.
+    // Its leader contact has timed out, and no other store has replaced it yet.
     world.apply(&Event::Calm(16), limit);
     let before = world.granted.len();
     for _ in 0..3 {
@@ -339,26 +343,26 @@
 }
 
 #[test]
-fn a_store_without_word_of_a_leader_gives_nothing() {
+fn a_store_without_leader_contact_grants_no_tokens() {
     let mut store = owner(0);
     store.set_view(view(1, &[true]), Timestamp::ZERO);
-    let ask = QuotaRequest {
+    let request = QuotaRequest {
         tenant: tenant(),
         limit: limit(1, 10.0, 10.0),
         purpose: Purpose::Continues,
     };
-    let heard = Timestamp::from_millis(60_000);
-    assert_eq!(store.answer(&ask, heard), QuotaResponse::NotOwner);
-    store.note_leader_contact(heard);
-    assert_eq!(store.answer(&ask, heard), QuotaResponse::Granted);
-    let last = heard.plus(FRESH_FOR);
-    assert_eq!(store.answer(&ask, last), QuotaResponse::Granted);
+    let contact = Timestamp::from_millis(60_000);
+    assert_eq!(store.answer(&request, contact), QuotaResponse::NotOwner);
+    store.note_leader_contact(contact);
+    assert_eq!(store.answer(&request, contact), QuotaResponse::Granted);
+    let last = contact.plus(LEADER_CONTACT_TIMEOUT);
+    assert_eq!(store.answer(&request, last), QuotaResponse::Granted);
     let late = last.plus(Duration::from_millis(1));
-    assert_eq!(store.answer(&ask, late), QuotaResponse::NotOwner);
+    assert_eq!(store.answer(&request, late), QuotaResponse::NotOwner);
 }
 
 #[test]
-fn programs_that_have_begun_go_before_new_ones() {
+fn tokens_are_reserved_for_programs_that_have_started() {
     let mut store = QuotaOwner::new(name(0), 1, STRICT);
     store.set_view(view(1, &[true]), Timestamp::ZERO);
     let now = Timestamp::from_millis(60_000);
@@ -368,13 +372,13 @@
         ("begins", Purpose::Begins),
         ("continues", Purpose::Continues),
     ] {
-        let ask = QuotaRequest {
+        let request = QuotaRequest {
             tenant: tenant(),
             limit: limit(1, 1.0, 21.0),
             purpose,
         };
         let mut granted = 0;
-        while store.answer(&ask, now) == QuotaResponse::Granted {
+        while store.answer(&request, now) == QuotaResponse::Granted {
             granted += 1;
         }
         counts.insert(label, granted);
@@ -383,21 +387,21 @@
 }
 
 #[test]
-fn the_time_to_come_back_is_when_a_token_is_there() {
+fn a_denied_request_succeeds_after_the_returned_time() {
     let mut store = QuotaOwner::new(name(0), 1, STRICT);
     store.set_view(view(1, &[true]), Timestamp::ZERO);
     let now = Timestamp::from_millis(60_000);
     store.note_leader_contact(now);
-    let ask = QuotaRequest {
+    let request = QuotaRequest {
         tenant: tenant(),
         limit: limit(1, 4.0, 1.0),
         purpose: Purpose::Continues,
     };
-    assert_eq!(store.answer(&ask, now), QuotaResponse::Granted);
+    assert_eq!(store.answer(&request, now), QuotaResponse::Granted);
     assert_eq!(
-        store.answer(&ask, now),
+        store.answer(&request, now),
         QuotaResponse::Denied { come_back_ms: 250 }
     );
     let later = now.plus(Duration::from_millis(250));
-    assert_eq!(store.answer(&ask, later), QuotaResponse::Granted);
+    assert_eq!(store.answer(&request, later), QuotaResponse::Granted);
 }
