--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of one replica.
+//! A daemon's view of one replica.
 
 use crate::cost::CostModel;
 use crate::health::Health;
@@ -9,34 +9,34 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One dispatch of one daemon.
+/// Identifier of one dispatch of a daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// A replica's own view of its load, some time ago.
+/// Load that a replica reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Sequences in the running batch.
+    /// Number of sequences in the running batch.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Prompt tokens that are still to be computed.
+    /// Prompt tokens that are not computed yet.
     pub prefill_tokens: u64,
-    /// Blocks of the cache that hold nothing of use.
+    /// Number of free cache blocks.
     pub free_blocks: u64,
-    /// Whether the replica takes no new work.
+    /// True if the replica accepts no new requests.
     pub draining: bool,
 }
 
-/// A request on its way or running.
+/// A request that was sent and has not ended.
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
     uncached_tokens: u64,
-    started: bool,
+    has_started: bool,
     sent_at: Timestamp,
 }
 
-/// Time after which a load report says nothing any more.
+/// Age at which a load report is ignored. Its weight decreases linearly until then.
 const REPORT_LIFETIME: Duration = Duration::from_secs(3);
 
 #[derive(Clone, Debug)]
@@ -47,7 +47,7 @@
     prefix: PrefixIndex,
     in_flight: BTreeMap<AttemptId, InFlight>,
     report: Option<(LoadReport, Timestamp)>,
-    /// Own requests that were in flight when the report arrived, to tell others' from own.
+    /// Own requests in flight when the report arrived. The report counts them too.
     own_at_report: u32,
 }
 
@@ -64,12 +64,13 @@
         }
     }
 
-    /// Own requests in flight.
+    /// Returns the number of own requests in flight.
     pub(crate) fn own_requests(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// Requests of other daemons, from the last report, fading as the report ages.
+    /// Returns the number of requests of other daemons by the last report, weighted by its
+    /// freshness.
     pub(crate) fn foreign_requests(&self, now: Timestamp) -> f64 {
         let Some((report, at)) = self.report else {
             return 0.0;
@@ -78,14 +79,17 @@
         (total - f64::from(self.own_at_report)).max(0.0) * freshness(now, at)
     }
 
-    /// All requests the replica is believed to have.
+    /// Returns the estimated number of all requests at the replica.
     pub(crate) fn requests(&self, now: Timestamp) -> f64 {
         self.own_requests() as f64 + self.foreign_requests(now)
     }
 
-    /// Prompt tokens that are believed to wait for computation.
+    /// Returns the estimated number of prompt tokens that are not computed yet.
     pub(crate) fn queued_prefill_tokens(&self, now: Timestamp) -> f64 {
-        let unstarted = self.in_flight.values().filter(|request| !request.started);
+        let unstarted = self
+            .in_flight
+            .values()
+            .filter(|request| !request.has_started);
         let own: u64 = unstarted
             .clone()
             .map(|request| request.uncached_tokens)
@@ -93,21 +97,21 @@
         let Some((report, at)) = self.report else {
             return own as f64;
         };
-        // What was sent before the report is part of it; what came later is added.
-        let since: u64 = unstarted
+        // The report includes requests sent before it; later ones are added.
+        let sent_since: u64 = unstarted
             .filter(|request| request.sent_at >= at)
             .map(|request| request.uncached_tokens)
             .sum();
-        let reported = report.prefill_tokens as f64 * freshness(now, at) + since as f64;
+        let reported = report.prefill_tokens as f64 * freshness(now, at) + sent_since as f64;
         reported.max(own as f64)
     }
 
-    /// Tokens of the prompt that are believed to be cached.
+    /// Returns the estimated number of prompt tokens that are cached.
     pub(crate) fn cached_tokens(&self, blocks: &[BlockHash]) -> u64 {
         self.prefix.matched(blocks) as u64 * BLOCK_TOKENS
     }
 
-    /// Predicted time to the last token of a request, in seconds.
+    /// Returns the predicted time to the last token of a request, in seconds.
     pub(crate) fn predicted_seconds(
         &self,
         cost: &CostModel,
@@ -120,8 +124,9 @@
         queue + prefill + decode
     }
 
-    /// Predicted time that a request takes from all others at the replica together, in seconds:
-    /// computing its prompt holds up the whole batch, and each of its steps is a little longer.
+    /// Returns the predicted total delay of all other requests at the replica, in seconds:
+    /// computing the prompt delays the whole batch, and the additional sequence makes each step
+    /// slightly longer.
     pub(crate) fn delay_of_others_seconds(
         &self,
         cost: &CostModel,
@@ -146,11 +151,11 @@
             attempt,
             InFlight {
                 uncached_tokens,
-                started: false,
+                has_started: false,
                 sent_at: now,
             },
         );
-        // The engine will hold these soon; its own event comes late or never.
+        // The engine will cache these blocks soon; its event may be late or lost.
         for block in blocks {
             self.prefix.insert(*block);
         }
@@ -158,7 +163,7 @@
 
     pub(crate) fn on_first_token(&mut self, attempt: AttemptId) {
         if let Some(request) = self.in_flight.get_mut(&attempt) {
-            request.started = true;
+            request.has_started = true;
         }
     }
 
@@ -184,13 +189,14 @@
         }
     }
 
-    /// The engine restarted or its events have a gap: nothing is known of its cache.
+    /// Clears the cached blocks, after the engine restarted or a cache event was lost.
     pub(crate) fn forget_cache(&mut self) {
         self.prefix.clear();
     }
 }
 
-fn freshness(now: Timestamp, at: Timestamp) -> f64 {
-    let age = now.since(at).as_secs_f64() / REPORT_LIFETIME.as_secs_f64();
+/// Returns the weight of a report from 1 (new) to 0 (ignored).
+fn freshness(now: Timestamp, reported_at: Timestamp) -> f64 {
+    let age = now.since(reported_at).as_secs_f64() / REPORT_LIFETIME.as_secs_f64();
     (1.0 - age).max(0.0)
 }
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -1,18 +1,19 @@
-//! Ejection of failing replicas and their way back.
+//! Ejection and readmission of failing replicas.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// When a replica is ejected and for how long.
+/// Conditions and durations of ejections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthConfig {
-    /// Failures in a row that eject a replica.
+    /// Number of consecutive failures that eject a replica.
     pub failures_to_eject: u32,
-    /// Length of the first ejection; each further one is twice as long.
+    /// Duration of the first ejection; it doubles with each further one.
     pub base_ejection: Duration,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub max_ejection: Duration,
-    /// Share of a pool that may be ejected at once; beyond it, failures are not the replicas'.
+    /// Maximum share of a pool that may be ejected at once. If more replicas fail, the cause is
+    /// assumed to be elsewhere.
     pub max_ejected_share: f64,
 }
 
@@ -30,66 +31,68 @@
 /// Health of one replica as seen from one daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Health {
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     ejections: u32,
     ejected_until: Option<Timestamp>,
-    probing: bool,
+    is_probing: bool,
 }
 
 impl Health {
-    /// Whether requests may go to the replica. After an ejection one request at a time probes it.
+    /// Returns true if requests may be sent to the replica. After an ejection, one request at a time
+    /// probes it.
     #[must_use]
     pub fn admits(&self, now: Timestamp) -> bool {
         match self.ejected_until {
             None => true,
-            Some(until) => now >= until && !self.probing,
+            Some(until) => now >= until && !self.is_probing,
         }
     }
 
-    /// Whether the replica is ejected or on probation.
+    /// Returns true if the replica is ejected or has not passed its probe yet.
     #[must_use]
     pub fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// A request goes to the replica.
+    /// Handles the dispatch of a request to the replica.
     pub fn on_dispatch(&mut self) {
         if self.ejected_until.is_some() {
-            self.probing = true;
+            self.is_probing = true;
         }
     }
 
-    /// A request succeeded.
+    /// Handles the success of a request.
     pub fn on_success(&mut self) {
         *self = Self {
-            // One good answer lets it back; the ejection count falls slowly, so that a replica
-            // that flaps is ejected for longer each time.
+            // One success readmits the replica. The number of ejections decreases slowly, so that
+            // the ejections of a flapping replica get longer.
             ejections: self.ejections.saturating_sub(1),
             ..Self::default()
         };
     }
 
-    /// A request failed. `may_eject` tells whether the pool can do without the replica.
+    /// Handles the failure of a request. `may_eject` is false if too many replicas of the pool are
+    /// ejected already.
     pub fn on_failure(&mut self, config: &HealthConfig, may_eject: bool, now: Timestamp) {
-        self.failures_in_a_row = self.failures_in_a_row.saturating_add(1);
-        let probe_failed = self.probing;
-        self.probing = false;
-        let due = probe_failed || self.failures_in_a_row >= config.failures_to_eject;
-        if !due || (!may_eject && !probe_failed) {
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        let probe_failed = self.is_probing;
+        self.is_probing = false;
+        let is_due = probe_failed || self.consecutive_failures >= config.failures_to_eject;
+        if !is_due || (!may_eject && !probe_failed) {
             return;
         }
         let factor = 2_u32.saturating_pow(self.ejections.min(16));
-        let length = config
+        let duration = config
             .base_ejection
             .saturating_mul(factor)
             .min(config.max_ejection);
         self.ejections = self.ejections.saturating_add(1);
-        self.failures_in_a_row = 0;
-        self.ejected_until = Some(now.plus(length));
+        self.consecutive_failures = 0;
+        self.ejected_until = Some(now.plus(duration));
     }
 
-    /// A probe ended without telling anything.
+    /// Handles the end of a request that indicates neither success nor failure.
     pub fn on_inconclusive(&mut self) {
-        self.probing = false;
+        self.is_probing = false;
     }
 }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! Choice of a replica for each request, from what one daemon knows.
+//! Selection of a replica for each request, based on the state of one daemon.
 //!
-//! A daemon knows little: load reports lag, cache events are late and have gaps, and other
-//! daemons send requests it never sees. [`Router`] corrects the reports by what the daemon
-//! itself has sent since. No I/O, no clock; random numbers come in with each call.
+//! A daemon has incomplete information: load reports lag, cache events are late and have gaps, and
+//! other daemons send requests too. [`Router`] corrects the reports by the requests that the daemon
+//! has sent since. It does no I/O and has no clock; time and random numbers are arguments.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/routing/src/policy.rs
+++ b/crates/routing/src/policy.rs
@@ -1,26 +1,27 @@
-//! The policies among which replicas can be chosen.
+//! Policies for the selection of a replica.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// How a replica is chosen. All but [`Policy::Luglink`] are baselines for comparison.
+/// Policy for the selection of a replica. All but [`Policy::Luglink`] are baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Policy {
     /// Each replica in turn.
     RoundRobin,
-    /// The replica with the fewest requests, own and reported.
+    /// The replica with the fewest requests, including reported ones.
     LeastLoaded,
-    /// The replica that served the program before; else the least loaded.
+    /// The replica that served the program's previous call, otherwise the least loaded one.
     Sticky,
-    /// The longest cached prefix among replicas that are not much busier than the average.
+    /// The replica with the longest cached prefix, among those that are not much busier than the
+    /// average.
     PrefixAware,
-    /// The lowest predicted cost.
+    /// The replica with the lowest predicted cost.
     #[default]
     Luglink,
 }
 
 impl Policy {
-    /// Every policy.
+    /// All policies.
     pub const ALL: [Policy; 5] = [
         Self::RoundRobin,
         Self::LeastLoaded,
@@ -29,7 +30,7 @@
         Self::Luglink,
     ];
 
-    /// The policy's name.
+    /// Returns the name of the policy.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -57,7 +58,10 @@
             .find(|policy| policy.as_str() == text)
             .ok_or_else(|| {
                 let names: Vec<&str> = Self::ALL.iter().map(|policy| policy.as_str()).collect();
-                format!("`{text}` is not one of {}", names.join(", "))
+                format!(
+                    "unknown policy `{text}`, expected one of {}",
+                    names.join(", ")
+                )
             })
     }
 }
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,19 +1,19 @@
-//! Identity of prompt prefixes: a chain of hashes, one for each block of tokens.
+//! Identifiers of prompt prefixes: a chain of hashes, one for each block of tokens.
 
 use luglink_types::{ChatMessage, Role, count_tokens};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Tokens in a block of an engine's prefix cache.
+/// Number of tokens in a block of an engine's prefix cache.
 pub const BLOCK_TOKENS: u64 = 64;
 
-/// Identifies a block and everything before it.
+/// Hash of a block and all blocks before it.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct BlockHash(pub u64);
 
-/// Hashes a growing conversation without reading it again.
+/// Incremental hasher of a growing conversation.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHasher {
     chain: u64,
@@ -23,8 +23,8 @@
 }
 
 impl PrefixHasher {
-    /// A hasher whose prefixes belong to one model and adapter: the same text under another
-    /// adapter has other cache content.
+    /// Creates a hasher for one model and adapter: the same text has other cache content under
+    /// another adapter.
     #[must_use]
     pub fn new(model: &str, adapter: Option<&str>) -> Self {
         let chain = xxh3_64_with_seed(model.as_bytes(), 0);
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Tokens so far.
+    /// Returns the number of tokens so far.
     #[must_use]
     pub fn tokens(&self) -> u64 {
         self.tokens
     }
 
-    /// The full blocks so far, each identifying everything up to its end.
+    /// Returns the hashes of the full blocks so far.
     #[must_use]
     pub fn blocks(&self) -> &[BlockHash] {
         &self.blocks
--- a/crates/routing/src/prefix_index.rs
+++ b/crates/routing/src/prefix_index.rs
@@ -1,9 +1,9 @@
-//! What one engine's prefix cache is believed to hold.
+//! Estimated content of one engine's prefix cache.
 
 use crate::prefix::BlockHash;
 use std::collections::{HashMap, VecDeque};
 
-/// A bounded set of blocks. The oldest additions are forgotten first, as an engine would.
+/// Bounded set of blocks. The oldest additions are evicted first, as in an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixIndex {
     capacity: usize,
@@ -27,7 +27,7 @@
         self.added.insert(block, self.clock);
         self.order.push_back((block, self.clock));
         while self.added.len() > self.capacity || self.order.len() > 2 * self.capacity {
-            self.forget_oldest();
+            self.evict_oldest();
         }
     }
 
@@ -40,13 +40,13 @@
         self.order.clear();
     }
 
-    /// Number of leading blocks that are held. A block is only of use with all before it, so
-    /// the end of the run can be found by halving.
+    /// Returns the number of leading blocks in the set. A block is of use only together with all
+    /// blocks before it, so a binary search finds the end of the prefix.
     pub(crate) fn matched(&self, blocks: &[BlockHash]) -> usize {
         blocks.partition_point(|block| self.added.contains_key(block))
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some((block, clock)) = self.order.pop_front() else {
             return;
         };
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one pool at one daemon.
+//! Router of one pool at one daemon.
 
 use crate::cost::CostModel;
 use crate::engine::{AttemptId, EngineView, LoadReport};
@@ -8,32 +8,33 @@
 use luglink_types::{EngineId, Timestamp, ZoneName};
 use std::collections::BTreeMap;
 
-/// A replica as the configuration describes it.
+/// A replica in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaInfo {
     /// Identifier.
     pub engine: EngineId,
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
     /// Zone.
     pub zone: ZoneName,
 }
 
-/// Limits of a router.
+/// Configuration of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouterConfig {
-    /// How replicas are chosen.
+    /// Policy for the selection of replicas.
     pub policy: Policy,
-    /// Speeds of the pool's engines.
+    /// Cost model of the pool's engines.
     pub cost: CostModel,
     /// Ejection of failing replicas.
     pub health: HealthConfig,
-    /// Requests that one replica should have at the most; more wait at the daemon.
+    /// Maximum number of requests at one replica; further requests wait at the daemon.
     pub max_requests_per_replica: usize,
-    /// Blocks that are remembered of each replica's cache.
+    /// Maximum number of tracked blocks of each replica's cache.
     pub prefix_blocks_per_replica: usize,
-    /// Replicas whose cost is within this factor of the lowest are equally good; one of them
-    /// is drawn, so that daemons that saw the same stale report do not all choose the same.
+    /// Replicas whose cost is within this factor of the lowest cost count as equal. One of them is
+    /// selected at random, so that daemons with the same stale report do not all select the same
+    /// replica.
     pub equal_cost_factor: f64,
 }
 
@@ -53,53 +54,54 @@
 /// A request that needs a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
-    /// Blocks of the prompt.
+    /// Full blocks of the prompt.
     pub blocks: &'a [BlockHash],
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
     /// The replica that served the program's previous call.
     pub previous: Option<EngineId>,
-    /// Replicas that this request must not go to, because they have failed it.
+    /// Replicas that must not be selected, because they failed this request.
     pub excluded: &'a [EngineId],
 }
 
-/// The choice of a replica.
+/// A selected replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
     /// The replica.
     pub engine: EngineId,
-    /// Prompt tokens that it is believed to have cached.
+    /// Estimated number of prompt tokens in its cache.
     pub cached_tokens: u64,
     /// Predicted time to the last token, in seconds.
     pub predicted_seconds: f64,
 }
 
-/// Chooses replicas of one pool.
+/// Selects replicas of one pool.
 #[derive(Clone, Debug)]
 pub struct Router {
     config: RouterConfig,
     zone: ZoneName,
     engines: BTreeMap<EngineId, EngineView>,
-    next_in_turn: usize,
+    next_round_robin: usize,
 }
 
-/// A replica with much more than the average load is passed over by [`Policy::PrefixAware`].
+/// Maximum load of a replica that [`Policy::PrefixAware`] selects for its cached prefix, relative to
+/// the average load.
 const PREFIX_AWARE_LOAD_FACTOR: f64 = 1.25;
 
 impl Router {
-    /// A router without replicas.
+    /// Creates a router without replicas.
     #[must_use]
     pub fn new(config: RouterConfig, zone: ZoneName) -> Self {
         Self {
             config,
             zone,
             engines: BTreeMap::new(),
-            next_in_turn: 0,
+            next_round_robin: 0,
         }
     }
 
-    /// Takes the replicas that the configuration now has. What is known of those that stay is
-    /// kept; those that went get no new requests.
+    /// Replaces the replicas by those of the current configuration. The state of unchanged replicas
+    /// is kept. Removed replicas get no new requests.
     pub fn set_replicas(&mut self, replicas: &[ReplicaInfo]) {
         let blocks = self.config.prefix_blocks_per_replica;
         self.engines
@@ -115,12 +117,12 @@
         }
     }
 
-    /// The replicas.
+    /// Returns the replicas.
     pub fn replicas(&self) -> impl Iterator<Item = &ReplicaInfo> {
         self.engines.values().map(|engine| &engine.info)
     }
 
-    /// A replica's address.
+    /// Returns the address of a replica.
     #[must_use]
     pub fn address(&self, engine: EngineId) -> Option<&str> {
         self.engines
@@ -128,19 +130,19 @@
             .map(|view| view.info.address.as_str())
     }
 
-    /// Own requests at all replicas.
+    /// Returns the number of own requests at all replicas.
     #[must_use]
     pub fn own_requests(&self) -> usize {
         self.engines.values().map(EngineView::own_requests).sum()
     }
 
-    /// Whether any replica may get requests at all, busy or not.
+    /// Returns true if any replica accepts requests, even if it is at its limit.
     #[must_use]
     pub fn has_usable_replica(&self, now: Timestamp) -> bool {
         self.engines.values().any(|view| is_usable(view, now))
     }
 
-    /// Whether any replica outside `excluded` may get requests, busy or not.
+    /// Returns true if any replica outside `excluded` accepts requests, even if it is at its limit.
     #[must_use]
     pub fn has_usable_replica_besides(&self, excluded: &[EngineId], now: Timestamp) -> bool {
         self.engines
@@ -148,14 +150,14 @@
             .any(|view| is_usable(view, now) && !excluded.contains(&view.info.engine))
     }
 
-    /// Whether a replica takes no new requests.
+    /// Returns true if a replica accepts no new requests.
     #[must_use]
     pub fn is_draining(&self, engine: EngineId) -> bool {
         self.engines.get(&engine).is_some_and(|view| view.draining)
     }
 
-    /// Chooses a replica with room, or `None` when the request must wait. `random` decides
-    /// between equals.
+    /// Selects a replica that is below its limit; `None` if the request must wait. `random` selects
+    /// among equal replicas.
     pub fn choose(
         &mut self,
         request: &RouteRequest<'_>,
@@ -175,8 +177,8 @@
         }
         let chosen = match self.config.policy {
             Policy::RoundRobin => {
-                let view = candidates[self.next_in_turn % candidates.len()];
-                self.next_in_turn = self.next_in_turn.wrapping_add(1);
+                let view = candidates[self.next_round_robin % candidates.len()];
+                self.next_round_robin = self.next_round_robin.wrapping_add(1);
                 view
             }
             Policy::LeastLoaded => least_loaded(&candidates, random, now),
@@ -238,7 +240,7 @@
         own + view.delay_of_others_seconds(cost, uncached, now) + zone
     }
 
-    /// A request goes to a replica.
+    /// Handles the dispatch of a request to a replica.
     pub fn on_dispatch(
         &mut self,
         engine: EngineId,
@@ -252,14 +254,14 @@
         }
     }
 
-    /// A request's first token arrived.
+    /// Handles the first token of a request.
     pub fn on_first_token(&mut self, engine: EngineId, attempt: AttemptId) {
         if let Some(view) = self.engines.get_mut(&engine) {
             view.on_first_token(attempt);
         }
     }
 
-    /// A request succeeded.
+    /// Handles the success of a request.
     pub fn on_success(&mut self, engine: EngineId, attempt: AttemptId) {
         if let Some(view) = self.engines.get_mut(&engine)
             && view.on_end(attempt)
@@ -268,7 +270,7 @@
         }
     }
 
-    /// A request failed by the replica's fault.
+    /// Handles the failure of a request that was caused by the replica.
     pub fn on_failure(&mut self, engine: EngineId, attempt: AttemptId, now: Timestamp) {
         let ejected = self
             .engines
@@ -284,7 +286,7 @@
         }
     }
 
-    /// A request ended in a way that says nothing of the replica.
+    /// Handles the end of a request that says nothing about the replica, such as a cancellation.
     pub fn on_cancel(&mut self, engine: EngineId, attempt: AttemptId) {
         if let Some(view) = self.engines.get_mut(&engine)
             && view.on_end(attempt)
@@ -293,35 +295,35 @@
         }
     }
 
-    /// A load report arrived.
+    /// Handles a load report.
     pub fn on_report(&mut self, engine: EngineId, report: LoadReport, now: Timestamp) {
         if let Some(view) = self.engines.get_mut(&engine) {
             view.on_report(report, now);
         }
     }
 
-    /// A replica is leaving and gets no new requests, or is back.
+    /// Sets whether a replica is draining and gets no new requests.
     pub fn set_draining(&mut self, engine: EngineId, draining: bool) {
         if let Some(view) = self.engines.get_mut(&engine) {
             view.draining = draining;
         }
     }
 
-    /// A replica has stored blocks.
+    /// Handles the event that a replica has cached blocks.
     pub fn on_blocks_stored(&mut self, engine: EngineId, blocks: &[BlockHash]) {
         if let Some(view) = self.engines.get_mut(&engine) {
             view.on_blocks_stored(blocks);
         }
     }
 
-    /// A replica has given up blocks.
+    /// Handles the event that a replica has evicted blocks.
     pub fn on_blocks_removed(&mut self, engine: EngineId, blocks: &[BlockHash]) {
         if let Some(view) = self.engines.get_mut(&engine) {
             view.on_blocks_removed(blocks);
         }
     }
 
-    /// Nothing is known any more of a replica's cache.
+    /// Discards the estimated content of a replica's cache.
     pub fn forget_cache(&mut self, engine: EngineId) {
         if let Some(view) = self.engines.get_mut(&engine) {
             view.forget_cache();
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -1,12 +1,12 @@
-//! The part of a pool that one daemon talks to.
+//! Selection of the part of a pool that one daemon uses.
 
 use crate::router::ReplicaInfo;
 use luglink_types::{DaemonId, ZoneName};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Chooses at most `size` replicas: those of the daemon's own zone first, then others, each by
-/// rendezvous hashing. So daemons spread evenly over the replicas, and a replica that comes or
-/// goes changes at most one place of each daemon's subset.
+/// Selects at most `size` replicas by rendezvous hashing: those of the daemon's own zone first, then
+/// others. So daemons are distributed evenly over the replicas, and adding or removing a replica
+/// changes at most one entry of each daemon's subset.
 #[must_use]
 pub fn choose_subset(
     replicas: &[ReplicaInfo],
@@ -22,19 +22,19 @@
         })
         .collect();
     ranked.sort_by_key(|(other_zone, score, replica)| (*other_zone, *score, replica.engine));
-    // A zone can be lost: some places always go to the other zones.
+    // Some entries are always reserved for other zones, since a whole zone may fail.
     let local = ranked
         .iter()
         .filter(|(other_zone, _, _)| !other_zone)
         .count();
-    let reserved = (size / OTHER_ZONES_SHARE).min(ranked.len() - local);
-    let local_places = local.min(size.saturating_sub(reserved));
-    let near = ranked[..local].iter().take(local_places);
-    let far = ranked[local..].iter().take(size - local_places.min(size));
+    let reserved = (size / OTHER_ZONES_DIVISOR).min(ranked.len() - local);
+    let local_count = local.min(size.saturating_sub(reserved));
+    let near = ranked[..local].iter().take(local_count);
+    let far = ranked[local..].iter().take(size - local_count.min(size));
     near.chain(far)
         .map(|(_, _, replica)| (*replica).clone())
         .collect()
 }
 
-/// One place in this many is kept for replicas of other zones.
-const OTHER_ZONES_SHARE: usize = 4;
+/// One of this many entries is reserved for replicas of other zones.
+const OTHER_ZONES_DIVISOR: usize = 4;
