--- a/crates/edge/src/configuration.rs
+++ b/crates/edge/src/configuration.rs
@@ -1,87 +1,86 @@
-//! The configuration that operators put in force as one document.
+//! The configuration, which operators activate as one document.
 
 use crate::tenant::Tenant;
 use serde::{Deserialize, Serialize};
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// What may be repeated.
+/// Kind of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests that may run more than once.
     Safe,
-    /// Runs at most once for each request.
+    /// Requests that run at most once.
     Unsafe,
-    /// Answered by a series of events.
+    /// Requests that are answered by a stream of events.
     Streaming,
 }
 
-/// A share of a route's requests.
+/// A service that gets a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The service that gets it.
+    /// Name of the service.
     pub service: String,
-    /// Its size against the other targets'.
+    /// Its share, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go.
+/// Route of requests with one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
     pub name: String,
     /// Host that it serves.
     pub host: String,
-    /// Paths that it serves; begins and ends with a slash.
+    /// Prefix of the paths that it serves; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Kind of its requests.
     pub kind: RouteKind,
-    /// Longest time that a request is held, in milliseconds.
+    /// Timeout of a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is in time, in milliseconds.
+    /// Target latency of a response, in milliseconds.
     pub target_latency_ms: u64,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u8,
     /// Services that get its requests.
     pub targets: Vec<Target>,
-    /// Most replicas that one request may be sent to.
+    /// Maximum number of replicas that may run one request.
     pub max_attempts: u32,
-    /// Whether requests bring only what is new and name the turn they go on from.
+    /// True if requests contain only new input and refer to the previous turn.
     pub keeps_history: bool,
-    /// Time for which turns are kept, in milliseconds.
+    /// Time for which turns are stored, in milliseconds.
     pub retention_ms: u64,
-    /// Whether a stream may go on at another replica.
+    /// True if a stream can be resumed at another replica.
     pub resumable: bool,
-    /// Longest pause between events at which an answer is in time, in milliseconds, when the
-    /// operator names one.
+    /// Target for the pause between two events, in milliseconds, if the operator sets one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gap_aim_ms: Option<u64>,
-    /// Whether callers need no key where the configuration names tenants.
+    /// True if callers need no key even if the configuration has tenants.
     #[serde(default)]
     pub public: bool,
 }
 
 impl Route {
-    /// Longest time that a request is held.
+    /// Returns the timeout of a request.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 
-    /// Time within which an answer is in time.
+    /// Returns the target latency of a response.
     #[must_use]
     pub fn target_latency(&self) -> Duration {
         Duration::from_millis(self.target_latency_ms)
     }
 
-    /// Longest pause between events at which an answer is in time, when the operator names one.
+    /// Returns the target for the pause between two events, if the operator sets one.
     #[must_use]
     pub fn target_event_gap(&self) -> Option<Duration> {
         self.gap_aim_ms.map(Duration::from_millis)
     }
 
-    /// Whether a request may run more than once.
+    /// Returns true if a request may run more than once.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
@@ -92,40 +91,40 @@
     }
 }
 
-/// What a service's model engines are like.
+/// Parameters of a service's model engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests in a batch.
+    /// Maximum number of requests in a batch.
     pub slots: u32,
-    /// Tokens of memory for running requests and cached prompts.
+    /// Memory for running requests and cached prompts, in tokens.
     pub cache_tokens: u64,
-    /// Generated tokens in one event.
+    /// Number of generated tokens per event.
     pub tokens_per_event: u64,
 }
 
-/// A set of replicas.
+/// A service with a set of replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// Its name.
     pub name: String,
     /// Path of its health check.
     pub health_path: String,
-    /// Connections that one replica accepts from all gateways together.
+    /// Maximum number of connections of all gateways together to one replica.
     pub connection_limit: u32,
-    /// Set when its replicas are model engines.
+    /// Parameters of its engines, if its replicas are model engines.
     pub engine: Option<Engine>,
 }
 
-/// What callers may send, and for how long they may take or rest.
+/// Size limits and timeouts for callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time for the head of a request, in milliseconds.
+    /// Timeout for receiving a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time for which a connection may rest, in milliseconds.
+    /// Timeout of an idle connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -140,10 +139,10 @@
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// The operator's version.
+    /// Version number, set by the operator.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
@@ -151,13 +150,13 @@
     pub services: Vec<Service>,
     /// Limits for callers.
     pub limits: Limits,
-    /// Who may call; with none, everybody may and no key is looked at.
+    /// Tenants with their keys. Without tenants, no key is needed and keys are ignored.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
 }
 
 impl Configuration {
-    /// Names of all routes.
+    /// Returns the names of all routes.
     #[must_use]
     pub fn route_names(&self) -> HashSet<&str> {
         self.routes
@@ -166,7 +165,7 @@
             .collect()
     }
 
-    /// The service of that name.
+    /// Returns the service of the given name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers, replicas, operators and the platform spell things.
+//! Interface to the headers, paths and formats of callers, replicas, operators and the platform.
 
 use crate::configuration::Configuration;
 use crate::errors::DialectError;
@@ -12,58 +12,61 @@
 /// Names of the headers that a gateway reads or sets.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Identifier of a request; echoed in its answer.
+    /// Identifier of a request, echoed in the response.
     pub request_id: HeaderName,
-    /// Time that the caller will wait, in milliseconds.
+    /// Time that the caller waits for a response, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// The replica that alone may run the request.
+    /// The only replica that may run the request.
     pub expected_replica: HeaderName,
-    /// Set by a replica that did not run the request.
+    /// Set in the response of a replica that did not run the request.
     pub not_executed: HeaderName,
-    /// Signature of a replica's answer.
+    /// Signature of a replica's response.
     pub signature: HeaderName,
-    /// Program that a request belongs to.
+    /// Program of a request.
     pub program: HeaderName,
-    /// Turn that a turn goes on from.
+    /// Turn that the request continues.
     pub previous_turn: HeaderName,
-    /// Tokens that all turns of the program may generate together.
+    /// Maximum number of tokens that all turns of the program may generate together.
     pub token_budget: HeaderName,
-    /// Tokens of the prompt and the most to be generated, parted by a comma.
+    /// Number of prompt tokens and maximum number of generated tokens, separated by a comma.
     pub token_usage: HeaderName,
-    /// Time until a request's program should be over, in milliseconds.
+    /// Time until the deadline of the request's program, in milliseconds.
     pub program_deadline_ms: HeaderName,
-    /// Parts of the prompt in order, parted by commas, each an identifier in hex, a colon and its
-    /// tokens. The last one is the request's own or its program's.
+    /// Parts of the prompt in order, separated by commas. A part is a hexadecimal identifier, a
+    /// colon and its number of tokens. The last part belongs to the request or its program alone.
     pub prompt_parts: HeaderName,
-    /// Urgency at the replica; 0 comes first.
+    /// Priority at the replica; 0 is the highest.
     pub priority: HeaderName,
-    /// Last event that the receiver of a stream has.
+    /// Identifier of the last event that the receiver of a stream has.
     pub last_event_id: HeaderName,
-    /// Seconds after which to come back.
+    /// Time after which to retry, in seconds.
     pub retry_after: HeaderName,
-    /// Tells a replica for which tenant a request comes.
+    /// Tenant of a request, sent to replicas.
     pub tenant: HeaderName,
-    /// What a caller shows for its tenant.
+    /// Credential of a caller, with its scheme and key.
     pub credential: HeaderName,
-    /// The scheme before the key in it.
+    /// Scheme of the credential.
     pub credential_scheme: &'static str,
-    /// Headers that only the system sets: replicas act on them, so what a caller sends in them
-    /// never reaches one.
+    /// Headers that only the system sets. Replicas act on them, so values that callers send are
+    /// removed.
     pub reserved: Vec<HeaderName>,
 }
 
 impl HeaderNames {
-    /// The key that a request shows; none when it shows several or one of another scheme.
+    /// Returns the key of a request; `None` if there are several credentials, or one of another
+    /// scheme.
     #[must_use]
     pub fn secret<'headers>(&self, headers: &'headers HeaderMap) -> Option<&'headers str> {
-        let mut shown = headers.get_all(&self.credential).into_iter();
-        let only = shown.next().filter(|_| shown.next().is_none())?;
+        let mut credentials = headers.get_all(&self.credential).into_iter();
+        let only = credentials
+            .next()
+            .filter(|_| credentials.next().is_none())?;
         let (scheme, secret) = only.to_str().ok()?.trim().split_once(' ')?;
         let is_key = scheme.eq_ignore_ascii_case(self.credential_scheme);
         is_key.then(|| secret.trim())
     }
 
-    /// Takes off whatever a caller sent in headers that only the system sets.
+    /// Removes all headers that only the system sets.
     pub fn remove_reserved(&self, headers: &mut HeaderMap) {
         for name in &self.reserved {
             headers.remove(name);
@@ -74,78 +77,78 @@
 /// One page of the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BackendPage {
-    /// Replicas on it.
+    /// Replicas on the page.
     pub backends: Vec<Backend>,
-    /// Entries on it that name no replica to use.
+    /// Entries on the page that cannot be read.
     pub skipped_entries: SkippedEntries,
-    /// Names the page after it.
+    /// Token of the next page.
     pub next: Option<String>,
 }
 
-/// A caller's question where to go.
+/// A caller's request for the addresses of gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResolutionQuery {
-    /// The caller's zone, when it says so.
+    /// Zone of the caller, if it is given.
     pub zone: Option<String>,
 }
 
-/// What an operator asks.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorCall {
-    /// Puts a configuration in force.
+    /// Activates a configuration.
     PutConfiguration,
-    /// Reads the configuration in force.
+    /// Reads the active configuration.
     GetConfiguration,
-    /// Empties a turn store.
+    /// Starts the retirement of a turn store.
     StartRetirement(StoreName),
-    /// Asks how far that is.
+    /// Reads the state of a retirement.
     GetRetirement(StoreName),
 }
 
-/// How callers, replicas, operators and the platform spell things.
+/// Headers, paths and formats of callers, replicas, operators and the platform.
 pub trait Dialect: std::fmt::Debug + 'static {
-    /// Header names.
+    /// Returns the header names.
     fn headers(&self) -> &HeaderNames;
 
-    /// Reads a configuration.
+    /// Parses a configuration.
     ///
     /// # Errors
-    /// It cannot be read in full.
+    /// Returns an error if any part of it is invalid.
     fn configuration(&self, content: &[u8]) -> Result<Configuration, DialectError>;
 
-    /// Path and query of a page of the platform's list.
+    /// Returns the path and query of a page of the platform's list.
     fn list_path(&self, page: Option<&str>) -> String;
 
-    /// Reads a page of the platform's list. Entries that cannot be read are passed over.
+    /// Parses a page of the platform's list. Entries that cannot be read are skipped.
     ///
     /// # Errors
-    /// It is not such a page, or is cut short.
+    /// Returns an error if it is not a list page or is truncated.
     fn backend_page(&self, content: &[u8]) -> Result<BackendPage, DialectError>;
 
-    /// Path at which a replica reports its load.
+    /// Returns the path of a replica's load report.
     fn report_path(&self) -> &'static str;
 
-    /// Reads such a report.
+    /// Parses a replica's load report.
     ///
     /// # Errors
-    /// It cannot be read in full.
+    /// Returns an error if any part of it is invalid.
     fn replica_report(&self, content: &[u8]) -> Result<ReplicaReport, DialectError>;
 
-    /// Whether a path asks whether a gateway takes callers.
+    /// Returns true if the path is that of the readiness check.
     fn is_readiness(&self, path: &str) -> bool;
 
-    /// Reads a caller's question where to go; `None` when the path asks something else.
+    /// Parses a caller's request for gateways; `None` if the path is another one.
     fn resolution(&self, path: &str, query: &str) -> Option<ResolutionQuery>;
 
-    /// The answer to it.
+    /// Returns the body of the response to a request for gateways.
     fn resolution_answer(&self, gateways: &[SocketAddr], valid_for: Duration) -> Vec<u8>;
 
-    /// Reads what an operator asks; `None` when the path asks something else.
+    /// Parses a call of an operator; `None` if the path is another one.
     fn operator_call(&self, method: &http::Method, path: &str) -> Option<OperatorCall>;
 
-    /// The answer to a question how far a retirement is.
+    /// Returns the body of the response to a request for the state of a retirement.
     fn retirement_answer(&self, state: RetireState) -> Vec<u8>;
 
-    /// The body of a refusal.
+    /// Returns the body of an error response.
     fn problem(&self, detail: &str) -> Vec<u8>;
 }
--- a/crates/edge/src/errors.rs
+++ b/crates/edge/src/errors.rs
@@ -2,24 +2,24 @@
 
 use snafu::Snafu;
 
-/// A body cannot be understood.
+/// Failure to parse a body.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum DialectError {
-    /// It is not the expected format.
+    /// The body has another format.
     #[snafu(display("malformed {what}: {source}"))]
     Malformed {
-        /// What it should be.
+        /// Expected content.
         what: &'static str,
-        /// Where it goes wrong.
+        /// Cause.
         source: serde_json::Error,
     },
-    /// A value in it cannot be used.
+    /// A value is invalid.
     #[snafu(display("{field}: {reason}"))]
     Value {
-        /// Where it stands.
+        /// Path of the field.
         field: String,
-        /// Why not.
+        /// Cause.
         reason: String,
     },
 }
--- a/crates/edge/src/events.rs
+++ b/crates/edge/src/events.rs
@@ -1,32 +1,33 @@
-//! Splits a stream of server-sent events.
+//! Parser of server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
 /// One event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Its bytes, the empty line at its end included.
+    /// Bytes of the event, including the empty line at its end.
     pub raw: Bytes,
-    /// Its `id`.
+    /// Value of the `id` field.
     pub id: Option<String>,
-    /// Its `data` lines, joined by line feeds; `None` when there are none.
+    /// Values of the `data` fields, joined by line feeds; `None` if there are none.
     pub data: Option<Vec<u8>>,
 }
 
-/// Takes bytes as they arrive and gives out whole events.
+/// Splits a stream of bytes into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
+    /// Number of leading bytes of the buffer that contain no end of an event.
     searched: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         let raw = self.buffer.split_to(end).freeze();
@@ -34,13 +35,13 @@
         Some(parse(raw))
     }
 
-    /// Bytes of an event that has not ended.
+    /// Returns true if there are bytes of an incomplete event.
     #[must_use]
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Forgets an event that has not ended, as when its stream broke.
+    /// Discards an incomplete event, for example after its stream was interrupted.
     pub fn clear(&mut self) {
         self.buffer.clear();
         self.searched = 0;
@@ -61,7 +62,7 @@
             }
             position += 1;
         }
-        // The last two bytes may be the beginning of an end.
+        // The last two bytes may be the start of an event's end.
         self.searched = bytes.len().saturating_sub(2);
         None
     }
--- a/crates/edge/src/keyring.rs
+++ b/crates/edge/src/keyring.rs
@@ -1,4 +1,4 @@
-//! Which tenant a caller's key belongs to.
+//! Authentication of callers by API keys.
 
 use crate::configuration::{Configuration, Route};
 use crate::tenant::{KeyFingerprint, Tenant};
@@ -6,17 +6,17 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// For whom a request comes.
+/// Authenticated caller of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller {
-    /// The route or the configuration asks for no key.
+    /// Any caller, since the route or the configuration requires no key.
     Anyone,
-    /// The holder of the key.
+    /// The tenant that has the key.
     Tenant(Rc<Tenant>),
 }
 
 impl Caller {
-    /// The tenant, when there is one.
+    /// Returns the tenant, if there is one.
     #[must_use]
     pub fn tenant(&self) -> Option<&Tenant> {
         match self {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Rank of a request of this caller on a route; 0 is the highest.
+    /// Returns the priority of this caller's requests on a route; 0 is the highest.
     #[must_use]
     pub fn priority(&self, route: &Route) -> u8 {
         self.tenant()
@@ -34,64 +34,64 @@
     }
 }
 
-/// A request shows no key of the configuration in force.
+/// Failed authentication of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyError {
-    /// It shows none.
+    /// The request has no key.
     Missing,
-    /// It shows one that nobody holds.
+    /// The request has a key that belongs to no tenant.
     Unknown(KeyFingerprint),
 }
 
 /// The keys of one configuration.
 ///
-/// Keys are looked up by their SHA-256 and not compared themselves: how long a look-up takes
-/// depends on a digest that a caller cannot steer byte by byte, so it tells nothing of a key.
+/// Keys are looked up by their SHA-256 digest and not compared directly, to prevent timing attacks:
+/// the time of a look-up depends on a digest that a caller cannot choose byte by byte.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
     has_tenants: bool,
-    holders: HashMap<[u8; 32], Rc<Tenant>>,
+    tenants_by_digest: HashMap<[u8; 32], Rc<Tenant>>,
 }
 
 impl KeyRing {
-    /// The keys of a configuration.
+    /// Creates the key ring of a configuration.
     #[must_use]
     pub fn new(configuration: &Configuration) -> Self {
-        let mut holders = HashMap::new();
+        let mut tenants_by_digest = HashMap::new();
         for tenant in &configuration.tenants {
             let tenant = Rc::new(tenant.clone());
             for key in &tenant.keys {
-                holders.insert(digest(key.secret()), Rc::clone(&tenant));
+                tenants_by_digest.insert(digest(key.secret()), Rc::clone(&tenant));
             }
         }
         Self {
             has_tenants: !configuration.tenants.is_empty(),
-            holders,
+            tenants_by_digest,
         }
     }
 
-    /// Whether the configuration names tenants at all.
+    /// Returns true if the configuration has any tenants.
     #[must_use]
     pub fn has_tenants(&self) -> bool {
         self.has_tenants
     }
 
-    /// Whether a request on a route needs a key.
+    /// Returns true if requests on a route need a key.
     #[must_use]
     pub fn requires_key(&self, route: &Route) -> bool {
         self.has_tenants && !route.public
     }
 
-    /// For whom a request on `route` comes that shows `secret`.
+    /// Authenticates a request on `route` with the key `secret`.
     ///
     /// # Errors
-    /// The route asks for a key, and nobody holds this one.
+    /// Returns an error if the route requires a key, and the key is missing or unknown.
     pub fn caller(&self, route: &Route, secret: Option<&str>) -> Result<Caller, KeyError> {
         if !self.requires_key(route) {
             return Ok(Caller::Anyone);
         }
         let secret = secret.ok_or(KeyError::Missing)?;
-        match self.holders.get(&digest(secret)) {
+        match self.tenants_by_digest.get(&digest(secret)) {
             Some(tenant) => Ok(Caller::Tenant(Rc::clone(tenant))),
             None => Err(KeyError::Unknown(KeyFingerprint::of(secret))),
         }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,8 +1,8 @@
-//! What a gateway reads and checks of HTTP requests, as pure logic: which route a request takes, who
-//! sent it, what may be sent again, and what a configuration says.
+//! HTTP-level logic of a gateway without I/O: routing, authentication, retry decisions, and the
+//! configuration.
 //!
-//! How callers, replicas and the platform spell things is the job of a [`Dialect`]; nothing else
-//! here knows a header or a path.
+//! Header names, paths and formats of callers, replicas and the platform are defined by a
+//! [`Dialect`]; nothing else in this crate depends on them.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/edge/src/list_entries.rs
+++ b/crates/edge/src/list_entries.rs
@@ -1,31 +1,32 @@
-//! Reads a page of a list whose entries may come from other writers.
+//! Fault-tolerant parser of list pages whose entries may have other writers.
 //!
-//! One entry that cannot be read must not hide the replicas beside it. So a page is first cut into
-//! its entries, by brackets, commas and strings alone, and then each entry is read by itself. A
-//! page that is cut short, or is no list, stays an error: the list before it is better than a
-//! part of this one.
+//! One malformed entry must not make the other replicas of the page unavailable. So a page is first
+//! split into entries by brackets, commas and strings only, and then each entry is parsed
+//! separately. A page that is truncated, or is no list, is an error: the previous list is better
+//! than a part of this one.
 
 use crate::errors::{DialectError, MalformedSnafu};
 use serde::de::{DeserializeOwned, Error};
 use snafu::ResultExt;
 
-/// Longest name in an entry, in bytes. Names travel to every gateway; longer ones are not ours.
+/// Maximum length of a name in an entry, in bytes. Names are sent to every gateway, and valid ones
+/// are shorter.
 const MAX_NAME_BYTES: usize = 256;
 
-/// Longest reason that is kept, in characters: it may quote the entry.
+/// Maximum length of the stored reason, in characters. Reasons may quote the entry.
 const MAX_REASON_CHARACTERS: usize = 160;
 
-/// Entries that cannot be read.
+/// Entries that were skipped because they cannot be parsed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SkippedEntries {
-    /// How many.
+    /// Number of skipped entries.
     pub count: u32,
-    /// Why the first one cannot, shortened.
+    /// Reason for the first one, truncated.
     pub first_reason: Option<String>,
 }
 
 impl SkippedEntries {
-    fn note(&mut self, reason: &str) {
+    fn add(&mut self, reason: &str) {
         self.count = self.count.saturating_add(1);
         if self.first_reason.is_none() {
             self.first_reason = Some(reason.chars().take(MAX_REASON_CHARACTERS).collect());
@@ -33,31 +34,31 @@
     }
 }
 
-/// An entry of a list.
+/// Entry of a list.
 pub trait ListEntry: DeserializeOwned {
-    /// The names in it, all of which must be short.
+    /// Returns the names in the entry, whose length is limited.
     fn names(&self) -> Vec<&str>;
 }
 
 /// The entries of a page.
 #[derive(Clone, Debug)]
 pub struct ListEntries<T> {
-    /// Those that can be read, in their order.
+    /// Parsed entries in their order.
     pub entries: Vec<T>,
-    /// Those that cannot.
+    /// Entries that cannot be parsed.
     pub skipped_entries: SkippedEntries,
-    /// Names the page after this one.
+    /// Token of the next page.
     pub next: Option<String>,
 }
 
 impl<T: ListEntry> ListEntries<T> {
-    /// Reads a page: an object whose member `list` holds the entries, and whose member `next`,
-    /// unless it is absent or null, names the page after it.
+    /// Parses a page: an object whose member `list` has the entries, and whose member `next` is the
+    /// token of the next page; it is absent or null on the last page.
     ///
     /// # Errors
-    /// It is no such object.
+    /// Returns an error if the content is no such object.
     pub fn read(content: &[u8], list: &str, next: &str) -> Result<Self, DialectError> {
-        let malformed = || serde_json::Error::custom("a page without a list");
+        let malformed = || serde_json::Error::custom("the page has no list of entries");
         let members = elements(content, b'{', b'}').ok_or_else(malformed);
         let members = members.context(MalformedSnafu { what: "list" })?;
         let member = |name: &str| {
@@ -76,7 +77,7 @@
         for entry in entries {
             match read_entry(entry) {
                 Ok(entry) => page.entries.push(entry),
-                Err(reason) => page.skipped_entries.note(&reason),
+                Err(reason) => page.skipped_entries.add(&reason),
             }
         }
         Ok(page)
@@ -84,17 +85,17 @@
 }
 
 fn read_entry<T: ListEntry>(bytes: &[u8]) -> Result<T, String> {
-    // Also bytes of members that are not read: who wrote them wrote the whole entry.
+    // Checks the members that are not read too: invalid UTF-8 anywhere makes the entry suspect.
     let text = std::str::from_utf8(bytes).map_err(|error| error.to_string())?;
     let entry: T = serde_json::from_str(text).map_err(|error| error.to_string())?;
     let has_long_name = entry.names().iter().any(|name| name.len() > MAX_NAME_BYTES);
     match has_long_name {
-        true => Err(format!("a name of more than {MAX_NAME_BYTES} bytes")),
+        true => Err(format!("a name is longer than {MAX_NAME_BYTES} bytes")),
         false => Ok(entry),
     }
 }
 
-/// The key and the value of an object's member.
+/// Splits a member of an object into its key and value.
 fn key_and_value(member: &[u8]) -> Option<(String, &[u8])> {
     let member = member.trim_ascii_start();
     let end = string_end(member)?;
@@ -103,7 +104,7 @@
     Some((key, value))
 }
 
-/// Length of the string that the text begins with, its quotes included.
+/// Returns the length of the string at the start of the text, including its quotes.
 fn string_end(text: &[u8]) -> Option<usize> {
     if text.first() != Some(&b'"') {
         return None;
@@ -118,8 +119,8 @@
     }
 }
 
-/// The texts between the commas of an object or a list; `None` when the text is not one that is
-/// closed at its end.
+/// Splits an object or a list at its commas; `None` if the text is not a single object or list with
+/// its closing bracket.
 fn elements(text: &[u8], open: u8, close: u8) -> Option<Vec<&[u8]>> {
     let inner = text.trim_ascii().strip_prefix(&[open])?;
     let mut found = Vec::new();
--- a/crates/edge/src/own_dialect.rs
+++ b/crates/edge/src/own_dialect.rs
@@ -1,4 +1,4 @@
-//! luglink's own spelling, for deployments without a platform of their own.
+//! luglink's native dialect, for deployments without a platform of their own.
 
 use crate::configuration::Configuration;
 use crate::dialect::{BackendPage, Dialect, HeaderNames, OperatorCall, ResolutionQuery};
@@ -16,7 +16,7 @@
 const STORES_PATH: &str = "/v1/stores/";
 const RETIREMENT_SUFFIX: &str = "/retirement";
 
-/// luglink's own spelling.
+/// luglink's native dialect.
 #[derive(Clone, Debug)]
 pub struct LuglinkDialect {
     headers: HeaderNames,
@@ -54,7 +54,7 @@
     }
 }
 
-/// A replica in a list.
+/// Entry of a replica list.
 #[derive(Serialize, Deserialize)]
 struct ListedBackend {
     id: String,
@@ -63,7 +63,7 @@
     zone: String,
     slots: u32,
     draining: bool,
-    /// Unix millisecond of its start.
+    /// Start time in Unix milliseconds.
     #[serde(default)]
     started_ms: u64,
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// What a replica says of itself.
+/// Load report of a replica.
 #[derive(Serialize, Deserialize)]
 struct Report {
     running: u32,
@@ -178,9 +178,9 @@
     }
 
     fn operator_call(&self, method: &Method, path: &str) -> Option<OperatorCall> {
-        let reads = method == Method::GET;
+        let is_read = method == Method::GET;
         if path == CONFIGURATION_PATH {
-            return match reads {
+            return match is_read {
                 true => Some(OperatorCall::GetConfiguration),
                 false => Some(OperatorCall::PutConfiguration),
             };
@@ -189,7 +189,7 @@
             .strip_prefix(STORES_PATH)?
             .strip_suffix(RETIREMENT_SUFFIX)?;
         let name = StoreName(name.to_owned());
-        Some(match reads {
+        Some(match is_read {
             true => OperatorCall::GetRetirement(name),
             false => OperatorCall::StartRetirement(name),
         })
--- a/crates/edge/src/replica_report.rs
+++ b/crates/edge/src/replica_report.rs
@@ -1,25 +1,25 @@
-//! What a replica of a model engine says of itself.
+//! Load report of a model engine's replica.
 
 use luglink_fleet::Incarnation;
 
-/// What a replica of a model engine says of itself.
+/// Load report of a model engine's replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaReport {
-    /// Requests that it works on.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait in it.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Tokens of its memory that cannot give way.
+    /// Memory that cannot be evicted, in tokens.
     pub memory_used: u64,
-    /// Tokens of its memory.
+    /// Total memory, in tokens.
     pub memory_total: u64,
-    /// Its life.
+    /// Incarnation of the replica.
     pub incarnation: Incarnation,
 }
 
 impl ReplicaReport {
-    /// How full the replica is: its requests in shares of its slots, or the share of its memory
-    /// that is in use, whichever is higher. Above 1 requests wait.
+    /// Returns the utilization of the replica: the ratio of requests to slots or of used to total
+    /// memory, whichever is higher. Above 1, requests are queued.
     #[must_use]
     pub fn fullness(&self, slots: u32) -> f64 {
         let requests = f64::from(self.running + self.waiting) / f64::from(slots.max(1));
--- a/crates/edge/src/routing_table.rs
+++ b/crates/edge/src/routing_table.rs
@@ -1,17 +1,17 @@
-//! Which route a request takes.
+//! Lookup of the route of a request.
 
 use crate::configuration::{Configuration, Route};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Routes by host, the longest prefix first.
+/// Routes by host, longest path prefix first.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
     by_host: HashMap<String, Vec<Rc<Route>>>,
 }
 
 impl RoutingTable {
-    /// The table of a configuration.
+    /// Creates the table of a configuration.
     #[must_use]
     pub fn new(configuration: &Configuration) -> Self {
         let mut by_host: HashMap<String, Vec<Rc<Route>>> = HashMap::new();
@@ -28,7 +28,7 @@
         Self { by_host }
     }
 
-    /// The route of a request; `host` may carry a port.
+    /// Returns the route of a request; `host` may include a port.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let name = host.split(':').next().unwrap_or_default();
--- a/crates/edge/src/sending.rs
+++ b/crates/edge/src/sending.rs
@@ -1,39 +1,39 @@
-//! What an attempt to send a request came to, and whether it may be sent again.
+//! Outcome of an attempt to send a request, and whether the request may be retried.
 
 use crate::configuration::Route;
 
-/// How one send to one replica ended, when no answer can be given on.
+/// Outcome of an attempt at one replica that gave no usable response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// Nothing reached the replica.
+    /// The request did not reach the replica.
     NotSent,
-    /// The replica said that it did not run the request.
+    /// The replica reported that it did not run the request.
     Declined,
     /// The replica may have run the request.
     Uncertain,
 }
 
-/// Whether a request may be sent to another replica.
+/// Decision to retry a request at another replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Retryable {
-    /// It may.
+    /// The request may be retried.
     Yes,
-    /// It may not, and it has not run.
+    /// The request must not be retried, and has not run.
     NoNotRun,
-    /// It may not, and it may have run.
+    /// The request must not be retried, and may have run.
     NoMayHaveRun,
 }
 
 impl SendOutcome {
-    /// Whether the request may have run at the replica.
+    /// Returns true if the request may have run at the replica.
     #[must_use]
     pub fn may_have_run(self) -> bool {
         self == Self::Uncertain
     }
 
-    /// Whether a request of `route` may be sent again after this outcome. `runs` counts the
-    /// replicas that may have run it, this one included; only those count against the route's
-    /// limit, because a replica that declined has not been given the request.
+    /// Decides whether a request of `route` may be retried after this outcome. `runs` is the number
+    /// of replicas that may have run it, including this one. Only these count against the route's
+    /// limit, because a replica that declined the request did not run it.
     #[must_use]
     pub fn retryable(self, route: &Route, runs: u32) -> Retryable {
         if runs == 0 {
--- a/crates/edge/src/tenant.rs
+++ b/crates/edge/src/tenant.rs
@@ -1,18 +1,18 @@
-//! Who may call, with what keys, and how much.
+//! Tenants with their keys and quotas.
 
 use luglink_types::TenantName;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// A secret that a caller shows. Neither `Debug` nor `Display` tell it; logs name keys by their
+/// API key of a caller. The secret is not printed by `Debug`; logs identify keys by their
 /// [`KeyFingerprint`].
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// A key as its owner knows it.
+    /// Creates a key from its secret.
     #[must_use]
     pub fn new(secret: impl Into<String>) -> Self {
         Self(secret.into())
@@ -22,7 +22,7 @@
         &self.0
     }
 
-    /// What tells the key apart from others without telling it.
+    /// Returns the fingerprint, which identifies the key without revealing it.
     #[must_use]
     pub fn fingerprint(&self) -> KeyFingerprint {
         KeyFingerprint::of(&self.0)
@@ -35,13 +35,13 @@
     }
 }
 
-/// The first bytes of a key's SHA-256: enough to tell keys apart, the same on all machines, and
-/// of no use to a caller.
+/// The first bytes of a key's SHA-256 digest: enough to distinguish keys, the same on all machines,
+/// and useless for authentication.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyFingerprint([u8; 4]);
 
 impl KeyFingerprint {
-    /// The fingerprint of what a caller showed.
+    /// Returns the fingerprint of a secret.
     #[must_use]
     pub fn of(secret: &str) -> Self {
         let digest = Sha256::digest(secret.as_bytes());
@@ -63,26 +63,26 @@
     }
 }
 
-/// How many requests a tenant may make in the whole fleet.
+/// Rate limit of a tenant in the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Requests a second, above 0.
+    /// Requests per second, above 0.
     pub rate_per_s: f64,
-    /// Requests beyond the rate that may come at once.
+    /// Number of requests beyond the rate that may arrive at once.
     pub burst: f64,
 }
 
-/// Who calls and pays.
+/// A tenant, whose callers authenticate by API keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name, which replicas are told.
+    /// Its name, which is sent to replicas.
     pub name: TenantName,
-    /// Keys of its callers; without any, nobody calls for it.
+    /// Keys of its callers; without keys, the tenant can send no requests.
     pub keys: Vec<ApiKey>,
-    /// Rank of its requests, in place of their route's; 0 is the highest.
+    /// Priority of its requests, which overrides that of the route; 0 is the highest.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// Its limit; `None` for no limit.
+    /// Its rate limit; `None` for no limit.
     #[serde(default)]
     pub quota: Option<Quota>,
 }
--- a/crates/edge/src/violation.rs
+++ b/crates/edge/src/violation.rs
@@ -1,16 +1,16 @@
-//! Rules that a configuration must keep to come into force.
+//! Validation of configurations.
 
 use crate::configuration::{Configuration, Route};
 use crate::tenant::Tenant;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// A rule that a configuration breaks.
+/// A rule that a configuration violates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Where, as in `routes[3].timeout_ms`.
+    /// Path of the field, as in `routes[3].timeout_ms`.
     pub field: String,
-    /// What must hold there.
+    /// The violated rule.
     pub rule: &'static str,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl Configuration {
-    /// Every rule that the configuration breaks, in the order of its fields.
+    /// Returns all violated rules: of the version, then of services, routes and tenants.
     #[must_use]
     pub fn violations(&self) -> Vec<Violation> {
         let mut found = Vec::new();
@@ -36,16 +36,16 @@
 
     fn check_tenants(&self, found: &mut Vec<Violation>) {
         let mut names = BTreeSet::new();
-        let mut holders = BTreeMap::new();
+        let mut first_uses = BTreeMap::new();
         for (position, tenant) in self.tenants.iter().enumerate() {
             let at = |field: &str| format!("tenants[{position}].{field} of `{}`", tenant.name);
             check_tenant(tenant, &at, found);
             if !names.insert(&tenant.name) {
-                found.push(violation(at("name"), "must name each tenant once"));
+                found.push(violation(at("name"), "must be unique among tenants"));
             }
-            let is_shared = |key| *holders.entry(key).or_insert(position) != position;
+            let is_shared = |key| *first_uses.entry(key).or_insert(position) != position;
             if tenant.keys.iter().any(is_shared) {
-                found.push(violation(at("keys"), "must not be another tenant's too"));
+                found.push(violation(at("keys"), "must not be used by another tenant"));
             }
         }
     }
@@ -55,7 +55,7 @@
         for (position, service) in self.services.iter().enumerate() {
             if !names.insert(service.name.as_str()) {
                 let field = format!("services[{position}].name");
-                found.push(violation(field, "must name each service once"));
+                found.push(violation(field, "must be unique among services"));
             }
         }
     }
@@ -66,11 +66,11 @@
             .iter()
             .map(|service| service.name.as_str())
             .collect();
-        let mut places = BTreeSet::new();
+        let mut prefixes = BTreeSet::new();
         for (position, route) in self.routes.iter().enumerate() {
             let at = |field: &str| format!("routes[{position}].{field}");
-            if !places.insert((route.host.as_str(), route.path_prefix.as_str())) {
-                let rule = "must differ from every other route's host and prefix";
+            if !prefixes.insert((route.host.as_str(), route.path_prefix.as_str())) {
+                let rule = "must be unique among the routes of the host";
                 found.push(violation(at("path_prefix"), rule));
             }
             if !(route.path_prefix.starts_with('/') && route.path_prefix.ends_with('/')) {
@@ -85,11 +85,11 @@
 }
 
 fn check_tenant(tenant: &Tenant, at: &impl Fn(&str) -> String, found: &mut Vec<Violation>) {
-    // Replicas are told the name in a header, and stored turns are named by it.
+    // The name is sent to replicas in a header, and is part of the keys of stored turns.
     let name = tenant.name.as_str();
-    let is_sendable = !name.is_empty() && name.bytes().all(|byte| matches!(byte, 0x21..=0x7e));
-    if !is_sendable {
-        let rule = "must be of visible ASCII characters, at least one";
+    let is_valid = !name.is_empty() && name.bytes().all(|byte| matches!(byte, 0x21..=0x7e));
+    if !is_valid {
+        let rule = "must consist of visible ASCII characters and not be empty";
         found.push(violation(at("name"), rule));
     }
     if tenant.keys.iter().any(|key| key.secret().is_empty()) {
@@ -117,15 +117,12 @@
         .map(|target| u64::from(target.weight))
         .sum();
     if total == 0 {
-        let rule = "must name a service whose weight is above 0";
+        let rule = "must have a service with a weight above 0";
         found.push(violation(at("targets"), rule));
     }
     for target in &route.targets {
         if !services.contains(target.service.as_str()) {
-            found.push(violation(
-                at("targets"),
-                "must name services that are there",
-            ));
+            found.push(violation(at("targets"), "must refer to existing services"));
         }
     }
 }
--- a/crates/edge/tests/events.rs
+++ b/crates/edge/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events are split the same way however their bytes arrive.
+//! Parsing of server-sent events, whatever chunks their bytes arrive in.
 
 use luglink_edge::{EventSplitter, StreamEvent};
 use proptest::prelude::*;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn fields_are_read_and_bytes_kept() {
+fn fields_are_parsed_and_raw_bytes_are_kept() {
     let text = b"id: 7\ndata: one\ndata:two\n\nversions: 3\n\n";
     let (events, partial) = split(&[text]);
     assert!(!partial);
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn an_event_without_its_end_is_not_given_out() {
+fn an_incomplete_event_is_not_returned() {
     let (events, partial) = split(&[b"id: 1\ndata: a\n\nid: 2\ndata: b\n"]);
     assert_eq!(events.len(), 1);
     assert!(partial);
 }
 
 #[test]
-fn carriage_returns_are_taken() {
+fn lines_may_end_with_carriage_return_and_line_feed() {
     let (events, partial) = split(&[b"id: 1\r\ndata: a\r\n\r\n"]);
     assert_eq!(events[0].data.as_deref(), Some(&b"a"[..]));
     assert!(!partial);
@@ -42,7 +42,7 @@
 
 proptest! {
     #[test]
-    fn cuts_do_not_matter(
+    fn chunk_boundaries_do_not_matter(
         data in prop::collection::vec("[a-z ]{0,12}", 1..6),
         cuts in prop::collection::vec(any::<prop::sample::Index>(), 0..6),
     ) {
@@ -50,11 +50,11 @@
         for (number, data) in data.iter().enumerate() {
             text.extend_from_slice(format!("id: {number}\ndata: {data}\n\n").as_bytes());
         }
-        let mut places: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len())).collect();
-        places.extend([0, text.len()]);
-        places.sort_unstable();
+        let mut boundaries: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len())).collect();
+        boundaries.extend([0, text.len()]);
+        boundaries.sort_unstable();
         let parts: Vec<&[u8]> =
-            places.windows(2).map(|pair| &text[pair[0]..pair[1]]).collect();
+            boundaries.windows(2).map(|pair| &text[pair[0]..pair[1]]).collect();
         let (whole, _) = split(&[&text]);
         let (events, partial) = split(&parts);
         prop_assert_eq!(&events, &whole);
--- a/crates/edge/tests/list_entries.rs
+++ b/crates/edge/tests/list_entries.rs
@@ -1,17 +1,17 @@
-//! Lists with entries of other writers: whatever stands in them, the replicas beside them stay.
+//! Lists with malformed entries: no entry may make the other replicas of its page unavailable.
 
 use luglink_edge::{BackendPage, Dialect, LuglinkDialect};
 use proptest::prelude::*;
 
-const GOOD: &str = r#"{"id":"i-GOOD","service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"draining":false}"#;
+const GOOD_ENTRY: &str = r#"{"id":"i-GOOD","service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"draining":false}"#;
 
-/// Names of the good entries of a page that has `foreign` before, between and behind them.
-fn read_around(foreign: &[u8]) -> BackendPage {
+/// Parses a page that has the entry `foreign` before, between and after two valid entries.
+fn parse_page_with(foreign: &[u8]) -> BackendPage {
     let mut page = b"{\"replicas\":[".to_vec();
     for name in ["1", "2"] {
         page.extend(foreign);
         page.push(b',');
-        page.extend(GOOD.replace("GOOD", name).bytes());
+        page.extend(GOOD_ENTRY.replace("GOOD", name).bytes());
         page.push(b',');
     }
     page.extend(foreign);
@@ -19,55 +19,63 @@
     LuglinkDialect::default().backend_page(&page).unwrap()
 }
 
-fn holds_the_good_ones_only(page: &BackendPage) -> bool {
-    let names: Vec<&str> = page.backends.iter().map(|one| one.id.0.as_str()).collect();
+fn has_only_the_valid_entries(page: &BackendPage) -> bool {
+    let names: Vec<&str> = page
+        .backends
+        .iter()
+        .map(|backend| backend.id.0.as_str())
+        .collect();
     names == ["i-1", "i-2"]
         && page.next.as_deref() == Some("p-2")
         && page.skipped_entries.count == 3
 }
 
 fn without(field: &str) -> String {
-    let mut entry: serde_json::Value = serde_json::from_str(GOOD).unwrap();
+    let mut entry: serde_json::Value = serde_json::from_str(GOOD_ENTRY).unwrap();
     entry.as_object_mut().unwrap().remove(field);
     entry.to_string()
 }
 
 fn with(field: &str, value: serde_json::Value) -> String {
-    let mut entry: serde_json::Value = serde_json::from_str(GOOD).unwrap();
+    let mut entry: serde_json::Value = serde_json::from_str(GOOD_ENTRY).unwrap();
     entry[field] = value;
     entry.to_string()
 }
 
 #[test]
-fn entries_that_lack_a_field_name_no_replica() {
+fn entries_without_a_required_field_are_skipped() {
     for field in ["id", "service", "address", "zone", "slots", "draining"] {
-        let page = read_around(without(field).as_bytes());
-        assert!(holds_the_good_ones_only(&page), "{field}: {page:?}");
+        let page = parse_page_with(without(field).as_bytes());
+        assert!(has_only_the_valid_entries(&page), "{field}: {page:?}");
     }
 }
 
 #[test]
-fn entries_with_a_field_of_another_type_name_no_replica() {
+fn entries_with_a_field_of_another_type_are_skipped() {
     let values = ["null", "[]", "{}", "-1", "1.5", "[[\"]\"]]", "1e99"];
     for field in ["id", "service", "address", "zone", "slots", "draining"] {
         for value in values {
             let entry = with(field, serde_json::from_str(value).unwrap());
-            let page = read_around(entry.as_bytes());
-            assert!(holds_the_good_ones_only(&page), "{field}: {value}");
+            let page = parse_page_with(entry.as_bytes());
+            assert!(has_only_the_valid_entries(&page), "{field}: {value}");
         }
     }
 }
 
 #[test]
-fn a_field_that_is_not_read_may_be_anything() {
+fn an_unknown_field_may_have_any_value() {
     let entry = with("other", serde_json::json!([{"a": null}]));
-    assert_eq!(read_around(entry.as_bytes()).backends.len(), 5);
+    assert_eq!(parse_page_with(entry.as_bytes()).backends.len(), 5);
 }
 
 #[test]
-fn bytes_that_are_no_text_lose_their_entry_only() {
-    let hidden = GOOD.replace("\"zone\"", "\"other\":\"BYTES\",\"zone\"");
-    let entries = [GOOD.replace("\"z\"", "\"BYTES\""), hidden, "BYTES".into()];
+fn invalid_utf8_affects_only_its_own_entry() {
+    let hidden = GOOD_ENTRY.replace("\"zone\"", "\"other\":\"BYTES\",\"zone\"");
+    let entries = [
+        GOOD_ENTRY.replace("\"z\"", "\"BYTES\""),
+        hidden,
+        "BYTES".into(),
+    ];
     for entry in entries {
         let parts: Vec<&str> = entry.split("BYTES").collect();
         let foreign = [
@@ -76,27 +84,27 @@
             parts[1].as_bytes(),
         ]
         .concat();
-        let page = read_around(&foreign);
-        assert!(holds_the_good_ones_only(&page), "{entry}: {page:?}");
+        let page = parse_page_with(&foreign);
+        assert!(has_only_the_valid_entries(&page), "{entry}: {page:?}");
     }
 }
 
 #[test]
-fn huge_and_deep_entries_lose_themselves_only() {
+fn huge_or_deeply_nested_entries_are_skipped() {
     let deep = format!("{}{}", "[".repeat(100_000), "]".repeat(100_000));
-    let deep_field = GOOD.replace("\"z\"", &deep);
-    let huge = GOOD.replace("\"z\"", &format!("\"{}\"", "z".repeat(1 << 20)));
+    let deep_field = GOOD_ENTRY.replace("\"z\"", &deep);
+    let huge = GOOD_ENTRY.replace("\"z\"", &format!("\"{}\"", "z".repeat(1 << 20)));
     for foreign in [deep, deep_field, huge] {
-        let page = read_around(foreign.as_bytes());
-        assert!(holds_the_good_ones_only(&page));
+        let page = parse_page_with(foreign.as_bytes());
+        assert!(has_only_the_valid_entries(&page));
         assert!(page.skipped_entries.first_reason.unwrap().len() < 1_000);
     }
 }
 
 #[test]
-fn a_page_that_is_no_list_or_is_cut_short_is_an_error() {
+fn a_page_that_is_no_list_or_is_truncated_is_an_error() {
     let dialect = LuglinkDialect::default();
-    let whole = format!("{{\"replicas\":[{GOOD},{GOOD}],\"next\":null}}");
+    let whole = format!("{{\"replicas\":[{GOOD_ENTRY},{GOOD_ENTRY}],\"next\":null}}");
     assert_eq!(
         dialect
             .backend_page(whole.as_bytes())
@@ -107,17 +115,17 @@
     );
     for end in 0..whole.len() {
         let cut = &whole.as_bytes()[..end];
-        assert!(dialect.backend_page(cut).is_err(), "cut at {end}");
+        assert!(dialect.backend_page(cut).is_err(), "truncated at {end}");
     }
     let others = ["{}", "[]", "5", "{\"replicas\":{}}", "{\"replicas\":null}"];
     for other in others {
         assert!(dialect.backend_page(other.as_bytes()).is_err(), "{other}");
     }
-    let bad_next = format!("{{\"replicas\":[{GOOD}],\"next\":5}}");
+    let bad_next = format!("{{\"replicas\":[{GOOD_ENTRY}],\"next\":5}}");
     assert!(dialect.backend_page(bad_next.as_bytes()).is_err());
 }
 
-/// Any JSON value, some of them nested.
+/// Arbitrary JSON values, some of them nested.
 fn any_json() -> impl Strategy<Value = serde_json::Value> {
     let leaf = prop_oneof![
         Just(serde_json::Value::Null),
@@ -137,32 +145,32 @@
 
 proptest! {
     #[test]
-    fn the_others_hold_beside_any_value(value in any_json()) {
-        let page = read_around(value.to_string().as_bytes());
-        prop_assert!(holds_the_good_ones_only(&page));
+    fn valid_entries_are_kept_beside_any_value(value in any_json()) {
+        let page = parse_page_with(value.to_string().as_bytes());
+        prop_assert!(has_only_the_valid_entries(&page));
     }
 
     #[test]
-    fn the_others_hold_beside_any_value_in_any_field(
+    fn valid_entries_are_kept_beside_any_value_in_any_field(
         value in any_json(),
         field in prop::sample::select(vec!["id", "service", "address", "zone", "slots", "draining"]),
     ) {
-        let page = read_around(with(field, value).as_bytes());
-        let names: Vec<&str> = page.backends.iter().map(|one| one.id.0.as_str()).collect();
+        let page = parse_page_with(with(field, value).as_bytes());
+        let names: Vec<&str> = page.backends.iter().map(|backend| backend.id.0.as_str()).collect();
         prop_assert!(names.contains(&"i-1") && names.contains(&"i-2"));
         prop_assert_eq!(page.next.as_deref(), Some("p-2"));
     }
 
     #[test]
-    fn the_others_hold_beside_swapped_fields(order in Just(vec![0, 1, 2, 3, 4, 5]).prop_shuffle()) {
-        let entry: serde_json::Value = serde_json::from_str(GOOD).unwrap();
+    fn valid_entries_are_kept_beside_swapped_fields(order in Just(vec![0, 1, 2, 3, 4, 5]).prop_shuffle()) {
+        let entry: serde_json::Value = serde_json::from_str(GOOD_ENTRY).unwrap();
         let entry = entry.as_object().unwrap();
         let keys: Vec<&String> = entry.keys().collect();
         let values: Vec<&serde_json::Value> = entry.values().collect();
-        let swapped = keys.iter().zip(order).map(|(key, place)| ((*key).clone(), values[place].clone()));
+        let swapped = keys.iter().zip(order).map(|(key, index)| ((*key).clone(), values[index].clone()));
         let swapped: serde_json::Map<String, serde_json::Value> = swapped.collect();
-        let page = read_around(serde_json::Value::from(swapped).to_string().as_bytes());
-        let names: Vec<&str> = page.backends.iter().map(|one| one.id.0.as_str()).collect();
+        let page = parse_page_with(serde_json::Value::from(swapped).to_string().as_bytes());
+        let names: Vec<&str> = page.backends.iter().map(|backend| backend.id.0.as_str()).collect();
         prop_assert!(names.contains(&"i-1") && names.contains(&"i-2"));
     }
 }
--- a/crates/edge/tests/routing.rs
+++ b/crates/edge/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Routes, rules of configurations, splits, and when a request may be sent again.
+//! Routing, validation of configurations, traffic splits, and retry decisions.
 
 use luglink_edge::{
     Configuration, Limits, Retryable, Route, RouteKind, RoutingTable, SendOutcome, Service,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn every_broken_rule_is_named_with_its_field() {
+fn every_violated_rule_is_reported_with_its_field() {
     assert!(
         configuration(vec![route("a", "/x/")])
             .violations()
@@ -99,7 +99,8 @@
     assert_eq!(fields(&unversioned), ["version"]);
 }
 
-/// Requests of `count` that each service of a 90 to 10 split gets, drawn from `seed`.
+/// Returns the number of requests of `count` that each service of a 90 to 10 split gets, with draws
+/// that start at `seed`.
 fn drawn(count: usize, seed: u64) -> (usize, usize) {
     let mut split = route("a", "/x/");
     split.targets = vec![target("s", 90), target("t", 0), target("u", 10)];
@@ -114,21 +115,22 @@
     assert_eq!(
         of("s") + of("u"),
         count,
-        "a target without weight got a request"
+        "a target with weight 0 got a request"
     );
     (of("s"), of("u"))
 }
 
 #[test]
-fn a_split_gives_each_service_its_share() {
+fn a_split_follows_the_weights() {
     let (most, few) = drawn(1_000, 0);
     assert!(most.abs_diff(900) <= 2, "{most}");
     assert!(few.abs_diff(100) <= 2, "{few}");
 }
 
-/// Eight gateways that see 40 requests each are as close to the weights as one that sees all.
+/// Eight gateways with 40 requests each come as close to the weights as one gateway with all of
+/// them.
 #[test]
-fn a_split_is_even_though_each_gateway_sees_few_requests() {
+fn a_split_follows_the_weights_if_each_gateway_gets_few_requests() {
     for round in 0..50_u64 {
         let seeds = (0..8).map(|gateway| xxhash_rust::xxh3::xxh3_64(&[round as u8, gateway]));
         let few: usize = seeds.map(|seed| drawn(40, seed).1).sum();
@@ -137,19 +139,19 @@
 }
 
 #[test]
-fn each_route_is_split_by_itself_and_forgotten_with_its_configuration() {
+fn each_route_has_its_own_draws_until_it_is_removed_from_the_configuration() {
     let (first, second) = (route("a", "/x/"), route("a", "/y/"));
     let mut draws = SplitDraws::default();
-    let begun = draws.next(&first, 7);
-    assert_eq!(draws.next(&second, 7), begun);
-    assert_ne!(draws.next(&first, 7), begun);
+    let initial = draws.next(&first, 7);
+    assert_eq!(draws.next(&second, 7), initial);
+    assert_ne!(draws.next(&first, 7), initial);
     draws.keep_only(&configuration(vec![second.clone()]));
-    assert_eq!(draws.next(&first, 7), begun);
-    assert_ne!(draws.next(&second, 7), begun);
+    assert_eq!(draws.next(&first, 7), initial);
+    assert_ne!(draws.next(&second, 7), initial);
 }
 
 #[test]
-fn what_may_have_run_is_sent_again_only_when_it_may_be_repeated() {
+fn a_request_that_may_have_run_is_retried_only_if_it_is_repeatable() {
     let mut safe = route("a", "/x/");
     safe.max_attempts = 2;
     let mut unsafe_route = safe.clone();
@@ -166,7 +168,7 @@
     assert_eq!(uncertain.retryable(&stream, 1), Retryable::NoMayHaveRun);
     stream.resumable = true;
     assert_eq!(uncertain.retryable(&stream, 1), Retryable::Yes);
-    // A replica that declined was never given the request, whatever its kind.
+    // A replica that declined did not run the request, so any kind of request may be retried.
     assert_eq!(
         SendOutcome::Declined.retryable(&unsafe_route, 0),
         Retryable::Yes
@@ -175,7 +177,7 @@
         SendOutcome::NotSent.retryable(&unsafe_route, 0),
         Retryable::Yes
     );
-    // But a decline after a lost answer does not take back that it may have run.
+    // After a lost response the request may have run, even if the next replica declines it.
     assert_eq!(
         SendOutcome::Declined.retryable(&unsafe_route, 1),
         Retryable::NoMayHaveRun
@@ -184,7 +186,7 @@
 
 proptest! {
     #[test]
-    fn equal_draws_get_equal_services(draw: u64, weights in prop::collection::vec(0_u32..100, 1..5)) {
+    fn the_same_draw_gives_the_same_service(draw: u64, weights in prop::collection::vec(0_u32..100, 1..5)) {
         let mut split = route("a", "/x/");
         split.targets = weights
             .iter()
--- a/crates/edge/tests/tenants.rs
+++ b/crates/edge/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Who may call, and what never gets past a gateway.
+//! Authentication of callers, and headers that are not forwarded.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use luglink_edge::{
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_key_leads_to_its_tenant_and_to_no_other() {
+fn a_key_authenticates_its_tenant_and_no_other() {
     let ring = KeyRing::new(&with(vec![
         tenant("one", &["k1", "k2"]),
         tenant("two", &["k3"]),
@@ -61,7 +61,7 @@
     ]));
     let holder = |secret| match ring.caller(&route(false), Some(secret)) {
         Ok(Caller::Tenant(tenant)) => Some(tenant.name.0.clone()),
-        Ok(Caller::Anyone) => panic!("a key is asked for"),
+        Ok(Caller::Anyone) => panic!("the route requires a key"),
         Err(_) => None,
     };
     assert_eq!(holder("k1").as_deref(), Some("one"));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn public_routes_and_configurations_without_tenants_ask_for_no_key() {
+fn public_routes_and_configurations_without_tenants_require_no_key() {
     let guarded = KeyRing::new(&with(vec![tenant("one", &["k1"])]));
     assert_eq!(guarded.caller(&route(true), None), Ok(Caller::Anyone));
     assert_eq!(guarded.caller(&route(true), Some("k1")), Ok(Caller::Anyone));
@@ -84,20 +84,20 @@
 }
 
 #[test]
-fn the_rank_of_a_tenant_goes_before_that_of_the_route() {
-    let mut ranked = tenant("one", &["k1"]);
-    ranked.priority = Some(7);
-    let ring = KeyRing::new(&with(vec![ranked, tenant("two", &["k2"])]));
-    let rank = |secret| {
+fn the_priority_of_a_tenant_overrides_that_of_the_route() {
+    let mut prioritized = tenant("one", &["k1"]);
+    prioritized.priority = Some(7);
+    let ring = KeyRing::new(&with(vec![prioritized, tenant("two", &["k2"])]));
+    let priority = |secret| {
         let caller = ring.caller(&route(false), Some(secret)).unwrap();
         caller.priority(&route(false))
     };
-    assert_eq!((rank("k1"), rank("k2")), (7, 4));
+    assert_eq!((priority("k1"), priority("k2")), (7, 4));
     assert_eq!(Caller::Anyone.priority(&route(false)), 4);
 }
 
 #[test]
-fn tenants_that_cannot_be_told_apart_are_refused_and_no_key_is_told() {
+fn shared_keys_and_bad_names_are_violations_and_no_key_is_revealed() {
     let shared = rules(vec![tenant("one", &["secret"]), tenant("two", &["secret"])]);
     assert_eq!(shared.len(), 1);
     assert!(shared[0].contains("two"), "{shared:?}");
@@ -111,12 +111,12 @@
 }
 
 #[test]
-fn a_tenant_may_have_no_key_and_the_same_key_twice() {
+fn a_tenant_may_have_no_key_or_the_same_key_twice() {
     assert!(rules(vec![tenant("one", &[]), tenant("two", &["k", "k"])]).is_empty());
 }
 
 #[test]
-fn quotas_that_mean_nothing_are_refused() {
+fn invalid_quotas_are_violations() {
     let limited = |rate_per_s, burst| {
         let mut limited = tenant("one", &["k1"]);
         limited.quota = Some(Quota { rate_per_s, burst });
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_key_is_not_shown_by_debug() {
+fn debug_output_contains_no_key() {
     let key = ApiKey::new("very-secret");
     let shown = format!("{key:?} {:?}", with(vec![tenant("one", &["very-secret"])]));
     assert!(!shown.contains("very-secret"), "{shown}");
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_key_is_read_from_one_credential_of_the_right_scheme() {
+fn a_key_is_accepted_from_a_single_credential_of_the_right_scheme() {
     let dialect = LuglinkDialect::default();
     let secret = |values: &[&'static str]| {
         let entries: Vec<_> = values
@@ -172,7 +172,7 @@
 
 proptest! {
     #[test]
-    fn what_a_caller_sends_in_reserved_headers_is_taken_off(
+    fn reserved_headers_of_callers_are_removed(
         sent in prop::collection::vec((0_usize..6, any::<bool>(), "[a-z0-9]{0,8}"), 0..20),
     ) {
         let dialect = LuglinkDialect::default();
@@ -181,9 +181,9 @@
         let mut kept = 0;
         for (choice, is_upper, value) in sent {
             let name = names.reserved.get(choice).map_or("x-other", HeaderName::as_str);
-            let spelt = if is_upper { name.to_ascii_uppercase() } else { name.to_owned() };
+            let spelled = if is_upper { name.to_ascii_uppercase() } else { name.to_owned() };
             kept += usize::from(name == "x-other");
-            let name: HeaderName = spelt.parse().unwrap();
+            let name: HeaderName = spelled.parse().unwrap();
             headers.append(name, HeaderValue::from_str(&value).unwrap());
         }
         names.remove_reserved(&mut headers);
