--- a/crates/list-client/src/lib.rs
+++ b/crates/list-client/src/lib.rs
@@ -39,7 +39,7 @@
         /// Status of the response.
         status: StatusCode,
     },
-    /// A page was cut short or exceeds [`MAX_PAGE_BYTES`].
+    /// A page was cut short or exceeds the maximum size.
     #[snafu(display("the page is incomplete or longer than {MAX_PAGE_BYTES} bytes"))]
     Page,
     /// A page cannot be parsed.
@@ -60,7 +60,7 @@
         /// Time limit of the read.
         limit: Duration,
     },
-    /// The list has more than [`MAX_PAGES`] pages.
+    /// The list has more pages than the maximum.
     #[snafu(display("the list has more than {MAX_PAGES} pages"))]
     TooLong,
 }
