--- a/crates/fleet/src/advertised.rs
+++ b/crates/fleet/src/advertised.rs
@@ -47,8 +47,8 @@
 impl AdvertisedCount {
     /// Updates the number with the current load of the zone's gateways.
     pub fn follow(&mut self, load: &GatewayLoad, now: Timestamp) {
-        let need = load.requests_per_s() / REQUESTS_PER_S_PER_GATEWAY;
-        self.0.follow(need, HALF_LIFE, now);
+        let demand = load.requests_per_s() / REQUESTS_PER_S_PER_GATEWAY;
+        self.0.follow(demand, HALF_LIFE, now);
     }
 
     /// Returns the number of gateways to advertise.
@@ -61,8 +61,8 @@
 
 /// Returns the gateways to advertise to a caller in `zone`: `advertised` gateways of its zone, or
 /// gateways of all zones if its own has too few. The selection is stable over time, since callers
-/// leave a gateway that is no longer advertised, and the same on all members of a zone. Only if
-/// the zone needs as many as fit into a response, each `salt` gives another selection.
+/// leave a gateway that is no longer advertised, and the same on all members of a zone. Only if the
+/// count reaches the maximum of a response, the selection depends on `salt`.
 #[must_use]
 pub fn advertised_gateways(
     mut gateways: Vec<GatewayLocation>,
--- a/crates/fleet/src/backend_list.rs
+++ b/crates/fleet/src/backend_list.rs
@@ -48,12 +48,12 @@
         list
     }
 
-    /// The replicas, ordered by identifier.
+    /// Returns the replicas, ordered by identifier.
     pub fn backends(&self) -> impl ExactSizeIterator<Item = &Backend> {
         self.backends.values()
     }
 
-    /// Number of replicas.
+    /// Returns the number of replicas.
     #[must_use]
     pub fn len(&self) -> usize {
         self.backends.len()
@@ -277,7 +277,7 @@
 }
 
 impl BackendChanges {
-    /// Number of replicas in the changes.
+    /// Returns the number of replicas in the changes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.changed.len() + self.removed.len()
@@ -334,7 +334,7 @@
 }
 
 impl BackendPatch {
-    /// Number of replicas in the patch.
+    /// Returns the number of replicas in the patch.
     #[must_use]
     pub fn len(&self) -> usize {
         self.backends.len()
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of incarnations that the history always keeps, however short the list is.
+/// Number of incarnations that the history may always hold, however short the list is.
 const MIN_HISTORY_ENTRIES: usize = 64;
 
-/// The history keeps at most the number of replicas in the list divided by this.
+/// Ratio of the length of the list to the maximum number of incarnations in the history.
 const HISTORY_DIVISOR: usize = 2;
 
 /// One run of a replica, identified by its start time in Unix milliseconds; 0 if that is unknown.
--- a/crates/fleet/src/list_copy.rs
+++ b/crates/fleet/src/list_copy.rs
@@ -66,7 +66,7 @@
 }
 
 impl ListCopy {
-    /// The list.
+    /// Returns the list.
     #[must_use]
     pub fn list(&self) -> &Arc<BackendList> {
         &self.list
--- a/crates/fleet/src/list_history.rs
+++ b/crates/fleet/src/list_history.rs
@@ -8,11 +8,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// The history keeps at most the number of replicas in the list divided by this. A process whose
+/// Ratio of the length of the list to the maximum number of replicas in the history. A process whose
 /// list is older gets a patch by digest, which is then hardly larger.
 const HISTORY_DIVISOR: usize = 2;
 
-/// Number of changes that the history always keeps, however short the list is.
+/// Number of replicas that the history may always hold, however short the list is.
 const MIN_HISTORY_ENTRIES: usize = 64;
 
 /// A member's copy of the list, and the changes that led to it. It uses at most the memory of two
@@ -31,7 +31,7 @@
 }
 
 impl ListHistory {
-    /// The copy.
+    /// Returns the current copy.
     #[must_use]
     pub fn copy(&self) -> &ListCopy {
         &self.copy
--- a/crates/fleet/src/list_schedule.rs
+++ b/crates/fleet/src/list_schedule.rs
@@ -23,7 +23,8 @@
 /// Share of the platform's rate limit that all gateways together use while they reach no member.
 const GATEWAYS_RATE_SHARE: f64 = 0.35;
 
-/// Assumed number of replicas per page before the first read: the smallest number observed.
+/// Assumed number of replicas per page before the first read: the smallest page seen, so that the
+/// number of calls is not underestimated.
 const MIN_REPLICAS_PER_PAGE: usize = 50;
 
 /// Maximum number of times that the read interval is doubled after consecutive rejected reads.
