--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -53,8 +53,8 @@
 }
 
 impl HeaderNames {
-    /// Returns the key of a request; `None` if there are several credentials, or one of another
-    /// scheme.
+    /// Returns the key of a request; `None` if there is no credential, one of another scheme, or
+    /// more than one.
     #[must_use]
     pub fn secret<'headers>(&self, headers: &'headers HeaderMap) -> Option<&'headers str> {
         let mut credentials = headers.get_all(&self.credential).into_iter();
--- a/crates/edge/src/events.rs
+++ b/crates/edge/src/events.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Number of leading bytes of the buffer that contain no end of an event.
+    /// Number of leading bytes of the buffer in which no end of an event starts.
     searched: usize,
 }
 
--- a/crates/fleet-client/src/observer.rs
+++ b/crates/fleet-client/src/observer.rs
@@ -15,7 +15,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Request timeout in addition to twice the duration of the last answered request.
+/// Request timeout in addition to twice the duration of the last answered request, which includes
+/// the time for which a member holds a request until it has an update. A member that exceeds the
+/// timeout counts as unreachable.
 const BASE_REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Delay after a failed request.
@@ -33,8 +35,8 @@
 const LIST_SOURCES: usize = 2;
 
 /// Time without a response of a member that has a leader, after which more members are queried:
-/// longer than most elections, and less than half of the shortest bound on a configuration change
-/// (2 s).
+/// longer than most elections, and less than half of the shortest time limit for the propagation of
+/// a change (2 s).
 const ISOLATION_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Interval at which the set of queried members is updated.
@@ -281,7 +283,8 @@
         members.covers_whole_zone(ip, &self.info.zone)
     }
 
-    /// Processes whether the member has a leader, and its member list.
+    /// Updates the contact state and the member list from a response. A member without a leader is
+    /// avoided.
     fn process(&self, member: SocketAddr, update: &ObserverUpdate) {
         if update.fresh {
             self.fresh_at.set(Instant::now());
--- a/crates/fleet/src/advertised.rs
+++ b/crates/fleet/src/advertised.rs
@@ -59,10 +59,11 @@
     }
 }
 
-/// Returns the gateways to advertise to a caller in `zone`: `advertised` gateways of its zone, or
-/// gateways of all zones if its own has too few. The selection is stable over time, since callers
-/// leave a gateway that is no longer advertised, and the same on all members of a zone. Only if the
-/// count reaches the maximum of a response, the selection depends on `salt`.
+/// Returns the gateways to advertise to a caller in `zone`: `advertised` gateways of its zone. If
+/// the zone has too few, all of them are followed by gateways of other zones, up to the maximum of
+/// a response. The selection is stable over time, since callers leave a gateway that is no longer
+/// advertised, and the same on all members of a zone. It depends on `salt` only if the count
+/// reaches the maximum of a response: members with different salts then advertise other gateways.
 #[must_use]
 pub fn advertised_gateways(
     mut gateways: Vec<GatewayLocation>,
--- a/crates/fleet/src/list_history.rs
+++ b/crates/fleet/src/list_history.rs
@@ -15,8 +15,10 @@
 /// Number of replicas that the history may always hold, however short the list is.
 const MIN_HISTORY_ENTRIES: usize = 64;
 
-/// A member's copy of the list, and the changes that led to it. It uses at most the memory of two
-/// lists, regardless of the number of changes and of requests.
+/// A member's copy of the list, and the changes that led to it. The changes contain at most half as
+/// many replicas as the list, or a small fixed number if the list is short. The cache of merged
+/// changes adds to that: it has one entry for each earlier list that was requested, and is cleared
+/// when the list changes.
 #[derive(Clone, Debug, Default)]
 pub struct ListHistory {
     copy: ListCopy,
--- a/crates/fleet/src/list_schedule.rs
+++ b/crates/fleet/src/list_schedule.rs
@@ -3,8 +3,9 @@
 //! The platform limits the total rate of calls of all processes, and a list takes one call per
 //! page. So the leader reads for all processes. Without a leader, members read the list, and so do
 //! gateways that reach no member. Their intervals grow with their number, so that together they
-//! stay within a share of the platform's rate limit. A process that does not know their number, or
-//! has never had a list, never reads: it has no configuration either and serves no requests.
+//! stay within a share of the platform's rate limit. A member or gateway that does not know that
+//! number, or has never had a list, does not read: it has no configuration either and serves no
+//! requests.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
@@ -101,7 +102,7 @@
     }
 
     /// Returns true if the process must read now. `age` is the age of its current list, `draw` a
-    /// random number.
+    /// random number that differs between processes and calls.
     pub fn is_due(
         &mut self,
         reader: ListReader,
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -25,7 +25,8 @@
 const FAR_MEMBERS: usize = 1;
 
 /// Number of members in other zones that an observer queries while no queried member has a leader.
-/// Members that failed are avoided, so that the observer tries all members in turn.
+/// Members that do not answer or have no leader are avoided, so that the observer tries all members
+/// in turn.
 const FAR_MEMBERS_IN_ISOLATION: usize = 4;
 
 /// Number of members that send a new document to an observer without delay. A document may be
--- a/crates/fleet/src/registry.rs
+++ b/crates/fleet/src/registry.rs
@@ -28,7 +28,7 @@
         /// Identifier of the disk to which the state was copied.
         incarnation: u64,
     },
-    /// Marks a store without heartbeats as lost.
+    /// Marks a store as lost that has sent no heartbeat for a long time.
     Lose {
         /// Name of the store.
         name: StoreName,
--- a/crates/list-client/src/lib.rs
+++ b/crates/list-client/src/lib.rs
@@ -85,7 +85,7 @@
 pub struct FetchedList {
     /// The list.
     pub list: BackendList,
-    /// Number of pages, each of which took one call.
+    /// Number of pages. Each took one call, and further ones if it was rate-limited.
     pub pages: u32,
     /// Number of entries that were skipped because they cannot be read.
     pub skipped_entries: u32,
@@ -129,7 +129,7 @@
         let read = self.fetch_pages(dialect, limit, policy);
         let fetched = actix_rt::time::timeout(limit, read).await;
         let result = fetched.ok().context(TimeoutSnafu { limit });
-        // After an aborted read the connection may still receive a response.
+        // After an aborted read the connection may still receive a response: do not reuse it.
         if !matches!(result, Ok(Ok(_))) {
             self.connection = None;
         }
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -17,7 +17,8 @@
 /// wastes the engine time and the tokens that it has used.
 const RESERVE_RATIO: f64 = 0.3;
 
-/// Maximum number of recent views, from which the store derives since when it owns a tenant.
+/// Maximum number of recent views. From these, the store derives since when it owns a tenant for
+/// which it gets the first request.
 const MAX_VIEWS: usize = 16;
 
 /// Number of buckets from which full ones are dropped. A new bucket that replaces a dropped one is
@@ -132,8 +133,8 @@
 }
 
 impl OwnedTenant {
-    /// Applies the limit of a newer configuration. Other limits are ignored, since gateways that do
-    /// not have the newer configuration yet still send the old one.
+    /// Applies the limit of a newer configuration. A limit of an older one is ignored, since gateways
+    /// that do not have the newer configuration yet still send it.
     fn update_limit(&mut self, limit: Limit, tolerance: Tolerance, owners: usize, now: Timestamp) {
         if limit.version <= self.limit.version {
             return;
--- a/crates/quota/src/protocol.rs
+++ b/crates/quota/src/protocol.rs
@@ -7,8 +7,8 @@
 /// Relation of a request to its program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// The first request of a program. Refusing it wastes no work, while granting it takes a token
-    /// for each later request of the program too.
+    /// The first request of a program. Refusing it wastes no work, while granting it leads to later
+    /// requests of the program, each of which takes a token too.
     Begins,
     /// A later request of a program, or a request without a program.
     Continues,
--- a/crates/routing/src/cost.rs
+++ b/crates/routing/src/cost.rs
@@ -15,7 +15,7 @@
     pub waste_seconds_per_token: f64,
     /// Additional time of a request to another zone, in seconds.
     pub cross_zone_seconds: f64,
-    /// Expected number of generated tokens of an unknown request.
+    /// Expected number of generated tokens of a request; the same for all requests.
     pub expected_output_tokens: f64,
 }
 
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -47,7 +47,8 @@
     prefix: PrefixIndex,
     in_flight: BTreeMap<AttemptId, InFlight>,
     report: Option<(LoadReport, Timestamp)>,
-    /// Own requests in flight when the report arrived. The report counts them too.
+    /// Number of own requests in flight when the report arrived. The report counts them too, so they
+    /// are subtracted to get the requests of other daemons.
     own_at_report: u32,
 }
 
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -85,7 +85,7 @@
 }
 
 /// Maximum load of a replica that [`Policy::PrefixAware`] selects for its cached prefix, relative to
-/// the average load.
+/// the average load. One request is added, so that idle replicas can be selected.
 const PREFIX_AWARE_LOAD_FACTOR: f64 = 1.25;
 
 impl Router {
