--- a/crates/edge/src/configuration.rs
+++ b/crates/edge/src/configuration.rs
@@ -53,8 +53,8 @@
     pub retention_ms: u64,
     /// True if a stream can be resumed at another replica.
     pub resumable: bool,
-    /// Maximum gap between two events of a response that is in time, in milliseconds, if the operator
-    /// sets one.
+    /// Maximum gap between two events of a response that is in time, in milliseconds, if the
+    /// operator sets one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gap_aim_ms: Option<u64>,
     /// True if callers need no key even if the configuration has tenants.
@@ -75,8 +75,8 @@
         Duration::from_millis(self.target_latency_ms)
     }
 
-    /// Returns the maximum gap between two events of a response that is in time, if the operator sets
-    /// one.
+    /// Returns the maximum gap between two events of a response that is in time, if the operator
+    /// sets one.
     #[must_use]
     pub fn target_event_gap(&self) -> Option<Duration> {
         self.gap_aim_ms.map(Duration::from_millis)
--- a/crates/edge/src/list_entries.rs
+++ b/crates/edge/src/list_entries.rs
@@ -1,4 +1,4 @@
-//! Fault-tolerant parser of list pages whose entries may have other writers.
+//! Fault-tolerant parser of list pages whose entries may be written by other systems.
 //!
 //! One malformed entry must not make the other replicas of the page unavailable. So a page is first
 //! split into entries by brackets, commas and strings only, and then each entry is parsed
@@ -36,7 +36,7 @@
 
 /// Entry of a list.
 pub trait ListEntry: DeserializeOwned {
-    /// Returns the names in the entry, whose length is limited.
+    /// Returns the names in the entry. An entry with a name that is too long is skipped.
     fn names(&self) -> Vec<&str>;
 }
 
@@ -52,8 +52,8 @@
 }
 
 impl<T: ListEntry> ListEntries<T> {
-    /// Parses a page: an object whose member `list` has the entries, and whose member `next` is the
-    /// token of the next page; it is absent or null on the last page.
+    /// Parses a page: an object whose member `list` contains the entries, and whose member `next`
+    /// is the token of the next page; it is absent or null on the last page.
     ///
     /// # Errors
     /// Returns an error if the content is no such object.
@@ -119,8 +119,8 @@
     }
 }
 
-/// Splits an object or a list at its commas; `None` if the text is not a single object or list with
-/// its closing bracket.
+/// Splits an object or a list into its elements, at the commas outside of nested values and
+/// strings. Returns `None` if the text is not a single object or list with its closing bracket.
 fn elements(text: &[u8], open: u8, close: u8) -> Option<Vec<&[u8]>> {
     let inner = text.trim_ascii().strip_prefix(&[open])?;
     let mut found = Vec::new();
--- a/crates/edge/src/split.rs
+++ b/crates/edge/src/split.rs
@@ -3,9 +3,9 @@
 use crate::configuration::{Configuration, Route, Target};
 use std::collections::HashMap;
 
-/// 2^64 divided by the golden ratio. Its multiples modulo 2^64 are a low-discrepancy sequence: after
-/// any number of steps, the number of values in each part of the range differs from the expected
-/// one by no more than a step or two.
+/// 2^64 divided by the golden ratio. Its multiples modulo 2^64 are a low-discrepancy sequence:
+/// after any number of steps, the number of values in each part of the range differs from the
+/// expected one by no more than a step or two.
 const GOLDEN_RATIO_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// Returns the target for `draw`, with the whole range divided among the targets by weight.
@@ -37,8 +37,8 @@
 }
 
 impl SplitDraws {
-    /// Returns the next draw of a route. `seed` is the start value for a new route. It should differ
-    /// between gateways, so that they do not all start with the same service.
+    /// Returns the next draw of a route. `seed` is the start value for a new route. It should
+    /// differ between gateways, so that they do not all start with the same service.
     pub fn next(&mut self, route: &Route, seed: u64) -> u64 {
         let last = self.last.entry(route.name.clone()).or_insert(seed);
         *last = last.wrapping_add(GOLDEN_RATIO_STEP);
--- a/crates/edge/tests/list_entries.rs
+++ b/crates/edge/tests/list_entries.rs
@@ -145,13 +145,13 @@
 
 proptest! {
     #[test]
-    fn valid_entries_are_kept_beside_any_value(value in any_json()) {
+    fn valid_entries_are_kept_next_to_any_value(value in any_json()) {
         let page = parse_page_with(value.to_string().as_bytes());
         prop_assert!(has_only_the_valid_entries(&page));
     }
 
     #[test]
-    fn valid_entries_are_kept_beside_any_value_in_any_field(
+    fn valid_entries_are_kept_next_to_any_value_in_any_field(
         value in any_json(),
         field in prop::sample::select(vec!["id", "service", "address", "zone", "slots", "draining"]),
     ) {
@@ -162,7 +162,7 @@
     }
 
     #[test]
-    fn valid_entries_are_kept_beside_swapped_fields(order in Just(vec![0, 1, 2, 3, 4, 5]).prop_shuffle()) {
+    fn valid_entries_are_kept_next_to_swapped_fields(order in Just(vec![0, 1, 2, 3, 4, 5]).prop_shuffle()) {
         let entry: serde_json::Value = serde_json::from_str(GOOD_ENTRY).unwrap();
         let entry = entry.as_object().unwrap();
         let keys: Vec<&String> = entry.keys().collect();
--- a/crates/fleet-client/src/observer.rs
+++ b/crates/fleet-client/src/observer.rs
@@ -107,7 +107,7 @@
     /// Avoided members, with the end of the avoidance.
     avoided: RefCell<BTreeMap<SocketAddr, Instant>>,
     /// Time of the last response of a member that has a leader.
-    fresh_at: Cell<Instant>,
+    leader_contact_at: Cell<Instant>,
     tasks: RefCell<BTreeMap<SocketAddr, actix_rt::task::JoinHandle<()>>>,
 }
 
@@ -126,7 +126,7 @@
             seeds: RefCell::new(config.seeds.into_iter().collect()),
             members: RefCell::default(),
             avoided: RefCell::default(),
-            fresh_at: Cell::new(Instant::now()),
+            leader_contact_at: Cell::new(Instant::now()),
             tasks: RefCell::default(),
         });
         observer.query_planned();
@@ -191,7 +191,7 @@
     }
 
     fn contact(&self) -> Contact {
-        match self.fresh_at.get().elapsed() < ISOLATION_TIMEOUT {
+        match self.leader_contact_at.get().elapsed() < ISOLATION_TIMEOUT {
             true => Contact::Established,
             false => Contact::Lost,
         }
@@ -226,7 +226,7 @@
                 }
                 None => {
                     if is_reachable {
-                        tracing::warn!(%member, "control member unreachable");
+                        tracing::warn!(%member, "failed to query control member");
                     }
                     is_reachable = false;
                     self.avoid(member);
@@ -235,7 +235,7 @@
                 }
             }
         }
-        tracing::info!(%member, "control member no longer observed");
+        tracing::info!(%member, "stopped observing control member");
         self.tasks.borrow_mut().remove(&member);
     }
 
@@ -287,7 +287,7 @@
     /// avoided.
     fn process(&self, member: SocketAddr, update: &ObserverUpdate) {
         if update.fresh {
-            self.fresh_at.set(Instant::now());
+            self.leader_contact_at.set(Instant::now());
             self.avoided.borrow_mut().remove(&member);
         } else {
             self.avoid(member);
--- a/crates/fleet-client/tests/observer.rs
+++ b/crates/fleet-client/tests/observer.rs
@@ -28,7 +28,7 @@
     /// It answers and has no leader.
     Stale,
     /// It does not answer.
-    Silent,
+    Unresponsive,
 }
 
 /// A member that answers requests with the member list.
@@ -73,7 +73,7 @@
             self.immediate_requests
                 .set(self.immediate_requests.get() + 1);
         }
-        if self.behaviour.get() == Behaviour::Silent {
+        if self.behaviour.get() == Behaviour::Unresponsive {
             return;
         }
         let list = self.list.borrow().clone();
@@ -221,11 +221,13 @@
 }
 
 #[actix_rt::test]
-async fn members_that_are_silent_or_have_no_leader_are_replaced() {
+async fn members_that_do_not_answer_or_have_no_leader_are_replaced() {
     let fleet = Fleet::start(16).await;
     let _observer = fleet.observe(gateway());
     fleet.wait_for("a few members", is_usual_selection).await;
-    fleet.members[NEAR[0]].behaviour.set(Behaviour::Silent);
+    fleet.members[NEAR[0]]
+        .behaviour
+        .set(Behaviour::Unresponsive);
     fleet.members[NEAR[1]].behaviour.set(Behaviour::Stale);
     let far = |queried: &BTreeSet<usize>| {
         let far = queried.iter().filter(|number| *number % ZONES.len() != 0);
@@ -246,11 +248,11 @@
         member.behaviour.set(Behaviour::Stale);
     }
     let tried = RefCell::new(BTreeSet::<usize>::new());
-    let everyone = |queried: &BTreeSet<usize>| {
+    let has_tried_all = |queried: &BTreeSet<usize>| {
         tried.borrow_mut().extend(queried);
         tried.borrow().len() == fleet.members.len()
     };
-    fleet.wait_for("all members in turn", everyone).await;
+    fleet.wait_for("all members in turn", has_tried_all).await;
     // Once a queried member has a leader, the observer queries a few members again.
     for member in &fleet.members {
         member.behaviour.set(Behaviour::Fresh);
--- a/crates/fleet/src/backend_list.rs
+++ b/crates/fleet/src/backend_list.rs
@@ -23,7 +23,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct BackendList {
     backends: BTreeMap<BackendId, Backend>,
-    /// Sum of the hashes of all replicas, updated incrementally in any order.
+    /// Sum of the hashes of all replicas. It does not depend on their order, so that a change of
+    /// one replica updates it.
     sum: u64,
     /// Sum of the hashes of all known incarnations.
     incarnation_sum: u64,
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -12,7 +12,7 @@
 /// Number of incarnations that the history may always hold, however short the list is.
 const MIN_HISTORY_ENTRIES: usize = 64;
 
-/// Ratio of the length of the list to the maximum number of incarnations in the history.
+/// The history holds at most one incarnation per this number of replicas in the list.
 const HISTORY_DIVISOR: usize = 2;
 
 /// One run of a replica, identified by its start time in Unix milliseconds; 0 if that is unknown.
--- a/crates/fleet/src/list_copy.rs
+++ b/crates/fleet/src/list_copy.rs
@@ -49,7 +49,7 @@
     pub fingerprint: u64,
     /// Time since it was read from the platform.
     pub age: Duration,
-    /// Difference to the requester's list.
+    /// Update from the requester's list to this one.
     pub update: BackendUpdate,
 }
 
@@ -57,9 +57,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct ListCopy {
     list: Arc<BackendList>,
-    /// When the list was read from the platform; `None` if there is no list yet.
+    /// Time at which the list was read from the platform; `None` if there is no list yet.
     seen: Option<Timestamp>,
-    /// True if a member did not know the fingerprint, so that the next request has the digest.
+    /// True if a member did not know the fingerprint, so that the next request contains the digest.
     sends_digest: bool,
     /// True if a patch did not fit, so that the full list is needed.
     needs_full_list: bool,
@@ -72,7 +72,8 @@
         &self.list
     }
 
-    /// Returns when the list was read from the platform; `None` if there is no list yet.
+    /// Returns the time at which the list was read from the platform; `None` if there is no list
+    /// yet.
     #[must_use]
     pub fn seen(&self) -> Option<Timestamp> {
         self.seen
@@ -130,7 +131,7 @@
             }
             BackendUpdate::Changes(changes) => {
                 // Changes to a list that was replaced in the meantime are ignored; the next request
-                // has the fingerprint of the current list.
+                // contains the fingerprint of the current list.
                 let is_applied = Arc::make_mut(&mut self.list).apply(&changes);
                 is_applied.then(|| {
                     self.mark_current(seen);
--- a/crates/fleet/src/list_history.rs
+++ b/crates/fleet/src/list_history.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Ratio of the length of the list to the maximum number of replicas in the history. A process whose
-/// list is older gets a patch by digest, which is then hardly larger.
+/// The history holds at most one changed replica per this number of replicas in the list. A process
+/// whose list is older gets a patch by digest, which is then hardly larger.
 const HISTORY_DIVISOR: usize = 2;
 
 /// Number of replicas that the history may always hold, however short the list is.
--- a/crates/fleet/src/list_schedule.rs
+++ b/crates/fleet/src/list_schedule.rs
@@ -1,4 +1,4 @@
-//! Which process reads the platform's list of replicas, and when.
+//! Schedule by which processes read the platform's list of replicas.
 //!
 //! The platform limits the total rate of calls of all processes, and a list takes one call per
 //! page. So the leader reads for all processes. Without a leader, members read the list, and so do
@@ -13,7 +13,7 @@
 /// Share of the platform's rate limit that the leader uses, unless its list would become stale.
 const LEADER_RATE_SHARE: f64 = 0.1;
 
-/// Maximum interval between two reads of the leader, as a ratio of the age at which a list is
+/// Maximum interval between two reads of the leader, as a fraction of the age at which a list is
 /// stale. The rest is left for a read, an election and the transfer to the last gateway, so that a
 /// draining replica is known everywhere in time even if the leader fails between two reads.
 const MAX_LEADER_INTERVAL_RATIO: f64 = 0.45;
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -1,9 +1,9 @@
 //! The list of control members, and the selection of the members that an observer queries.
 //!
 //! If every process queried every member, the number of requests would grow with the product of
-//! both. So an observer queries a few: some in its own zone, to avoid traffic between zones, and one
-//! in another zone, so that it keeps one when all members of its zone fail. Turn stores query the
-//! leader too, which must receive the presence of every store; gateways, which are far more
+//! both. So an observer queries a few: some in its own zone, to avoid traffic between zones, and
+//! one in another zone, so that it keeps one when all members of its zone fail. Turn stores query
+//! the leader too, which must receive the presence of every store; gateways, which are far more
 //! numerous, do not. Members that do not answer or have lost their leader are replaced by others.
 //! While an observer reaches no member with a leader, it queries a few more at a time.
 
@@ -16,9 +16,9 @@
 /// little, and each member is a larger part of the redundancy.
 const MAX_MEMBERS_TO_QUERY_ALL: usize = 6;
 
-/// Maximum number of members in its own zone that an observer queries. Members of a zone that has
-/// more exchange the gateways that report to them, because callers leave a gateway that the next
-/// member does not advertise.
+/// Maximum number of members in its own zone that an observer queries. If a zone has more, its
+/// members send each other the gateways that report to them, so that all of them advertise the same
+/// gateways: callers leave a gateway that the next member does not advertise.
 pub const MAX_NEAR_MEMBERS: usize = 4;
 
 /// Number of members in other zones that an observer queries.
--- a/crates/fleet/src/replica_stats.rs
+++ b/crates/fleet/src/replica_stats.rs
@@ -1,7 +1,7 @@
 //! Statistics of replicas, reported by gateways and summed over a zone.
 //!
 //! A single gateway gets a few responses from each replica in several seconds, too few to detect a
-//! straggler in time. All gateways of a zone together get several per second. Each gateway sends
+//! slow replica in time. All gateways of a zone together get several per second. Each gateway sends
 //! its statistics with its heartbeat. The members of its zone receive the reports of all gateways
 //! and return the sums.
 
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -59,8 +59,8 @@
             .filter(|(_, member)| matches!(member.state, StoreState::Active | StoreState::Joining))
     }
 
-    /// Returns true if the store with the disk `incarnation` holds all records that it owns, so that
-    /// its response that a record does not exist can be trusted.
+    /// Returns true if the store with the disk `incarnation` holds all records that it owns, so
+    /// that its response that a record does not exist can be trusted.
     #[must_use]
     pub fn is_authoritative(&self, name: &StoreName, incarnation: u64) -> bool {
         self.members.get(name).is_some_and(|member| {
--- a/crates/fleet/src/zone_stats.rs
+++ b/crates/fleet/src/zone_stats.rs
@@ -57,7 +57,7 @@
 struct AgedReport<'table> {
     replica_stats: &'table StatsReport,
     age: Duration,
-    /// Age up to which the weights were already reduced.
+    /// Age of the report for which its current weights were computed.
     weighted_at: Duration,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl StatsTable {
-    /// Sets whether there are gateways in the zone that report to other members only.
+    /// Sets whether some gateways of the zone report to other members only.
     pub fn set_has_neighbours(&mut self, has_neighbours: bool) {
         self.has_neighbours = has_neighbours;
     }
--- a/crates/fleet/tests/list_schedule.rs
+++ b/crates/fleet/tests/list_schedule.rs
@@ -19,9 +19,9 @@
 struct Process {
     reader: ListReader,
     schedule: ListReadSchedule,
-    /// When its list was read from the platform.
+    /// Time at which its list was read from the platform.
     seen: Option<Timestamp>,
-    /// When its current read began, and the number of pages left.
+    /// Start time of its current read, and the number of pages left.
     in_progress: Option<(Timestamp, u32)>,
 }
 
--- a/crates/list-client/src/lib.rs
+++ b/crates/list-client/src/lib.rs
@@ -34,13 +34,17 @@
         source: SendError,
     },
     /// The platform rejected the request, for example because of its rate limit.
-    #[snafu(display("the platform rejected the list request with status {status}"))]
+    #[snafu(display(
+        "the platform rejected the request for the replica list with status {status}"
+    ))]
     Rejected {
         /// Status of the response.
         status: StatusCode,
     },
     /// A page was cut short or exceeds the maximum size.
-    #[snafu(display("the page is incomplete or longer than {MAX_PAGE_BYTES} bytes"))]
+    #[snafu(display(
+        "a page of the replica list is incomplete or longer than {MAX_PAGE_BYTES} bytes"
+    ))]
     Page,
     /// A page cannot be parsed.
     #[snafu(display("{source}"), context(false))]
@@ -49,19 +53,19 @@
         source: DialectError,
     },
     /// The request cannot be built.
-    #[snafu(display("failed to build the list request: {source}"))]
+    #[snafu(display("failed to build the request for the replica list: {source}"))]
     Request {
         /// Cause.
         source: hyper::http::Error,
     },
     /// The list was not read in time.
-    #[snafu(display("the list was not read within {limit:?}"))]
+    #[snafu(display("the replica list was not read within {limit:?}"))]
     Timeout {
         /// Time limit of the read.
         limit: Duration,
     },
     /// The list has more pages than the maximum.
-    #[snafu(display("the list has more than {MAX_PAGES} pages"))]
+    #[snafu(display("the replica list has more than {MAX_PAGES} pages"))]
     TooLong,
 }
 
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -15,10 +15,10 @@
 //! gateway holds tokens that could be lost or used late, and losing an owner loses only its part of
 //! the limit.
 //!
-//! Owners change with the store view. Two rules prevent that the parts then exceed the limit:
+//! Owners change with the store view. Two rules prevent the parts from exceeding the limit then:
 //!
 //! - An owner grants no tokens after [`LEADER_CONTACT_TIMEOUT`] without a response of a control
-//!   member that has a leader. The leader replaces a silent store later than that.
+//!   member that has a leader. The leader replaces a store without heartbeats later than that.
 //! - A new owner of a tenant starts with a nearly empty bucket, because the previous one may just
 //!   have granted all its tokens.
 #![forbid(unsafe_code)]
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 /// Time for which a store grants tokens after the last response of a control member that has a
-/// leader. The leader replaces a store after 2 s of silence at the earliest, counted from a request
-/// that the store sent up to half a second before that response.
+/// leader. The leader replaces a store after 2 s without a request at the earliest, counted from a
+/// request that the store sent up to half a second before that response.
 pub const LEADER_CONTACT_TIMEOUT: Duration = Duration::from_millis(1_400);
 
 /// Part of a bucket that is reserved for programs that have started: refusing a program halfway
@@ -133,7 +133,7 @@
 }
 
 impl OwnedTenant {
-    /// Applies the limit of a newer configuration. A limit of an older one is ignored, since gateways
+    /// Applies the limit of a newer configuration. A limit of an older one is ignored: gateways
     /// that do not have the newer configuration yet still send it.
     fn update_limit(&mut self, limit: Limit, tolerance: Tolerance, owners: usize, now: Timestamp) {
         if limit.version <= self.limit.version {
--- a/crates/quota/tests/invariant.rs
+++ b/crates/quota/tests/invariant.rs
@@ -79,9 +79,9 @@
     /// The process of a store is killed and restarts immediately.
     Restart(usize),
     /// A gateway stops receiving views.
-    Deafen(usize),
+    StopViews(usize),
     /// The gateway receives views again.
-    Hear(usize),
+    ResumeViews(usize),
     /// No event for this many steps.
     Calm(u32),
 }
@@ -91,8 +91,8 @@
         6 => (1_u32..12).prop_map(Event::Ask),
         1 => (0..STORES).prop_map(Event::Cut),
         1 => (0..STORES).prop_map(Event::Heal),
-        1 => (0..GATEWAYS).prop_map(Event::Deafen),
-        1 => (0..GATEWAYS).prop_map(Event::Hear),
+        1 => (0..GATEWAYS).prop_map(Event::StopViews),
+        1 => (0..GATEWAYS).prop_map(Event::ResumeViews),
         1 => (1_u32..30).prop_map(Event::Calm),
     ]
 }
@@ -122,7 +122,7 @@
     view: StoreView,
     store_epochs: [u64; STORES],
     gateway_views: Vec<StoreView>,
-    is_deaf: [bool; GATEWAYS],
+    are_views_stopped: [bool; GATEWAYS],
     granted: Vec<Timestamp>,
 }
 
@@ -138,13 +138,13 @@
             store_epochs: [0; STORES],
             gateway_views: vec![first.clone(); GATEWAYS],
             view: first,
-            is_deaf: [false; GATEWAYS],
+            are_views_stopped: [false; GATEWAYS],
             granted: Vec::new(),
         }
     }
 
-    /// Advances by 100 ms: the leader answers connected stores, and replaces silent ones while
-    /// fewer than `OWNERS - 1` are lost.
+    /// Advances by 100 ms: the leader answers connected stores, and replaces a store that timed out
+    /// if fewer than `OWNERS - 1` are lost.
     fn step(&mut self) {
         self.now = self.now.plus(Duration::from_millis(100));
         for store in 0..STORES {
@@ -166,7 +166,7 @@
             }
         }
         for gateway in 0..GATEWAYS {
-            if !self.is_deaf[gateway] {
+            if !self.are_views_stopped[gateway] {
                 self.gateway_views[gateway] = self.view.clone();
             }
         }
@@ -175,8 +175,8 @@
     fn change_view(&mut self) {
         let before = self.is_writable;
         for store in 0..STORES {
-            let silence = self.now.since(self.last_request[store]);
-            if !self.is_writable[store] && silence < STORE_TIMEOUT {
+            let elapsed = self.now.since(self.last_request[store]);
+            if !self.is_writable[store] && elapsed < STORE_TIMEOUT {
                 self.is_writable[store] = true;
             }
         }
@@ -185,13 +185,13 @@
             .iter()
             .filter(|is_writable| !**is_writable)
             .count();
-        let silent = (0..STORES).find(|store| {
+        let timed_out = (0..STORES).find(|store| {
             self.is_writable[*store] && self.now.since(self.last_request[*store]) >= STORE_TIMEOUT
         });
         if lost < OWNERS - 1
-            && let Some(silent) = silent
+            && let Some(timed_out) = timed_out
         {
-            self.is_writable[silent] = false;
+            self.is_writable[timed_out] = false;
         }
         if before != self.is_writable {
             self.view = view(self.view.epoch + 1, &self.is_writable);
@@ -227,8 +227,8 @@
                 self.owners[*store] = owner(*store);
                 self.store_epochs[*store] = 0;
             }
-            Event::Deafen(gateway) => self.is_deaf[*gateway] = true,
-            Event::Hear(gateway) => self.is_deaf[*gateway] = false,
+            Event::StopViews(gateway) => self.are_views_stopped[*gateway] = true,
+            Event::ResumeViews(gateway) => self.are_views_stopped[*gateway] = false,
             Event::Calm(steps) => (0..*steps).for_each(|_| self.step()),
         }
         self.step();
--- a/crates/routing/src/engine.rs
+++ b/crates/routing/src/engine.rs
@@ -47,8 +47,8 @@
     prefix: PrefixIndex,
     in_flight: BTreeMap<AttemptId, InFlight>,
     report: Option<(LoadReport, Timestamp)>,
-    /// Number of own requests in flight when the report arrived. The report counts them too, so they
-    /// are subtracted to get the requests of other daemons.
+    /// Number of own requests in flight when the report arrived. The report counts them too, so
+    /// they are subtracted to get the requests of other daemons.
     own_at_report: u32,
 }
 
--- a/crates/routing/src/health.rs
+++ b/crates/routing/src/health.rs
@@ -38,8 +38,8 @@
 }
 
 impl Health {
-    /// Returns true if requests may be sent to the replica. After an ejection, one request at a time
-    /// probes it.
+    /// Returns true if requests may be sent to the replica. After an ejection, one request at a
+    /// time probes it.
     #[must_use]
     pub fn admits(&self, now: Timestamp) -> bool {
         match self.ejected_until {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -84,8 +84,9 @@
     next_round_robin: usize,
 }
 
-/// Maximum load of a replica that [`Policy::PrefixAware`] selects for its cached prefix, relative to
-/// the average load. One request is added, so that idle replicas can be selected.
+/// Maximum load of a replica that [`Policy::PrefixAware`] selects for its cached prefix, relative
+/// to the average load. One request is added, so that small differences at a low load do not
+/// exclude a replica.
 const PREFIX_AWARE_LOAD_FACTOR: f64 = 1.25;
 
 impl Router {
--- a/crates/routing/src/subset.rs
+++ b/crates/routing/src/subset.rs
@@ -4,9 +4,9 @@
 use luglink_types::{DaemonId, ZoneName};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Selects at most `size` replicas by rendezvous hashing: those of the daemon's own zone first, then
-/// others. So daemons are distributed evenly over the replicas, and adding or removing a replica
-/// changes at most one entry of each daemon's subset.
+/// Selects at most `size` replicas by rendezvous hashing: those of the daemon's own zone first,
+/// then others. So daemons are distributed evenly over the replicas, and adding or removing a
+/// replica changes at most one entry of each daemon's subset.
 #[must_use]
 pub fn choose_subset(
     replicas: &[ReplicaInfo],
