--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -19,8 +19,8 @@
 use luglink_control::{ControlConfig, ControlNode, ManagedConfig, Request as ControlRequest};
 use luglink_edge::Dialect;
 use luglink_fleet::ListReadLimits;
-use luglink_http::{ServeOptions, serve, stopper};
-use luglink_settings::{FleetSettings, ManagedSettings};
+use luglink_http::{ServeOptions, serve, stop_channel};
+use luglink_settings::{FleetSettings, ManagedMemberSettings};
 use luglink_storage::FileDisk;
 use luglink_types::MemberId;
 use rand::RngCore;
@@ -47,7 +47,7 @@
     /// Settings of all processes of the fleet.
     pub fleet: FleetSettings,
     /// Settings of the control members.
-    pub member: ManagedSettings,
+    pub member: ManagedMemberSettings,
 }
 
 /// A running member.
@@ -177,9 +177,9 @@
 
 fn serve_options() -> ServeOptions {
     ServeOptions {
-        header_bytes: 16 << 10,
-        idle: CONNECTION_IDLE_TIMEOUT,
-        unread: None,
+        max_header_bytes: 16 << 10,
+        idle_timeout: CONNECTION_IDLE_TIMEOUT,
+        write_stall_timeout: None,
     }
 }
 
@@ -197,7 +197,7 @@
         metrics: metrics.clone(),
     };
     let handler = Rc::new(move |request: Request<Incoming>| service.clone().handle(request));
-    let (_, signal) = stopper();
+    let (_, signal) = stop_channel();
     actix_rt::spawn(serve(listener, serve_options, signal, handler));
 }
 
@@ -217,7 +217,7 @@
         metrics: metrics.clone(),
     };
     let handler = Rc::new(move |request: Request<Incoming>| service.clone().handle(request));
-    let (_, signal) = stopper();
+    let (_, signal) = stop_channel();
     actix_rt::spawn(serve(listener, serve_options, signal, handler));
 }
 
--- a/crates/control-server/src/metrics.rs
+++ b/crates/control-server/src/metrics.rs
@@ -35,7 +35,8 @@
             |name: &str, help: &str, label: &str| registry.labelled_counter(name, help, label);
         Ok(Self {
             operator_calls: labelled("operator_calls_total", "Operators' calls", "status")?,
-            operator_seconds: registry.seconds("operator_seconds", "Time to answer operators")?,
+            operator_seconds: registry
+                .seconds_histogram("operator_seconds", "Time to answer operators")?,
             resolutions: labelled("resolutions_total", "Answers where to go", "status")?,
             list_reads: labelled("member_list_reads_total", "Looks at the list", "end")?,
             skipped_entries: registry.counter(
--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -119,7 +119,7 @@
             backends: list,
             members: MembersStamp::NEWEST,
         },
-        sends_document_at_once: false,
+        wants_document_at_once: false,
         is_counted_here: false,
     }));
     let parts = RequestParts {
@@ -172,7 +172,7 @@
 
 /// Sends a report without waiting for the response. A lost report is replaced by the next one.
 fn send_report(link: &RequestClient, body: Vec<u8>) {
-    if !link.tell(body) {
+    if !link.send_one_way(body) {
         tracing::debug!(address = %link.address(), "cannot send a report to a member of the zone");
     }
 }
--- a/crates/control/src/group.rs
+++ b/crates/control/src/group.rs
@@ -101,7 +101,7 @@
                 continue;
             };
             let command: LoggedCommand = decode("a logged command", bytes)?;
-            let applied = self.state_machine.apply(entry.at, &command);
+            let applied = self.state_machine.apply(entry.appended_at, &command);
             if let Some(pending) = waiting {
                 let response = if pending.term == entry.term {
                     response_of(applied)
--- a/crates/daemon-server/src/metrics.rs
+++ b/crates/daemon-server/src/metrics.rs
@@ -42,9 +42,10 @@
                 "Prompt tokens that engines found in their caches",
             )?,
             refusals: registry.labelled_counter("refusals_total", "Requests refused", "code")?,
-            call_seconds: registry.seconds("call_seconds", "Time from a call to its answer")?,
+            call_seconds: registry
+                .seconds_histogram("call_seconds", "Time from a call to its answer")?,
             first_token_seconds: registry
-                .seconds("first_token_seconds", "Time from a call to its first token")?,
+                .seconds_histogram("first_token_seconds", "Time from a call to its first token")?,
             queued_calls: registry.gauge("queued_calls", "Calls that wait for an engine")?,
             active_calls: registry.gauge("active_calls", "Calls accepted and not answered")?,
             held_programs: registry.gauge("held_programs", "Programs owned by this daemon")?,
--- a/crates/gateway-server/src/metrics.rs
+++ b/crates/gateway-server/src/metrics.rs
@@ -103,15 +103,16 @@
             )?,
             load_view_replicas: registry
                 .gauge("load_view_replicas", "Replicas in the zone's load view")?,
-            answer_seconds: registry.seconds("answer_seconds", "Time to an answer")?,
-            expectation_error_seconds: registry.seconds(
+            answer_seconds: registry.seconds_histogram("answer_seconds", "Time to an answer")?,
+            expectation_error_seconds: registry.seconds_histogram(
                 "expectation_error_seconds",
                 "Difference between the expected and the measured time to a first event",
             )?,
             expected_seconds: registry
-                .seconds("expected_seconds", "Expected time to a first event")?,
-            reserve_seconds: registry.seconds("reserve_seconds", "Time to reserve tokens")?,
-            keep_seconds: registry.seconds("keep_seconds", "Time to store a turn")?,
+                .seconds_histogram("expected_seconds", "Expected time to a first event")?,
+            reserve_seconds: registry
+                .seconds_histogram("reserve_seconds", "Time to reserve tokens")?,
+            keep_seconds: registry.seconds_histogram("keep_seconds", "Time to store a turn")?,
             unknown_keys: registry.labelled_counter(
                 "unknown_keys_total",
                 "Requests without a known key",
@@ -123,7 +124,7 @@
                 "reason",
             )?,
             quota_seconds: registry
-                .seconds("quota_seconds", "Time to get a decision on a quota")?,
+                .seconds_histogram("quota_seconds", "Time to get a decision on a quota")?,
             moved: registry.labelled_counter("moves_total", "Streams moved", "route")?,
             kept: registry.labelled_counter("moves_kept_total", "Slow streams kept", "route")?,
             too_late_to_move: registry.labelled_counter(
@@ -136,7 +137,8 @@
                 "Streams refused because no replica could answer in time",
                 "route",
             )?,
-            move_seconds: registry.seconds("move_seconds", "Time waited before a move")?,
+            move_seconds: registry
+                .seconds_histogram("move_seconds", "Time waited before a move")?,
             hedges: registry.labelled_counter(
                 "hedges_total",
                 "Requests hedged to a second replica",
--- a/crates/gateway-server/src/quota.rs
+++ b/crates/gateway-server/src/quota.rs
@@ -161,8 +161,8 @@
             };
             match answer {
                 Some(Some(QuotaResponse::Granted)) => return Verdict::Granted,
-                Some(Some(QuotaResponse::Denied { come_back_ms })) => {
-                    let wait = Duration::from_millis(come_back_ms);
+                Some(Some(QuotaResponse::Denied { retry_delay_ms })) => {
+                    let wait = Duration::from_millis(retry_delay_ms);
                     retry_delay = Some(retry_delay.map_or(wait, |known: Duration| known.min(wait)));
                 }
                 Some(Some(QuotaResponse::NotOwner) | None) => {}
--- a/crates/gateway-server/src/server.rs
+++ b/crates/gateway-server/src/server.rs
@@ -10,7 +10,9 @@
 use hyper::body::Incoming;
 use luglink_edge::{Dialect, Limits};
 use luglink_fleet_client::Observer;
-use luglink_http::{Abort, Body, ServeOptions, StopSignal, Stopper, empty_body, serve, stopper};
+use luglink_http::{
+    Abort, Body, ServeOptions, StopHandle, StopSignal, empty_body, serve, stop_channel,
+};
 use luglink_telemetry::milliseconds;
 use rand::RngCore;
 use snafu::ResultExt;
@@ -41,7 +43,7 @@
     /// Address for metrics; `None` if they are not served.
     pub metrics_address: Option<SocketAddr>,
     gateway: Rc<Gateway>,
-    stopper: Stopper,
+    stop_handle: StopHandle,
     signal: StopSignal,
     observer: Rc<Observer<Gateway>>,
 }
@@ -65,7 +67,7 @@
     let seed = rand::rng().next_u64();
     tracing::info!(name = config.name, zone = config.zone, %address, "gateway started");
     let gateway = Rc::new(Gateway::new(config, dialect, metrics, seed));
-    let (stopper, signal) = stopper();
+    let (stop_handle, signal) = stop_channel();
     serve_callers(&gateway, callers, signal.clone());
     serve_readiness(&gateway, readiness);
     actix_rt::spawn(list::keep_current(Rc::clone(&gateway)));
@@ -75,7 +77,7 @@
         address,
         metrics_address,
         gateway,
-        stopper,
+        stop_handle,
         signal,
         observer,
     })
@@ -96,10 +98,12 @@
                 .in_force()
                 .map_or(Limits::default(), |in_force| in_force.configuration.limits);
             ServeOptions {
-                header_bytes: limits.max_header_bytes,
+                max_header_bytes: limits.max_header_bytes,
                 // The HTTP library counts the idle time and the time to receive a head together.
-                idle: Duration::from_millis(limits.idle_timeout_ms + limits.header_timeout_ms),
-                unread: features.held_bytes().then_some(UNREAD_CONNECTION_TIMEOUT),
+                idle_timeout: Duration::from_millis(
+                    limits.idle_timeout_ms + limits.header_timeout_ms,
+                ),
+                write_stall_timeout: features.held_bytes().then_some(UNREAD_CONNECTION_TIMEOUT),
             }
         }
     };
@@ -112,9 +116,9 @@
 
 fn readiness_options() -> ServeOptions {
     ServeOptions {
-        header_bytes: 16 << 10,
-        idle: READINESS_IDLE_TIMEOUT,
-        unread: None,
+        max_header_bytes: 16 << 10,
+        idle_timeout: READINESS_IDLE_TIMEOUT,
+        write_stall_timeout: None,
     }
 }
 
@@ -124,7 +128,7 @@
         let gateway = Rc::clone(&gateway);
         async move { Ok::<_, Abort>(readiness_response(&gateway, &request)) }
     });
-    let (_, signal) = stopper();
+    let (_, signal) = stop_channel();
     actix_rt::spawn(serve(listener, readiness_options, signal, handler));
 }
 
@@ -157,7 +161,7 @@
             "gateway stopping"
         );
         actix_rt::time::sleep(STOP_GRACE_PERIOD).await;
-        self.stopper.stop();
+        self.stop_handle.stop();
         while started_at.elapsed() < self.gateway.config.stop_timeout {
             if self.gateway.in_flight.get() == 0 && self.signal.open_connections() == 0 {
                 tracing::info!(ms = milliseconds(started_at.elapsed()), "gateway stopped");
--- a/crates/gateway-server/src/upstream.rs
+++ b/crates/gateway-server/src/upstream.rs
@@ -74,7 +74,7 @@
         };
         actix_rt::spawn(async move {
             let is_idle = match self.connection.as_mut() {
-                Some(connection) => connection.rest().await,
+                Some(connection) => connection.wait_until_ready().await,
                 None => false,
             };
             if is_idle && let Some(connection) = self.connection.take() {
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -78,7 +78,7 @@
     }
 
     /// Waits until the caller has left.
-    pub async fn gone(&self) {
+    pub async fn closed(&self) {
         self.parts.closed().await;
     }
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -126,7 +126,7 @@
     }
 
     /// Waits until the connection is at rest after an answer was read.
-    pub async fn rest(&mut self) -> bool {
+    pub async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 }
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -30,12 +30,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServeOptions {
     /// Longest head of a request, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest time without a whole head, rest between requests included.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Longest time for which the other end may take nothing of what is written to it; `None` for
     /// ever.
-    pub unread: Option<Duration>,
+    pub write_stall_timeout: Option<Duration>,
 }
 
 /// The handler wants the connection broken off without an answer.
@@ -45,7 +45,7 @@
 
 /// Tells servers to stop.
 #[derive(Clone, Debug)]
-pub struct Stopper(Rc<watch::Sender<bool>>);
+pub struct StopHandle(Rc<watch::Sender<bool>>);
 
 /// Hears when to stop.
 #[derive(Clone, Debug)]
@@ -54,18 +54,18 @@
     open: Rc<Cell<usize>>,
 }
 
-/// A stopper and its signal.
+/// A handle that stops a server, and its signal.
 #[must_use]
-pub fn stopper() -> (Stopper, StopSignal) {
+pub fn stop_channel() -> (StopHandle, StopSignal) {
     let (sender, stop) = watch::channel(false);
     let signal = StopSignal {
         stop,
         open: Rc::default(),
     };
-    (Stopper(Rc::new(sender)), signal)
+    (StopHandle(Rc::new(sender)), signal)
 }
 
-impl Stopper {
+impl StopHandle {
     /// Closes connections that rest at once and the others after their answers.
     pub fn stop(&self) {
         // Nobody listening means that nothing is open.
@@ -126,17 +126,17 @@
     let _ = stream.set_nodelay(true);
     let open = Rc::clone(&signal.open);
     open.set(open.get() + 1);
-    if options.unread.is_some()
+    if options.write_stall_timeout.is_some()
         && let Err(error) = set_send_buffer(&stream, SEND_BUFFER_BYTES)
     {
         tracing::debug!(%error, "the send buffer stays as it is");
     }
-    let stream = UnreadLimit::new(stream, options.unread);
+    let stream = UnreadLimit::new(stream, options.write_stall_timeout);
     let service = service_fn(move |request| handler(request));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(options.idle)
-        .max_buf_size(options.header_bytes.max(MIN_BUFFER_BYTES))
+        .header_read_timeout(options.idle_timeout)
+        .max_buf_size(options.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = tokio::select! {
--- a/crates/http/tests/unread.rs
+++ b/crates/http/tests/unread.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http::{Request, Response};
 use hyper::body::Incoming;
-use luglink_http::{Abort, ServeOptions, StopSignal, serve, stopper, stream_body};
+use luglink_http::{Abort, ServeOptions, StopSignal, serve, stop_channel, stream_body};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,11 +22,11 @@
 async fn endless(limit: Option<Duration>) -> (TcpStream, StopSignal, Rc<Cell<bool>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (_, signal) = stopper();
+    let (_, signal) = stop_channel();
     let options = move || ServeOptions {
-        header_bytes: 16 << 10,
-        idle: Duration::from_secs(30),
-        unread: limit,
+        max_header_bytes: 16 << 10,
+        idle_timeout: Duration::from_secs(30),
+        write_stall_timeout: limit,
     };
     let has_ended = Rc::new(Cell::new(false));
     let ended = Rc::clone(&has_ended);
--- a/crates/list-client/src/lib.rs
+++ b/crates/list-client/src/lib.rs
@@ -193,7 +193,7 @@
         let status = response.status();
         let body = Limited::new(response.into_body(), MAX_PAGE_BYTES);
         let content = body.collect().await.ok().context(PageSnafu)?.to_bytes();
-        if connection.rest().await {
+        if connection.wait_until_ready().await {
             self.connection = Some(connection);
         }
         ensure!(status == StatusCode::OK, RejectedSnafu { status });
--- a/crates/metrics-server/src/lib.rs
+++ b/crates/metrics-server/src/lib.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderValue, Request, Response, StatusCode, header};
 use hyper::body::Incoming;
-use luglink_http::{Abort, Body, ServeOptions, empty_body, full_body, serve, stopper};
+use luglink_http::{Abort, Body, ServeOptions, empty_body, full_body, serve, stop_channel};
 use luglink_telemetry::Metrics;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -41,16 +41,16 @@
         let response = answer(&metrics, &request);
         async move { Ok::<_, Abort>(response) }
     });
-    let (_, signal) = stopper();
+    let (_, signal) = stop_channel();
     actix_rt::spawn(serve(listener, options, signal, handler));
     bound
 }
 
 fn options() -> ServeOptions {
     ServeOptions {
-        header_bytes: MAX_HEADER_BYTES,
-        idle: CONNECTION_IDLE,
-        unread: None,
+        max_header_bytes: MAX_HEADER_BYTES,
+        idle_timeout: CONNECTION_IDLE,
+        write_stall_timeout: None,
     }
 }
 
--- a/crates/net/src/request_client.rs
+++ b/crates/net/src/request_client.rs
@@ -52,7 +52,7 @@
                     }
                 }
                 LinkEvent::Frame(_) => {}
-                LinkEvent::Lost => waiting.borrow_mut().clear(),
+                LinkEvent::Disconnected => waiting.borrow_mut().clear(),
             }
         });
         Self {
@@ -70,7 +70,7 @@
     }
 
     /// Sends a request whose response nobody waits for. Returns false when the link is broken.
-    pub fn tell(&self, body: Vec<u8>) -> bool {
+    pub fn send_one_way(&self, body: Vec<u8>) -> bool {
         let correlation = self.next.get();
         self.next.set(correlation + 1);
         self.link.send(Frame::request(correlation, body))
--- a/crates/quota/src/owner.rs
+++ b/crates/quota/src/owner.rs
@@ -159,7 +159,7 @@
         match self.bucket.take(reserve, now) {
             Ok(()) => QuotaResponse::Granted,
             Err(wait) => QuotaResponse::Denied {
-                come_back_ms: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
+                retry_delay_ms: u64::try_from(wait.as_millis()).unwrap_or(u64::MAX),
             },
         }
     }
--- a/crates/quota/src/protocol.rs
+++ b/crates/quota/src/protocol.rs
@@ -33,7 +33,7 @@
     /// The owner has too few tokens.
     Denied {
         /// Time until it has enough tokens, in milliseconds.
-        come_back_ms: u64,
+        retry_delay_ms: u64,
     },
     /// The store does not own the tenant, or cannot know whether it still does.
     NotOwner,
--- a/crates/quota/tests/invariant.rs
+++ b/crates/quota/tests/invariant.rs
@@ -400,7 +400,9 @@
     assert_eq!(store.answer(&request, now), QuotaResponse::Granted);
     assert_eq!(
         store.answer(&request, now),
-        QuotaResponse::Denied { come_back_ms: 250 }
+        QuotaResponse::Denied {
+            retry_delay_ms: 250
+        }
     );
     let later = now.plus(Duration::from_millis(250));
     assert_eq!(store.answer(&request, later), QuotaResponse::Granted);
--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -41,7 +41,7 @@
     /// Term of the leader that appended it.
     pub term: Term,
     /// The leader's time when it appended it; the state machine's only clock.
-    pub at: Timestamp,
+    pub appended_at: Timestamp,
     /// What it carries.
     pub payload: Payload,
 }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -378,7 +378,7 @@
         let entry = Entry {
             index: self.log.last_index() + 1,
             term: self.hard_state.term,
-            at: self.now,
+            appended_at: self.now,
             payload,
         };
         let place = (entry.index, entry.term);
--- a/crates/store-server/src/metrics.rs
+++ b/crates/store-server/src/metrics.rs
@@ -32,7 +32,7 @@
             requests,
             failures,
             flush_seconds: registry
-                .seconds("store_flush_seconds", "Time to make a batch durable")?,
+                .seconds_histogram("store_flush_seconds", "Time to make a batch durable")?,
             turns: registry.gauge("store_turns", "Turns that are held")?,
             accounts: registry.gauge("store_accounts", "Accounts that are held")?,
             epoch: registry.gauge("store_view_epoch", "Epoch of the view of the stores")?,
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// The name is malformed or taken.
-    pub fn seconds(&self, name: &str, help: &str) -> Result<Histogram, TelemetryError> {
+    pub fn seconds_histogram(&self, name: &str, help: &str) -> Result<Histogram, TelemetryError> {
         let options = HistogramOpts::new(name, help)
             .namespace(NAMESPACE)
             .buckets(SECONDS_BUCKETS.to_vec());
--- a/crates/turns/src/account.rs
+++ b/crates/turns/src/account.rs
@@ -80,7 +80,7 @@
 
     /// Whether no turn but `turn` has taken or holds anything, as when `turn` begins the program.
     #[must_use]
-    pub fn is_begun_by(&self, turn: &TurnId) -> bool {
+    pub fn is_first_turn(&self, turn: &TurnId) -> bool {
         let mut others = self.spends().filter(|(other, _)| *other != turn);
         others.all(|(_, spend)| spend == Spend::Settled(0))
     }
--- a/crates/turns/src/node.rs
+++ b/crates/turns/src/node.rs
@@ -4,7 +4,7 @@
 use crate::errors::TurnsError;
 use crate::hand_over::HandOver;
 use crate::journal::{Entry, Journal};
-use crate::protocol::{Chain, ChainWish, StoreRequest, StoreResponse};
+use crate::protocol::{Chain, ChainQuery, StoreRequest, StoreResponse};
 use crate::record::{ProgramName, TurnId, TurnRecord};
 use crate::replication::Replication;
 use crate::state::State;
@@ -75,7 +75,7 @@
 enum Answer {
     Spent {
         program: ProgramName,
-        chain: Option<ChainWish>,
+        chain: Option<ChainQuery>,
         served_by: Option<BackendId>,
     },
     Done,
@@ -219,8 +219,8 @@
                 epoch,
                 turn,
                 tokens,
-                carried,
-            } => self.keep(token, epoch, *turn, tokens, carried),
+                foreign_ancestors,
+            } => self.keep(token, epoch, *turn, tokens, foreign_ancestors),
             StoreRequest::HandOver { turns, accounts } => self.take_over(token, turns, accounts),
             StoreRequest::Account(program) => {
                 let account = self.account(&program);
@@ -279,12 +279,12 @@
         epoch: u64,
         turn: TurnRecord,
         tokens: u64,
-        carried: Vec<TurnRecord>,
+        foreign_ancestors: Vec<TurnRecord>,
     ) {
         let program = turn.program.clone();
         let settled = Spend::Settled(tokens);
         let mut entries = vec![spend_entry(&program, &turn.id, settled, turn.retention_ms)];
-        entries.extend(carried.into_iter().map(Entry::Turn));
+        entries.extend(foreign_ancestors.into_iter().map(Entry::Turn));
         entries.push(Entry::Turn(turn));
         self.write(epoch, &program, entries);
         self.pending.push(Pending {
@@ -451,7 +451,7 @@
         held.served_by.clone()
     }
 
-    fn chain(&self, wish: &ChainWish) -> Chain {
+    fn chain(&self, wish: &ChainQuery) -> Chain {
         let Some(held) = self.state.turns.get(&wish.turn) else {
             return Chain::Absent {
                 incarnation: self.incarnation,
--- a/crates/turns/tests/accounts.rs
+++ b/crates/turns/tests/accounts.rs
@@ -39,12 +39,12 @@
 
 #[test]
 fn a_program_has_begun_once_another_turn_took_or_holds_something() {
-    assert!(Account::default().is_begun_by(&turn(1)));
-    assert!(account(&[(1, false, 288)]).is_begun_by(&turn(1)));
+    assert!(Account::default().is_first_turn(&turn(1)));
+    assert!(account(&[(1, false, 288)]).is_first_turn(&turn(1)));
     // A turn that was refused or failed before it generated anything began nothing.
-    assert!(account(&[(1, false, 288), (2, true, 0)]).is_begun_by(&turn(1)));
-    assert!(!account(&[(1, false, 288), (2, true, 9)]).is_begun_by(&turn(1)));
-    assert!(!account(&[(1, false, 288), (2, false, 288)]).is_begun_by(&turn(1)));
+    assert!(account(&[(1, false, 288), (2, true, 0)]).is_first_turn(&turn(1)));
+    assert!(!account(&[(1, false, 288), (2, true, 9)]).is_first_turn(&turn(1)));
+    assert!(!account(&[(1, false, 288), (2, false, 288)]).is_first_turn(&turn(1)));
 }
 
 proptest! {
