--- a/crates/gateway-server/src/inbound.rs
+++ b/crates/gateway-server/src/inbound.rs
@@ -1,8 +1,8 @@
-//! A caller's request, read whole.
+//! Reading, authentication and routing of a caller's request.
 
 use crate::caller_watch::CallerWatch;
 use crate::gateway::{ActiveConfiguration, Gateway};
-use crate::held::Held;
+use crate::held::HeldBytesGuard;
 use crate::refusal::Refusal;
 use bytes::{Bytes, BytesMut};
 use http::request::Parts;
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -27,53 +27,55 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// The program that a request belongs to.
+/// Headers of a request that describe its program.
 #[derive(Clone, Debug)]
 pub(crate) struct ProgramFields {
     pub(crate) name: ProgramName,
-    /// Tokens that all its turns may generate together.
+    /// Token budget of all turns of the program.
     pub(crate) budget: Option<u64>,
-    /// The most that this turn may generate.
+    /// Maximum number of tokens that this turn may generate; 0 if the caller does not state it.
     pub(crate) ceiling: u64,
-    /// The turn that it goes on from.
+    /// Turn that this turn continues.
     pub(crate) previous: Option<TurnId>,
 }
 
-/// A request, read whole.
+/// Request of a caller with its complete body and its route.
 #[derive(Debug)]
 pub(crate) struct InboundRequest {
     pub(crate) id: String,
     pub(crate) route: Rc<Route>,
-    /// For whom it comes.
+    /// Authenticated caller.
     pub(crate) caller: Caller,
-    /// Service that gets it.
+    /// Name of the service that serves the request.
     pub(crate) service: String,
+    /// Version of the configuration that routed the request.
     pub(crate) version: u64,
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
-    /// The memory that it takes.
-    pub(crate) held: Held,
+    /// Accounting of the memory that the request occupies.
+    pub(crate) held: HeldBytesGuard,
     pub(crate) program: Option<ProgramFields>,
-    /// When its program should be over.
+    /// Time by which the program should finish.
     pub(crate) program_deadline: Option<Instant>,
-    /// Notes a caller that leaves early.
+    /// Guard that logs a caller that disconnects early.
     pub(crate) watch: Rc<CallerWatch>,
-    /// What its caller says of its prompt.
+    /// Token counts of the prompt, as stated by the caller.
     pub(crate) prompt: Option<PromptParts>,
     pub(crate) arrived: Instant,
-    /// When nobody wants an answer any more.
+    /// Time after which the response is of no use to the caller.
     pub(crate) deadline: Instant,
-    /// Differs between requests; the same for all requests of a program.
+    /// Hash of the program's name, which selects the same replicas for all its turns; a
+    /// pseudo-random number for requests without a program.
     pub(crate) affinity_hash: u64,
 }
 
 impl InboundRequest {
-    /// Time that remains.
+    /// Returns the time left until the deadline.
     pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The turn that it brings.
+    /// Returns the identifier of this request's turn.
     pub(crate) fn turn(&self) -> TurnId {
         TurnId::of(tenant_name(&self.caller), &self.id)
     }
@@ -83,7 +85,7 @@
     caller.tenant().map(|tenant| &tenant.name)
 }
 
-/// Removes headers that concern one connection only, those named by `Connection` included.
+/// Removes hop-by-hop headers, including those named by `Connection`.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -99,20 +101,20 @@
     headers.remove("proxy-connection");
 }
 
-/// The text of a header, when it has one that can be read.
-pub(crate) fn text<'headers>(
+/// Returns the value of a header, if it is present and visible ASCII.
+pub(crate) fn header_text<'headers>(
     headers: &'headers HeaderMap,
     name: &HeaderName,
 ) -> Option<&'headers str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// The number that a header holds.
-pub(crate) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
-    text(headers, name)?.trim().parse().ok()
+/// Returns the value of a header as an integer, if it is present and valid.
+pub(crate) fn header_number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+    header_text(headers, name)?.trim().parse().ok()
 }
 
-/// Reads a request and finds its route.
+/// Reads a request, authenticates its caller and finds its route.
 pub(crate) async fn read(
     gateway: &Gateway,
     in_force: &ActiveConfiguration,
@@ -121,51 +123,54 @@
     let arrived = Instant::now();
     let (mut head, incoming) = request.into_parts();
     let headers = gateway.dialect.headers();
-    let id = text(&head.headers, &headers.request_id)
+    let id = header_text(&head.headers, &headers.request_id)
         .ok_or(Refusal::new(
             StatusCode::BAD_REQUEST,
             "the request has no identifier",
         ))?
         .to_owned();
-    let host = text(&head.headers, &header::HOST)
+    let host = header_text(&head.headers, &header::HOST)
         .or_else(|| head.uri.host())
         .unwrap_or_default();
     let route = in_force
         .table
         .find(host, head.uri.path())
-        .ok_or(Refusal::new(StatusCode::NOT_FOUND, "no route"))?;
-    let caller = identify(gateway, in_force, &route, &head, &id)?;
+        .ok_or(Refusal::new(
+            StatusCode::NOT_FOUND,
+            "no route matches the request",
+        ))?;
+    let caller = authenticate(gateway, in_force, &route, &head, &id)?;
     if in_force.keys.has_tenants() {
         head.headers.remove(&headers.credential);
     }
     headers.remove_reserved(&mut head.headers);
-    let patience = number(&head.headers, &headers.deadline_ms)
+    let time_limit = header_number(&head.headers, &headers.deadline_ms)
         .map_or(route.timeout(), Duration::from_millis)
         .min(route.timeout());
-    let deadline = arrived + patience;
+    let deadline = arrived + time_limit;
     let limit = in_force.configuration.limits.max_body_bytes;
-    let held = make_room(gateway, &caller, &id, &incoming, limit)?;
+    let held = admit_body(gateway, &caller, &id, &incoming, limit)?;
     let body = tokio::select! {
         body = read_body(gateway, incoming, limit, deadline, &held) => body?,
-        _ = held.cut() => return Err(Refusal::memory_exhausted()),
+        _ = held.wait_for_abort() => return Err(Refusal::memory_exhausted()),
     };
     held.set_abortable(false);
     let program = program_fields(gateway, &caller, &head);
     let prompt = PromptParts::read(
-        text(&head.headers, &headers.token_usage),
-        text(&head.headers, &headers.prompt_parts),
+        header_text(&head.headers, &headers.token_usage),
+        header_text(&head.headers, &headers.prompt_parts),
     );
     let program_hash = program
         .as_ref()
         .map(|program| xxhash_rust::xxh3::xxh3_64(program.name.0.as_bytes()));
-    let draw = program_hash.unwrap_or_else(|| gateway.draw());
-    // A program's turns go to one service, so that its prompts meet their caches; everything
-    // else is spread request by request.
+    let affinity_hash = program_hash.unwrap_or_else(|| gateway.draw());
+    // All turns of a program go to the same service to reuse its prompt caches. Other requests are
+    // split individually.
     let share = match (route.kind, program_hash) {
         (RouteKind::Streaming, Some(hash)) => hash,
         _ => gateway.splits.borrow_mut().next(&route, gateway.draw()),
     };
-    let program_left = number(&head.headers, &headers.program_deadline_ms);
+    let program_left = header_number(&head.headers, &headers.program_deadline_ms);
     let program_deadline =
         program_left.and_then(|left| arrived.checked_add(Duration::from_millis(left)));
     let watch = CallerWatch::begin(&gateway.metrics, &id, &route, arrived);
@@ -185,12 +190,12 @@
         prompt,
         arrived,
         deadline,
-        affinity_hash: draw,
+        affinity_hash,
     })
 }
 
-/// Finds out for whom a request comes, before its body is read.
-fn identify(
+/// Authenticates the caller of a request before its body is read.
+fn authenticate(
     gateway: &Gateway,
     in_force: &ActiveConfiguration,
     route: &Route,
@@ -199,7 +204,7 @@
 ) -> Result<Caller, Refusal> {
     if in_force.keys.requires_key(route) && gateway.keys_are_expired() {
         return Err(Refusal::recovering(
-            "no control member says which keys still hold",
+            "the API keys cannot be verified: no recent update from a control member",
         ));
     }
     let secret = gateway.dialect.headers().secret(&head.headers);
@@ -222,20 +227,23 @@
         shown,
         key = fingerprint.map(tracing::field::display),
         version = in_force.version,
-        "a caller is not known"
+        "caller authentication failed: missing or unknown key"
     );
-    Err(Refusal::new(StatusCode::UNAUTHORIZED, "no known key"))
+    Err(Refusal::new(
+        StatusCode::UNAUTHORIZED,
+        "the API key is missing or unknown",
+    ))
 }
 
-/// Makes room for a body before anything of it is read. One that announces no length, or more
-/// than is allowed, counts as it arrives.
-fn make_room(
+/// Reserves memory for a body before it is read. A body without a declared length, or with one
+/// above `limit`, is counted as it arrives.
+fn admit_body(
     gateway: &Gateway,
     caller: &Caller,
     id: &str,
     incoming: &Incoming,
     limit: usize,
-) -> Result<Held, Refusal> {
+) -> Result<HeldBytesGuard, Refusal> {
     let announced = incoming.size_hint().exact().unwrap_or(0);
     let announced = if announced > limit as u64 {
         0
@@ -249,12 +257,12 @@
     Ok(held)
 }
 
-/// Why a body cannot be had.
+/// Reason why a request body could not be read.
 enum BodyFailure {
     TooLong,
     Broken,
-    /// It would take more memory than there is room for.
-    NoRoom,
+    /// The body exceeds the memory limit.
+    MemoryLimit,
 }
 
 async fn read_body(
@@ -262,7 +270,7 @@
     incoming: Incoming,
     limit: usize,
     deadline: Instant,
-    held: &Held,
+    held: &HeldBytesGuard,
 ) -> Result<Bytes, Refusal> {
     let left = deadline.saturating_duration_since(Instant::now());
     let announced = incoming.size_hint().exact().unwrap_or(0);
@@ -271,34 +279,34 @@
         Ok(Ok(body)) => Ok(body),
         Ok(Err(failure)) => {
             let stopping = gateway.is_stopping.get();
-            tracing::debug!(stopping, "a body did not arrive");
+            tracing::debug!(stopping, "reading a request body failed");
             Err(match failure {
                 BodyFailure::TooLong => {
                     Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long")
                 }
                 BodyFailure::Broken => {
-                    Refusal::new(StatusCode::BAD_REQUEST, "the body is not whole")
+                    Refusal::new(StatusCode::BAD_REQUEST, "the body is incomplete")
                 }
-                BodyFailure::NoRoom => Refusal::memory_exhausted(),
+                BodyFailure::MemoryLimit => Refusal::memory_exhausted(),
             })
         }
         Err(_) => Err(Refusal::new(
             StatusCode::REQUEST_TIMEOUT,
-            "the body did not arrive in time",
+            "the body did not arrive before the deadline",
         )),
     }
 }
 
-/// Reads a body to its end; what comes beyond the announced length counts as it arrives.
+/// Reads a body to its end. Bytes beyond the declared length are counted as they arrive.
 async fn collect(
     mut body: Limited<Incoming>,
     announced: u64,
-    held: &Held,
+    held: &HeldBytesGuard,
 ) -> Result<Bytes, BodyFailure> {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
-            tracing::debug!(%error, "a body broke off");
+            tracing::debug!(%error, "request body ended early or exceeds the length limit");
             if error.is::<http_body_util::LengthLimitError>() {
                 BodyFailure::TooLong
             } else {
@@ -308,7 +316,8 @@
         bytes.extend_from_slice(&frame.into_data().unwrap_or_default());
         let length = bytes.len() as u64;
         if length > announced {
-            held.set_request(length).map_err(|_| BodyFailure::NoRoom)?;
+            held.set_request(length)
+                .map_err(|_| BodyFailure::MemoryLimit)?;
         }
     }
     Ok(bytes.freeze())
@@ -316,21 +325,22 @@
 
 fn program_fields(gateway: &Gateway, caller: &Caller, head: &Parts) -> Option<ProgramFields> {
     let headers = gateway.dialect.headers();
-    let name = text(&head.headers, &headers.program)?;
+    let name = header_text(&head.headers, &headers.program)?;
     let tenant = tenant_name(caller);
-    let ceiling = used_tokens(gateway, head, 1);
+    let ceiling = token_usage_part(gateway, head, 1);
     Some(ProgramFields {
         name: ProgramName::of(tenant, name),
-        budget: number(&head.headers, &headers.token_budget),
+        budget: header_number(&head.headers, &headers.token_budget),
         ceiling,
-        previous: text(&head.headers, &headers.previous_turn).map(|id| TurnId::of(tenant, id)),
+        previous: header_text(&head.headers, &headers.previous_turn)
+            .map(|id| TurnId::of(tenant, id)),
     })
 }
 
-/// A part of what the caller says of its tokens: those of the prompt, then the most to be
-/// generated. 0 when it does not say so.
-fn used_tokens(gateway: &Gateway, head: &Parts, part: usize) -> u64 {
-    let usage = text(&head.headers, &gateway.dialect.headers().token_usage);
+/// Returns one number of the caller's token usage header: part 0 is the prompt's tokens, part 1
+/// the maximum number of generated tokens. Returns 0 if the header does not contain it.
+fn token_usage_part(gateway: &Gateway, head: &Parts, part: usize) -> u64 {
+    let usage = header_text(&head.headers, &gateway.dialect.headers().token_usage);
     usage
         .and_then(|usage| usage.split(',').nth(part))
         .and_then(|tokens| tokens.trim().parse().ok())
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -35,7 +35,7 @@
     pub idle_timeout: Duration,
     /// Longest time for which the other end may take nothing of what is written to it; `None` for
     /// ever.
-    pub unread: Option<Duration>,
+    pub write_stall_timeout: Option<Duration>,
 }
 
 /// The handler wants the connection broken off without an answer.
@@ -54,9 +54,9 @@
     open: Rc<Cell<usize>>,
 }
 
-/// A stopper and its signal.
+/// A handle that stops a server, and its signal.
 #[must_use]
-pub fn stopper() -> (StopHandle, StopSignal) {
+pub fn stop_channel() -> (StopHandle, StopSignal) {
     let (sender, stop) = watch::channel(false);
     let signal = StopSignal {
         stop,
@@ -126,12 +126,12 @@
     let _ = stream.set_nodelay(true);
     let open = Rc::clone(&signal.open);
     open.set(open.get() + 1);
-    if options.unread.is_some()
+    if options.write_stall_timeout.is_some()
         && let Err(error) = set_send_buffer(&stream, SEND_BUFFER_BYTES)
     {
         tracing::debug!(%error, "the send buffer stays as it is");
     }
-    let stream = UnreadLimit::new(stream, options.unread);
+    let stream = UnreadLimit::new(stream, options.write_stall_timeout);
     let service = service_fn(move |request| handler(request));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/scheduling/src/held_bytes.rs
+++ b/crates/scheduling/src/held_bytes.rs
@@ -1,38 +1,38 @@
-//! How many bytes a process holds for others, and what it does about them at its bound.
+//! Limit on the bytes that a process holds for callers and replicas.
 //!
-//! The load: callers that stop reading their answers, and replicas that stop reading requests.
-//! Whatever is meant for them stays in this process's memory, and a few hundred of them are more
-//! than a small machine has. Below the bounds nothing is refused and nothing is cut, since callers
-//! that read need none of this. At a bound, one holder's loss keeps all others served: what has
-//! not begun is refused while it is certain that it did not run, and what is under way is cut, the
-//! newest of the large holders first, since they free the most for the least work lost.
+//! Callers that stop reading their answers and replicas that stop reading requests leave data in
+//! the memory of this process; a few hundred of them exceed the memory of a small machine. Below
+//! the limits nothing is refused or cut, since callers that read cause no such growth. At a limit,
+//! one holder is refused or cut so that all others are served. A request that has not started is
+//! refused while it is certain that it did not run. Of the running ones, the newest of the large
+//! holders is cut first, which frees the most memory for the least lost work.
 //!
-//! No tenant takes more than half of a process: one whose callers all stop reading leaves room for
-//! the others.
+//! A tenant may hold at most half of the limit of the process, so that a tenant whose callers all
+//! stop reading leaves room for others.
 
 use luglink_types::TenantName;
 use std::collections::BTreeMap;
 
-/// Part of a process's bound that one tenant, or one request, may hold.
-const TENANT_SHARE: u64 = 2;
+/// Divisor of the process limit that gives the limit of one tenant or one request.
+const TENANT_LIMIT_DIVISOR: u64 = 2;
 
-/// Names a holder; rises with each one.
+/// Identifier of a holder; increases with each one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HolderId(u64);
 
-/// The bound that a request met.
+/// Limit that a request reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeldBytesLimit {
-    /// Of one request.
+    /// Limit of one request.
     Request,
-    /// Of the request's tenant.
+    /// Limit of the request's tenant.
     Tenant,
-    /// Of the process.
+    /// Limit of the process.
     Process,
 }
 
 impl HeldBytesLimit {
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -43,23 +43,23 @@
     }
 }
 
-/// A holder that is to let go of everything. Its bytes do not count any more.
+/// Holder that must release everything. Its bytes are no longer counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldAbort {
-    /// The holder.
+    /// Holder to cut.
     pub holder: HolderId,
-    /// What it held.
+    /// Bytes that it held.
     pub bytes: u64,
-    /// The bound that was met.
+    /// Limit that was reached.
     pub bound: HeldBytesLimit,
 }
 
-/// Whether a holder may hold what it asks for.
+/// Answer to a holder that asks for more bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Growth {
-    /// It may, once these have let go.
+    /// Granted once these holders have been cut.
     Granted(Vec<HeldAbort>),
-    /// It may not, and goes on holding what it had.
+    /// Denied; the holder keeps what it had.
     Denied(HeldBytesLimit),
 }
 
@@ -67,11 +67,11 @@
 struct Holder {
     tenant: Option<TenantName>,
     bytes: u64,
-    /// Whether it can be cut: nothing of it runs unseen.
+    /// False while a replica may run the request unobserved.
     can_be_cut: bool,
 }
 
-/// The bytes that a process holds for others.
+/// Account of the bytes that a process holds.
 #[derive(Clone, Debug)]
 pub struct HeldBytes {
     limit: u64,
@@ -82,7 +82,7 @@
 }
 
 impl HeldBytes {
-    /// Nothing yet, of at most `limit` bytes.
+    /// Creates an empty account with a limit of `limit` bytes.
     #[must_use]
     pub fn new(limit: u64) -> Self {
         Self {
@@ -94,41 +94,42 @@
         }
     }
 
-    /// Counts without a bound.
+    /// Creates an account without a limit.
     #[must_use]
     pub fn unbounded() -> Self {
         Self::new(u64::MAX)
     }
 
-    /// Bytes held by all.
+    /// Returns the bytes of all holders.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Bytes held for a tenant.
+    /// Returns the bytes held for a tenant.
     #[must_use]
     pub fn of_tenant(&self, tenant: &TenantName) -> u64 {
         self.tenants.get(tenant).copied().unwrap_or_default()
     }
 
-    /// Bytes that one holder holds; `None` once it was cut or has let go.
+    /// Returns the bytes of a holder, or `None` once it was cut or released.
     #[must_use]
     pub fn of_holder(&self, holder: HolderId) -> Option<u64> {
         self.holders.get(&holder).map(|holder| holder.bytes)
     }
 
-    /// Most bytes that a tenant may hold.
+    /// Returns the maximum number of bytes that a tenant may hold.
     #[must_use]
     pub fn tenant_limit(&self) -> u64 {
-        self.limit / TENANT_SHARE
+        self.limit / TENANT_LIMIT_DIVISOR
     }
 
-    /// Takes in a request that has announced so many bytes. Nobody is cut for one that has not
-    /// begun.
+    /// Adds a request that has announced its size in bytes. No holder is cut for a request that has
+    /// not started.
     ///
     /// # Errors
-    /// The bound that leaves no room for it.
+    ///
+    /// Returns the limit that leaves no room for the request.
     pub fn admit(
         &mut self,
         tenant: Option<TenantName>,
@@ -156,23 +157,22 @@
         Ok(id)
     }
 
-    /// Says whether a holder can be cut from now on: not while a replica may run its request
-    /// unseen.
+    /// Sets whether a holder can be cut. It cannot while a replica may run its request unobserved.
     pub fn set_abortable(&mut self, id: HolderId, can_be_cut: bool) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.can_be_cut = can_be_cut;
         }
     }
 
-    /// A holder has, or is about to have, so many bytes. One that was cut already is denied
-    /// nothing and counts no more.
+    /// Sets the bytes that a holder has or is about to have. A holder that was already cut is
+    /// denied nothing and not counted.
     pub fn resize(&mut self, id: HolderId, bytes: u64) -> Growth {
         let Some(holder) = self.holders.get(&id) else {
             return Growth::Granted(Vec::new());
         };
-        let more = bytes.saturating_sub(holder.bytes);
-        let wish = Wish { id, bytes, more };
-        let planned = self.plan(&wish, holder.tenant.as_ref());
+        let added = bytes.saturating_sub(holder.bytes);
+        let request = GrowthRequest { id, bytes, added };
+        let planned = self.plan_cuts(&request, holder.tenant.as_ref());
         match planned {
             Ok(cuts) => {
                 for cut in &cuts {
@@ -185,60 +185,73 @@
         }
     }
 
-    /// A holder lets go of everything.
+    /// Removes a holder and all its bytes.
     pub fn release(&mut self, id: HolderId) {
         self.set(id, 0);
         self.holders.remove(&id);
     }
 
-    /// Who must let go for a wish to fit, or the bound that stands against it.
-    fn plan(
+    /// Returns the holders to cut for a request to fit, or the limit that denies it.
+    fn plan_cuts(
         &self,
-        wish: &Wish,
+        request: &GrowthRequest,
         tenant: Option<&TenantName>,
     ) -> Result<Vec<HeldAbort>, HeldBytesLimit> {
-        if wish.more == 0 {
+        if request.added == 0 {
             return Ok(Vec::new());
         }
-        if wish.bytes > self.tenant_limit() {
+        if request.bytes > self.tenant_limit() {
             return Err(HeldBytesLimit::Request);
         }
         let mut cuts = Vec::new();
         if let Some(name) = tenant {
-            let after = self.of_tenant(name).saturating_add(wish.more);
+            let after = self.of_tenant(name).saturating_add(request.added);
             let excess = after.saturating_sub(self.tenant_limit());
             let of_tenant = |holder: &Holder| holder.tenant.as_ref() == tenant;
-            self.choose(wish, excess, HeldBytesLimit::Tenant, of_tenant, &mut cuts)?;
+            self.choose_cuts(
+                request,
+                excess,
+                HeldBytesLimit::Tenant,
+                of_tenant,
+                &mut cuts,
+            )?;
         }
         let freed: u64 = cuts.iter().map(|cut| cut.bytes).sum();
-        let after = (self.total - freed).saturating_add(wish.more);
+        let after = (self.total - freed).saturating_add(request.added);
         let excess = after.saturating_sub(self.limit);
-        self.choose(wish, excess, HeldBytesLimit::Process, |_| true, &mut cuts)?;
+        self.choose_cuts(
+            request,
+            excess,
+            HeldBytesLimit::Process,
+            |_| true,
+            &mut cuts,
+        )?;
         Ok(cuts)
     }
 
-    /// Adds holders to `cuts` until these free `excess` bytes more: the newest of the large ones
-    /// first, then the newest of the others. A holder whose own turn comes is denied instead.
-    fn choose(
+    /// Adds holders to `cuts` until they free `excess` more bytes: the newest of the large ones
+    /// first, then the newest of the others. If the next in this order is the requesting holder
+    /// itself, its request is denied instead.
+    fn choose_cuts(
         &self,
-        wish: &Wish,
+        request: &GrowthRequest,
         excess: u64,
         bound: HeldBytesLimit,
-        is_meant: impl Fn(&Holder) -> bool,
+        is_candidate: impl Fn(&Holder) -> bool,
         cuts: &mut Vec<HeldAbort>,
     ) -> Result<(), HeldBytesLimit> {
         if excess == 0 {
             return Ok(());
         }
-        let is_left = |id: &HolderId| cuts.iter().all(|cut| cut.holder != *id);
+        let is_uncut = |id: &HolderId| cuts.iter().all(|cut| cut.holder != *id);
         let mut candidates: Vec<HeldAbort> = self
             .holders
             .iter()
-            .filter(|(id, holder)| holder.can_be_cut && is_meant(holder) && is_left(id))
+            .filter(|(id, holder)| holder.can_be_cut && is_candidate(holder) && is_uncut(id))
             .map(|(id, holder)| HeldAbort {
                 holder: *id,
-                bytes: if *id == wish.id {
-                    wish.bytes
+                bytes: if *id == request.id {
+                    request.bytes
                 } else {
                     holder.bytes
                 },
@@ -248,14 +261,14 @@
         let count = candidates.len().max(1) as u64;
         let mean = candidates.iter().map(|cut| cut.bytes).sum::<u64>() / count;
         candidates.sort_by_key(|cut| std::cmp::Reverse((cut.bytes >= mean, cut.holder)));
-        let mut missing = excess;
+        let mut remaining = excess;
         for cut in candidates {
-            if cut.holder == wish.id {
+            if cut.holder == request.id {
                 return Err(bound);
             }
-            missing = missing.saturating_sub(cut.bytes);
+            remaining = remaining.saturating_sub(cut.bytes);
             cuts.push(cut);
-            if missing == 0 {
+            if remaining == 0 {
                 return Ok(());
             }
         }
@@ -266,11 +279,11 @@
         let Some(holder) = self.holders.get_mut(&id) else {
             return;
         };
-        let had = std::mem::replace(&mut holder.bytes, bytes);
-        self.total = self.total - had + bytes;
+        let previous = std::mem::replace(&mut holder.bytes, bytes);
+        self.total = self.total - previous + bytes;
         if let Some(tenant) = &holder.tenant {
             let sum = self.tenants.entry(tenant.clone()).or_default();
-            *sum = *sum - had + bytes;
+            *sum = *sum - previous + bytes;
             if *sum == 0 {
                 self.tenants.remove(tenant);
             }
@@ -278,12 +291,12 @@
     }
 }
 
-/// What a holder asks for.
+/// Request of a holder for more bytes.
 #[derive(Clone, Copy, Debug)]
-struct Wish {
+struct GrowthRequest {
     id: HolderId,
-    /// What it would hold.
+    /// Bytes that it would hold.
     bytes: u64,
-    /// What of that is new.
-    more: u64,
+    /// Additional bytes.
+    added: u64,
 }
--- a/crates/scheduling/src/pool/held_parts.rs
+++ b/crates/scheduling/src/pool/held_parts.rs
@@ -1,16 +1,16 @@
-//! The shared parts of prompts that a replica has read lately.
+//! Shared parts of prompts that a replica has read recently.
 
 use luglink_types::Timestamp;
 use std::time::Duration;
 
-/// Time for which a part that is not used again is taken to be held. Parts that are unused longest
-/// give way first.
-const HELD_FOR: Duration = Duration::from_secs(10);
+/// Time for which an unused part is assumed to be held. Replicas evict the least recently used
+/// parts first.
+const PART_RETENTION: Duration = Duration::from_secs(10);
 
-/// Parts that are remembered of one replica.
-const REMEMBERED: usize = 16;
+/// Maximum number of parts that are remembered for one replica.
+const MAX_PARTS: usize = 16;
 
-/// The shared parts of prompts that a replica has read lately.
+/// Shared parts of prompts that a replica has read recently.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeldParts(Vec<(u64, Timestamp)>);
 
@@ -22,7 +22,7 @@
             known.1 = now;
             return;
         }
-        if self.0.len() >= REMEMBERED {
+        if self.0.len() >= MAX_PARTS {
             let oldest = (0..self.0.len()).min_by_key(|position| self.0[*position].1);
             if let Some(oldest) = oldest {
                 self.0.swap_remove(oldest);
@@ -33,6 +33,6 @@
 
     pub(super) fn holds(&self, part: u64, now: Timestamp) -> bool {
         let mut known = self.0.iter();
-        known.any(|(id, at)| *id == part && now.since(*at) < HELD_FOR)
+        known.any(|(id, at)| *id == part && now.since(*at) < PART_RETENTION)
     }
 }
--- a/crates/scheduling/src/waits.rs
+++ b/crates/scheduling/src/waits.rs
@@ -1,24 +1,24 @@
-//! What a gateway has learned of its routes' waits.
+//! Waits that a gateway has observed on its routes.
 
-use crate::moves::{ExtraSends, FEW_UNUSUAL, QUICKEST_SHARE, USUAL_SHARE, WaitQuantiles};
-use crate::usual::Usual;
+use crate::moves::{ExtraSendBudget, FASTEST_QUANTILE, MAX_OUTLIER_RATIO, P90, WaitQuantiles};
+use crate::wait_histogram::WaitHistogram;
 use luglink_edge::{Configuration, Route};
 use luglink_types::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Requests of a route that may move, of all: more than the share of replicas that misbehave at
-/// once, and far fewer than would move if all were slow.
-const MOVED_SHARE: f64 = 0.15;
+/// Maximum ratio of a route's requests that may move: more than the share of replicas that
+/// misbehave at once, and far fewer than would move if all were slow.
+const MAX_MOVE_RATIO: f64 = 0.15;
 
-/// Requests that go to a second replica early, of all.
-const HEDGED_SHARE: f64 = 0.05;
+/// Maximum ratio of requests that are hedged early.
+const MAX_HEDGE_RATIO: f64 = 0.05;
 
-/// Share of waits at sound replicas that are given up.
-const SOUND_VAIN: f64 = 0.01;
+/// Ratio of waits at healthy replicas that are abandoned.
+const HEALTHY_ABANDON_RATIO: f64 = 0.01;
 
-/// Weight of a new wait in the share of unusual ones: about twenty count, so that it changes
-/// within moments of a burst.
+/// Weight of a new wait in the ratio of outliers. The average covers about twenty waits, so that it
+/// changes within moments of a burst.
 const SAMPLE_WEIGHT: f64 = 0.05;
 
 /// Waits of all routes.
@@ -30,40 +30,40 @@
 /// Waits of one route.
 #[derive(Clone, Debug)]
 pub struct RouteWaits {
-    first_events: Usual,
-    /// Waits for first events that were given up.
-    vain: Usual,
-    pauses: Usual,
-    answers: Usual,
-    /// Share of the latest waits for first events that were unusual.
+    first_events: WaitHistogram,
+    /// Waits for first events that were abandoned.
+    abandoned: WaitHistogram,
+    pauses: WaitHistogram,
+    answers: WaitHistogram,
+    /// Ratio of outliers in the latest waits for first events.
     outlier_ratio: f64,
-    /// Moves that the route's requests have earned.
-    pub moves: ExtraSends,
-    /// Early second sends that the route's requests have earned.
-    pub hedges: ExtraSends,
+    /// Budget for moves of the route's requests.
+    pub moves: ExtraSendBudget,
+    /// Budget for early hedges of the route's requests.
+    pub hedges: ExtraSendBudget,
 }
 
 impl Default for RouteWaits {
     fn default() -> Self {
         Self {
-            first_events: Usual::default(),
-            vain: Usual::default(),
-            pauses: Usual::default(),
-            answers: Usual::default(),
+            first_events: WaitHistogram::default(),
+            abandoned: WaitHistogram::default(),
+            pauses: WaitHistogram::default(),
+            answers: WaitHistogram::default(),
             outlier_ratio: 0.0,
-            moves: ExtraSends::new(MOVED_SHARE),
-            hedges: ExtraSends::new(HEDGED_SHARE),
+            moves: ExtraSendBudget::new(MAX_MOVE_RATIO),
+            hedges: ExtraSendBudget::new(MAX_HEDGE_RATIO),
         }
     }
 }
 
 impl Waits {
-    /// Those of a route.
+    /// Returns the waits of a route.
     pub fn route(&mut self, route: &Route) -> &mut RouteWaits {
         self.routes.entry(route.name.clone()).or_default()
     }
 
-    /// Forgets routes that are not in force any more.
+    /// Removes routes that are no longer configured.
     pub fn keep_only(&mut self, configuration: &Configuration) {
         let names = configuration.route_names();
         self.routes.retain(|name, _| names.contains(name.as_str()));
@@ -71,87 +71,91 @@
 }
 
 impl RouteWaits {
-    /// Notes the time from a send to the first event. `aim` stands for what is usual while too
-    /// few are known.
-    pub fn note_first_event(&mut self, wait: Duration, aim: Duration, now: Timestamp) {
-        let is_unusual = self.first_event(aim, now).is_exceeded_by(wait);
-        self.count_unusual(is_unusual);
+    /// Records the time from a send to the first event. The distribution is derived from the
+    /// latency `target` while too few waits are known.
+    pub fn note_first_event(&mut self, wait: Duration, target: Duration, now: Timestamp) {
+        let is_outlier = self.first_event(target, now).is_outlier(wait);
+        self.update_outlier_ratio(is_outlier);
         self.first_events.note(wait, now);
     }
 
-    /// Notes the time from a send until nobody waited for its first event any more.
+    /// Records the time from a send until its first event was no longer awaited.
     pub fn note_abandoned(&mut self, wait: Duration, now: Timestamp) {
-        self.count_unusual(true);
-        self.vain.note(wait, now);
+        self.update_outlier_ratio(true);
+        self.abandoned.note(wait, now);
     }
 
-    /// Share of the latest waits for first events that were unusual.
+    /// Returns the ratio of outliers in the latest waits for first events.
     #[must_use]
     pub fn outlier_ratio(&self) -> f64 {
         self.outlier_ratio
     }
 
-    fn count_unusual(&mut self, is_unusual: bool) {
-        let sample = f64::from(u8::from(is_unusual));
+    fn update_outlier_ratio(&mut self, is_outlier: bool) {
+        let sample = f64::from(u8::from(is_outlier));
         self.outlier_ratio += SAMPLE_WEIGHT * (sample - self.outlier_ratio);
     }
 
-    /// Notes a pause between two events.
+    /// Records a pause between two events.
     pub fn note_pause(&mut self, pause: Duration, now: Timestamp) {
         self.pauses.note(pause, now);
     }
 
-    /// Notes the time from a send to a whole answer, or until nobody waited for it any more.
+    /// Records the time from a send to the complete answer, or until it was no longer awaited.
     pub fn note_answer(&mut self, wait: Duration, now: Timestamp) {
         self.answers.note(wait, now);
     }
 
-    /// What waits for first events are like. `aim` stands for them while too few are known.
+    /// Returns the distribution of the waits for first events. It is derived from the latency
+    /// `target` while too few waits are known.
     #[must_use]
-    pub fn first_event(&self, aim: Duration, now: Timestamp) -> WaitQuantiles {
-        let median = self.sound_quantile(0.5, now);
-        let usual = self.sound_quantile(USUAL_SHARE, now);
-        match (median, usual) {
-            (Some(median), Some(usual)) => WaitQuantiles { median, p90: usual },
-            _ => WaitQuantiles::expected(aim),
+    pub fn first_event(&self, target: Duration, now: Timestamp) -> WaitQuantiles {
+        let median = self.healthy_quantile(0.5, now);
+        let p90 = self.healthy_quantile(P90, now);
+        match (median, p90) {
+            (Some(median), Some(p90)) => WaitQuantiles { median, p90 },
+            _ => WaitQuantiles::expected(target),
         }
     }
 
-    /// A quantile of the first events of replicas that are well. Waits given up are put down to
-    /// the others while they are few, except for as many as sound replicas bring about: were
-    /// those left out too, waits would look shorter and shorter. When they are many, all replicas
-    /// are slow, and they count like the rest.
-    fn sound_quantile(&self, share: f64, now: Timestamp) -> Option<Duration> {
-        let (answered, vain) = (self.first_events.weight(now), self.vain.weight(now));
-        if vain > FEW_UNUSUAL * (vain + answered) {
-            return self.first_events.with(&self.vain, now).quantile(share, now);
+    /// Returns a quantile of the first events of healthy replicas. While few waits are abandoned,
+    /// they are attributed to unhealthy replicas, except for as many as healthy replicas cause: if
+    /// those were left out too, the quantile would fall further and further. If many are abandoned,
+    /// all replicas are slow, and these waits count like the rest.
+    fn healthy_quantile(&self, share: f64, now: Timestamp) -> Option<Duration> {
+        let (answered, abandoned) = (self.first_events.weight(now), self.abandoned.weight(now));
+        if abandoned > MAX_OUTLIER_RATIO * (abandoned + answered) {
+            return self
+                .first_events
+                .merged(&self.abandoned, now)
+                .quantile(share, now);
         }
-        let sound = answered + vain.min(SOUND_VAIN * answered);
-        let share = share * sound / answered.max(f64::MIN_POSITIVE);
+        let healthy_weight = answered + abandoned.min(HEALTHY_ABANDON_RATIO * answered);
+        let share = share * healthy_weight / answered.max(f64::MIN_POSITIVE);
         self.first_events.quantile(share, now)
     }
 
-    /// What the quickest first events take, once enough are known.
+    /// Returns the time of the fastest first events, once enough are known.
     #[must_use]
     pub fn fastest_first_event(&self, now: Timestamp) -> Option<Duration> {
-        self.first_events.quantile(QUICKEST_SHARE, now)
+        self.first_events.quantile(FASTEST_QUANTILE, now)
     }
 
-    /// Half of the pauses between events do not exceed it.
+    /// Returns the median pause between events.
     #[must_use]
     pub fn median_pause(&self, now: Timestamp) -> Option<Duration> {
         self.pauses.quantile(0.5, now)
     }
 
-    /// A usual pause between events.
+    /// Returns the 90th percentile of the pauses between events.
     #[must_use]
     pub fn p90_pause(&self, now: Timestamp) -> Option<Duration> {
-        self.pauses.quantile(USUAL_SHARE, now)
+        self.pauses.quantile(P90, now)
     }
 
-    /// A usual time to a whole answer.
+    /// Returns the 90th percentile of the times to a complete answer.
     #[must_use]
     pub fn p90_answer_time(&self, now: Timestamp) -> Option<Duration> {
-        self.answers.quantile(USUAL_SHARE, now)
+        self.answers.quantile(P90, now)
     }
 }
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -1,28 +1,28 @@
-//! Turns before replicas of which some keep silent, with and without moves.
+//! Turns at replicas of which some stall, with and without moves.
 
 use luglink_edge::{Configuration, Route, RouteKind};
 use luglink_scheduling::{
-    AwaitedEvent, ExtraSends, Features, MoveDecision, RerunLimits, Restart, Stay, Usual,
-    WaitQuantiles, Waiting, Waits, cannot_meet_deadline, decide_move, hedge_after,
+    AwaitedEvent, ExtraSendBudget, Features, MoveDecision, RerunLimits, Restart, Stay,
+    WaitHistogram, WaitQuantiles, Waiting, Waits, cannot_meet_deadline, decide_move, hedge_after,
 };
 use luglink_types::{FeatureMode, FeatureModes, Timestamp};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::time::Duration;
 
-const AIM: Duration = Duration::from_millis(200);
+const TARGET_LATENCY: Duration = Duration::from_millis(200);
 const CALLER_WAITS: Duration = Duration::from_secs(4);
-/// Time for which a replica keeps its requests silent.
-const SILENCE: Duration = Duration::from_secs(6);
-/// Middle of the first events of sound replicas, and the spread of their logarithm.
+/// Time for which a stalled replica sends nothing.
+const STALL_TIME: Duration = Duration::from_secs(6);
+/// Median of the first events of healthy replicas, and the standard deviation of their logarithm.
 const MEDIAN: Duration = Duration::from_millis(146);
 const SPREAD: f64 = 0.59;
-/// Nine in ten first events of sound replicas are as quick.
-const USUAL: Duration = Duration::from_millis(311);
-/// Reading of a prompt elsewhere, and a connection.
-const ELSEWHERE: Duration = Duration::from_millis(90);
-/// Time for which turns that move keep away from a replica that another one has left.
-const TROUBLE_LASTS: Duration = Duration::from_secs(10);
+/// 90th percentile of the first events of healthy replicas.
+const P90_WAIT: Duration = Duration::from_millis(311);
+/// Time to connect to another replica and read a prompt there.
+const RESTART_TIME: Duration = Duration::from_millis(90);
+/// Time for which turns that move avoid a replica that another one has left.
+const AVOIDANCE_TIME: Duration = Duration::from_secs(10);
 const REPLICAS: u64 = 40;
 const TURNS_PER_S: u64 = 10;
 const SECONDS: u64 = 2_000;
@@ -46,16 +46,16 @@
     }
 }
 
-/// Replicas that answer each turn after a time of its own, unless they keep silent.
+/// Replicas that answer each turn after a random time, unless they are stalled.
 struct Engines {
     seed: u64,
-    /// Replicas that keep silent.
-    silent: u64,
-    slower: f64,
-    /// All replicas are four times slower in each second stretch of that length.
+    /// Number of stalled replicas.
+    stalled: u64,
+    slowdown: f64,
+    /// All replicas are four times slower in every second interval of that length.
     wave: Option<Duration>,
-    /// Replicas that turns have moved away from, and when.
-    troubled: HashMap<u64, Timestamp>,
+    /// Replicas that turns have left, and when.
+    left_replicas: HashMap<u64, Timestamp>,
 }
 
 impl Engines {
@@ -67,8 +67,8 @@
 
     fn follow_wave(&mut self, now: Timestamp) {
         if let Some(length) = self.wave {
-            let stretches = now.since(Timestamp::ZERO).as_secs() / length.as_secs();
-            self.slower = if stretches % 2 == 1 { 4.0 } else { 1.0 };
+            let intervals = now.since(Timestamp::ZERO).as_secs() / length.as_secs();
+            self.slowdown = if intervals % 2 == 1 { 4.0 } else { 1.0 };
         }
     }
 
@@ -76,44 +76,46 @@
         (self.draw() * REPLICAS as f64) as u64
     }
 
-    /// Another one, of those that no turn has left lately if there are any.
-    fn choose_besides(&mut self, first: u64, now: Timestamp) -> u64 {
-        self.troubled.insert(first, now);
-        self.troubled.retain(|_, at| now.since(*at) < TROUBLE_LASTS);
-        let sound = (0..REPLICAS).filter(|replica| !self.troubled.contains_key(replica));
-        let sound: Vec<u64> = sound.collect();
-        if sound.is_empty() {
+    /// Chooses another replica, if possible one that no turn has left recently.
+    fn choose_other(&mut self, first: u64, now: Timestamp) -> u64 {
+        self.left_replicas.insert(first, now);
+        self.left_replicas
+            .retain(|_, at| now.since(*at) < AVOIDANCE_TIME);
+        let healthy = (0..REPLICAS).filter(|replica| !self.left_replicas.contains_key(replica));
+        let healthy: Vec<u64> = healthy.collect();
+        if healthy.is_empty() {
             return (first + 1) % REPLICAS;
         }
-        sound[(self.draw() * sound.len() as f64) as usize]
+        healthy[(self.draw() * healthy.len() as f64) as usize]
     }
 
     fn first_event(&mut self, replica: u64) -> Duration {
-        // The sum of twelve evenly spread numbers is close to a normal one.
+        // The sum of twelve uniform random numbers is close to a normal one.
         let normal: f64 = (0..12).map(|_| self.draw()).sum::<f64>() - 6.0;
-        let sound = MEDIAN.mul_f64((normal * SPREAD).exp() * self.slower);
-        if replica < self.silent {
-            SILENCE + sound
+        let healthy_wait = MEDIAN.mul_f64((normal * SPREAD).exp() * self.slowdown);
+        if replica < self.stalled {
+            STALL_TIME + healthy_wait
         } else {
-            sound
+            healthy_wait
         }
     }
 }
 
 #[derive(Debug, Default)]
-struct Day {
+struct ReplayStats {
     turns: u32,
-    /// Without a first event within three times the usual wait and a read elsewhere.
+    /// Turns without a first event within three times the 90th percentile and the time to read a
+    /// prompt elsewhere.
     late: u32,
-    at_silent: u32,
-    at_silent_late: u32,
-    sound: u32,
-    sound_moved: u32,
+    at_stalled: u32,
+    at_stalled_late: u32,
+    healthy: u32,
+    healthy_moved: u32,
     moved: u32,
 }
 
-fn play(engines: &mut Engines, has_moves: bool) -> Day {
-    let (mut waits, route, mut day) = (Waits::default(), route(), Day::default());
+fn replay(engines: &mut Engines, moves_enabled: bool) -> ReplayStats {
+    let (mut waits, route, mut stats) = (Waits::default(), route(), ReplayStats::default());
     for number in 0..SECONDS * TURNS_PER_S {
         let now = Timestamp::from_micros(number * 1_000_000 / TURNS_PER_S);
         engines.follow_wave(now);
@@ -121,36 +123,38 @@
         let here = engines.first_event(first);
         let waits = waits.route(&route);
         waits.moves.earn();
-        let mut waiting = waiting(waits.first_event(AIM, now));
+        let mut waiting = waiting(waits.first_event(TARGET_LATENCY, now));
         waiting.outlier_ratio = waits.outlier_ratio();
-        let at = moves_at(&waiting).filter(|at| has_moves && *at < here && waits.moves.spend());
+        let at =
+            move_time(&waiting).filter(|at| moves_enabled && *at < here && waits.moves.spend());
         let waited = match at {
             None => here,
             Some(at) => {
                 waits.note_abandoned(at, now);
-                let other = engines.choose_besides(first, now);
-                at + ELSEWHERE + engines.first_event(other)
+                let other = engines.choose_other(first, now);
+                at + RESTART_TIME + engines.first_event(other)
             }
         };
-        // What another replica takes that reads the prompt anew is not what is usual.
+        // The time of another replica, which reads the prompt again, is not part of the
+        // distribution.
         if at.is_none() && here < CALLER_WAITS {
-            waits.note_first_event(here, AIM, now);
+            waits.note_first_event(here, TARGET_LATENCY, now);
         } else if at.is_none() {
             waits.note_abandoned(CALLER_WAITS, now);
         }
-        let is_late = waited > 3 * USUAL.mul_f64(engines.slower) + ELSEWHERE;
-        day.turns += 1;
-        day.late += u32::from(is_late);
-        day.moved += u32::from(at.is_some());
-        if first < engines.silent {
-            day.at_silent += 1;
-            day.at_silent_late += u32::from(is_late);
+        let is_late = waited > 3 * P90_WAIT.mul_f64(engines.slowdown) + RESTART_TIME;
+        stats.turns += 1;
+        stats.late += u32::from(is_late);
+        stats.moved += u32::from(at.is_some());
+        if first < engines.stalled {
+            stats.at_stalled += 1;
+            stats.at_stalled_late += u32::from(is_late);
         } else {
-            day.sound += 1;
-            day.sound_moved += u32::from(at.is_some());
+            stats.healthy += 1;
+            stats.healthy_moved += u32::from(at.is_some());
         }
     }
-    day
+    stats
 }
 
 fn waiting(first_event: WaitQuantiles) -> Waiting {
@@ -173,10 +177,10 @@
     }
 }
 
-/// Follows the decisions as a gateway does.
-fn moves_at(from: &Waiting) -> Option<Duration> {
+/// Applies the decisions as a gateway does. Returns the time of the move.
+fn move_time(from: &Waiting) -> Option<Duration> {
     let mut waiting = *from;
-    while waiting.waited < SILENCE {
+    while waiting.waited < STALL_TIME {
         match decide_move(&waiting) {
             MoveDecision::Move { .. } => return Some(waiting.waited),
             MoveDecision::Stay(_) => return None,
@@ -190,99 +194,108 @@
     None
 }
 
-fn engines(silent: u64) -> Engines {
+fn engines(stalled: u64) -> Engines {
     Engines {
         seed: 7,
-        silent,
-        slower: 1.0,
+        stalled,
+        slowdown: 1.0,
         wave: None,
-        troubled: HashMap::new(),
+        left_replicas: HashMap::new(),
     }
 }
 
 #[test]
-fn turns_at_silent_replicas_are_answered_by_others() {
-    let silent = REPLICAS / 10;
-    let plain = play(&mut engines(silent), false);
-    assert_eq!(plain.at_silent_late, plain.at_silent);
-    let moved = play(&mut engines(silent), true);
-    // A usual wait at the second replica is one that nine in ten do not exceed.
-    assert!(moved.at_silent_late * 10 <= moved.at_silent, "{moved:?}");
-    assert!(moved.late * 3 < plain.late, "{moved:?} {plain:?}");
-    assert!(moved.sound_moved * 100 <= moved.sound * 2, "{moved:?}");
+fn turns_at_stalled_replicas_are_answered_by_others() {
+    let stalled = REPLICAS / 10;
+    let without_moves = replay(&mut engines(stalled), false);
+    assert_eq!(without_moves.at_stalled_late, without_moves.at_stalled);
+    let with_moves = replay(&mut engines(stalled), true);
+    // Nine in ten waits at the second replica do not exceed the 90th percentile.
+    assert!(
+        with_moves.at_stalled_late * 10 <= with_moves.at_stalled,
+        "{with_moves:?}"
+    );
+    assert!(
+        with_moves.late * 3 < without_moves.late,
+        "{with_moves:?} {without_moves:?}"
+    );
+    assert!(
+        with_moves.healthy_moved * 100 <= with_moves.healthy * 2,
+        "{with_moves:?}"
+    );
 }
 
 #[test]
-fn hardly_a_turn_moves_while_all_replicas_are_well() {
-    let day = play(&mut engines(0), true);
-    assert!(day.moved * 100 <= day.turns * 3, "{day:?}");
+fn few_turns_move_while_all_replicas_are_healthy() {
+    let stats = replay(&mut engines(0), true);
+    assert!(stats.moved * 100 <= stats.turns * 3, "{stats:?}");
 }
 
 #[test]
-fn what_is_usual_follows_the_load_and_few_turns_move_meanwhile() {
+fn quantiles_follow_the_load_and_few_turns_move() {
     let mut slow = engines(0);
-    slow.slower = 5.0;
-    let day = play(&mut slow, true);
-    assert!(day.moved * 100 <= day.turns * 3, "{day:?}");
-    // Silent replicas by the half are more than moves may make up for.
-    let day = play(&mut engines(REPLICAS / 2), true);
-    assert!(day.moved * 5 <= day.turns + 20, "{day:?}");
+    slow.slowdown = 5.0;
+    let stats = replay(&mut slow, true);
+    assert!(stats.moved * 100 <= stats.turns * 3, "{stats:?}");
+    // Moves cannot make up for half of the replicas being stalled.
+    let stats = replay(&mut engines(REPLICAS / 2), true);
+    assert!(stats.moved * 5 <= stats.turns + 20, "{stats:?}");
 }
 
 #[test]
-fn waves_of_load_move_few_turns() {
+fn few_turns_move_during_waves_of_load() {
     let mut engines = engines(0);
     engines.wave = Some(Duration::from_secs(6));
-    let day = play(&mut engines, true);
-    assert!(day.moved * 100 <= day.turns * 3, "{day:?}");
+    let stats = replay(&mut engines, true);
+    assert!(stats.moved * 100 <= stats.turns * 3, "{stats:?}");
 }
 
 #[test]
-fn nothing_moves_while_many_waits_are_unusual() {
-    let mut waiting = waiting(WaitQuantiles::expected(AIM));
+fn nothing_moves_while_many_waits_are_outliers() {
+    let mut waiting = waiting(WaitQuantiles::expected(TARGET_LATENCY));
     waiting.outlier_ratio = 0.5;
-    assert_eq!(moves_at(&waiting), None);
+    assert_eq!(move_time(&waiting), None);
 }
 
 #[test]
 fn a_turn_that_no_replica_can_answer_in_time_stays() {
-    let mut waiting = waiting(WaitQuantiles::expected(AIM));
+    let mut waiting = waiting(WaitQuantiles::expected(TARGET_LATENCY));
     waiting.left = Duration::from_millis(250);
     let stays = MoveDecision::Stay(Stay::TooLate);
     assert_eq!(decide_move(&waiting), stays);
 }
 
 #[test]
-fn a_program_that_is_short_of_time_moves_sooner_but_not_at_once() {
-    let usual = WaitQuantiles {
-        median: AIM / 2,
-        p90: AIM,
+fn an_urgent_program_moves_sooner_but_not_at_once() {
+    let quantiles = WaitQuantiles {
+        median: TARGET_LATENCY / 2,
+        p90: TARGET_LATENCY,
     };
-    let mut waiting = waiting(usual);
-    let calm = moves_at(&waiting).unwrap();
+    let mut waiting = waiting(quantiles);
+    let relaxed = move_time(&waiting).unwrap();
     let mut within = |program_ms| {
         waiting.awaited = AwaitedEvent::FirstEvent {
             program: Some(Duration::from_millis(program_ms)),
         };
-        moves_at(&waiting).unwrap()
+        move_time(&waiting).unwrap()
     };
-    assert!(within(520) < calm);
-    assert!(within(520) > AIM);
-    assert_eq!(within(10_000), calm);
-    assert_eq!(within(10), calm, "a program that is late in any case");
+    assert!(within(520) < relaxed);
+    assert!(within(520) > TARGET_LATENCY);
+    assert_eq!(within(10_000), relaxed);
+    assert_eq!(within(10), relaxed, "a program that is late in any case");
 }
 
 #[test]
-fn a_stream_moves_when_a_pause_is_far_beyond_those_before() {
-    let moves_after = |longest_ms, bearable_ms| {
-        let mut waiting = waiting(WaitQuantiles::expected(AIM));
+fn a_stream_moves_after_a_pause_far_longer_than_before() {
+    let moves_after = |longest_ms, target_gap_ms| {
+        let mut waiting = waiting(WaitQuantiles::expected(TARGET_LATENCY));
         waiting.restart.tokens = 0;
         waiting.awaited = AwaitedEvent::NextEvent {
             longest: Duration::from_millis(longest_ms),
-            usual: Some(Duration::from_millis(30)),
-            bearable: Some(Duration::from_millis(bearable_ms)),
+            p90_pause: Some(Duration::from_millis(30)),
+            target_gap: Some(Duration::from_millis(target_gap_ms)),
         };
-        moves_at(&waiting).unwrap()
+        move_time(&waiting).unwrap()
     };
     assert_eq!(moves_after(30, 300), Duration::from_millis(300));
     assert!(moves_after(200, 300) >= Duration::from_millis(800));
@@ -290,22 +303,26 @@
 }
 
 #[test]
-fn a_few_long_waits_do_not_shift_what_is_usual() {
-    let mut usual = Usual::default();
+fn a_few_long_waits_do_not_shift_the_quantile() {
+    let mut histogram = WaitHistogram::default();
     let now = Timestamp::from_micros(1_000_000);
     for number in 0..100 {
         let ms = if number % 6 == 0 { 6_000 } else { 100 };
-        usual.note(Duration::from_millis(ms), now);
+        histogram.note(Duration::from_millis(ms), now);
     }
-    let learned = usual.quantile(0.8, now).unwrap();
+    let learned = histogram.quantile(0.8, now).unwrap();
     let expected = Duration::from_millis(100)..Duration::from_millis(125);
     assert!(expected.contains(&learned), "{learned:?}");
     let much_later = now.plus(Duration::from_secs(60));
-    assert_eq!(usual.quantile(0.8, much_later), None, "it has faded");
+    assert_eq!(
+        histogram.quantile(0.8, much_later),
+        None,
+        "old waits have decayed"
+    );
 }
 
 #[test]
-fn only_what_no_replica_can_answer_is_hopeless() {
+fn only_deadlines_below_the_fastest_answer_cannot_be_met() {
     let ms = Duration::from_millis;
     assert!(!cannot_meet_deadline(ms(1), None));
     assert!(cannot_meet_deadline(ms(20), Some(ms(40))));
@@ -313,12 +330,12 @@
 }
 
 #[test]
-fn second_sends_are_early_where_answers_are_quick_and_bounded_in_number() {
+fn hedges_are_early_for_quick_answers_and_limited_in_number() {
     let ms = Duration::from_millis;
     assert_eq!(hedge_after(None, ms(375)), ms(375));
     assert_eq!(hedge_after(Some(ms(70)), ms(375)), ms(140));
     assert_eq!(hedge_after(Some(ms(900)), ms(375)), ms(375));
-    let mut extra = ExtraSends::new(0.05);
+    let mut extra = ExtraSendBudget::new(0.05);
     let granted = (0..1_000).filter(|_| {
         extra.earn();
         extra.spend()
@@ -328,7 +345,7 @@
 }
 
 #[test]
-fn nothing_changes_where_no_second_replica_is_allowed() {
+fn moves_and_hedges_need_a_second_attempt() {
     let configuration = |route: &Route| Configuration {
         routes: vec![route.clone()],
         ..Configuration::default()
@@ -353,8 +370,8 @@
         is_first: bool,
         program in proptest::option::of(0_u64..20_000),
         longest in 0_u64..5_000,
-        usual in proptest::option::of(0_u64..5_000),
-        bearable in proptest::option::of(0_u64..5_000),
+        p90_pause in proptest::option::of(0_u64..5_000),
+        target_gap in proptest::option::of(0_u64..5_000),
     ) -> AwaitedEvent {
         let ms = Duration::from_millis;
         if is_first {
@@ -362,8 +379,8 @@
         } else {
             AwaitedEvent::NextEvent {
                 longest: ms(longest),
-                usual: usual.map(ms),
-                bearable: bearable.map(ms),
+                p90_pause: p90_pause.map(ms),
+                target_gap: target_gap.map(ms),
             }
         }
     }
@@ -399,7 +416,7 @@
 
 proptest! {
     #[test]
-    fn nothing_moves_that_may_not(waiting in any_waiting()) {
+    fn only_permitted_requests_move(waiting in any_waiting()) {
         let reruns = waiting.reruns;
         if let MoveDecision::Move { .. } = decide_move(&waiting) {
             prop_assert!(reruns.is_repeatable && reruns.has_untried_replica);
@@ -408,15 +425,15 @@
         }
     }
 
-    /// However often a request moves, it is never given to more replicas than allowed.
+    /// However often a request moves, it is never sent to more replicas than allowed.
     #[test]
-    fn never_more_replicas_than_allowed(waiting in any_waiting()) {
+    fn requests_never_reach_more_replicas_than_allowed(waiting in any_waiting()) {
         let mut waiting = waiting;
         waiting.reruns.may_have_run = 1;
         waiting.reruns.has_untried_replica = true;
         waiting.outlier_ratio = 0.0;
         waiting.left = Duration::from_secs(3_600);
-        while moves_at(&waiting).is_some() {
+        while move_time(&waiting).is_some() {
             waiting.waited = Duration::ZERO;
             waiting.reruns.may_have_run += 1;
         }
@@ -424,7 +441,7 @@
     }
 
     #[test]
-    fn a_look_is_never_due_at_once(waiting in any_waiting()) {
+    fn decisions_are_never_repeated_immediately(waiting in any_waiting()) {
         if let MoveDecision::WaitOn(pause) = decide_move(&waiting) {
             prop_assert!(pause > Duration::ZERO);
         }
--- a/crates/scheduling/tests/pool.rs
+++ b/crates/scheduling/tests/pool.rs
@@ -1,4 +1,4 @@
-//! Which replica gets a request.
+//! Choice of the replica that serves a request.
 
 use luglink_fleet::{Backend, BackendId, BackendList, GatewayLoad, Incarnation, ServiceLoad};
 use luglink_scheduling::{CandidateScope, Pool, RoutingRequest};
@@ -27,21 +27,21 @@
 
 fn pool(backends: Vec<Backend>) -> Pool {
     let mut pool = Pool::new("here");
-    show(&mut pool, &BackendList::default(), backends);
+    apply_list(&mut pool, &BackendList::default(), backends);
     pool
 }
 
-/// Shows a list in place of the one `before`.
-fn show(pool: &mut Pool, before: &BackendList, backends: Vec<Backend>) {
+/// Replaces the list `before`.
+fn apply_list(pool: &mut Pool, before: &BackendList, backends: Vec<Backend>) {
     pool.apply(&before.changes_to(&BackendList::new(backends)));
 }
 
-fn chosen(pool: &Pool, wish: &RoutingRequest<'_>, now: Timestamp) -> Option<String> {
-    pool.choose(wish, |_| true, now)
+fn chosen(pool: &Pool, request: &RoutingRequest<'_>, now: Timestamp) -> Option<String> {
+    pool.choose(request, |_| true, now)
         .map(|choice| choice.backend.id.0)
 }
 
-fn wish() -> RoutingRequest<'static> {
+fn request() -> RoutingRequest<'static> {
     RoutingRequest {
         service: SERVICE,
         ..RoutingRequest::default()
@@ -49,104 +49,104 @@
 }
 
 #[test]
-fn leaving_replicas_and_other_services_get_nothing() {
-    let mut leaving = backend("a", "here");
-    leaving.draining = true;
+fn draining_replicas_and_other_services_get_no_requests() {
+    let mut draining = backend("a", "here");
+    draining.draining = true;
     let mut other = backend("b", "here");
     other.service = "tools".to_owned();
-    let pool = pool(vec![leaving, other]);
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO), None);
+    let pool = pool(vec![draining, other]);
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO), None);
     assert!(pool.usable(&id("a")).is_none());
     assert!(pool.lists(&id("a")));
 }
 
 #[test]
-fn a_replica_that_was_tried_is_not_taken_again() {
+fn a_tried_replica_is_not_chosen_again() {
     let pool = pool(vec![backend("a", "here"), backend("b", "there")]);
     let tried = [id("a")];
-    let wish = RoutingRequest {
+    let request = RoutingRequest {
         tried: &tried,
-        ..wish()
+        ..request()
     };
-    assert_eq!(chosen(&pool, &wish, Timestamp::ZERO).unwrap(), "b");
+    assert_eq!(chosen(&pool, &request, Timestamp::ZERO).unwrap(), "b");
 }
 
 #[test]
-fn near_ones_are_preferred_until_they_are_busier() {
+fn near_replicas_are_preferred_until_they_are_busier() {
     let mut pool = pool(vec![backend("near", "here"), backend("far", "there")]);
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "near");
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO).unwrap(), "near");
     for _ in 0..3 {
         pool.begin(&id("near"));
     }
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "far");
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO).unwrap(), "far");
     for _ in 0..3 {
         pool.end(&id("near"));
     }
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "near");
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO).unwrap(), "near");
 }
 
 #[test]
-fn the_cache_draws_a_request_unless_its_replica_is_much_busier() {
+fn the_replica_with_the_prompt_is_chosen_unless_much_busier() {
     let mut pool = pool(vec![backend("cold", "here"), backend("warm", "there")]);
     let warm = id("warm");
-    let wish = RoutingRequest {
+    let request = RoutingRequest {
         cached_at: Some(&warm),
-        ..wish()
+        ..request()
     };
     pool.begin(&warm);
-    assert_eq!(chosen(&pool, &wish, Timestamp::ZERO).unwrap(), "warm");
+    assert_eq!(chosen(&pool, &request, Timestamp::ZERO).unwrap(), "warm");
     for _ in 0..8 {
         pool.begin(&warm);
     }
-    assert_eq!(chosen(&pool, &wish, Timestamp::ZERO).unwrap(), "cold");
+    assert_eq!(chosen(&pool, &request, Timestamp::ZERO).unwrap(), "cold");
 }
 
 #[test]
-fn a_replica_that_failed_pauses_longer_each_time_and_an_answer_ends_that() {
+fn ejections_lengthen_with_each_failure_and_end_with_a_success() {
     let mut pool = pool(vec![backend("a", "here"), backend("b", "there")]);
     let now = Timestamp::from_millis(1_000);
     let first = pool.failed(&id("a"), now).unwrap().since(now);
     let second = pool.failed(&id("a"), now).unwrap().since(now);
     assert!(second > first);
-    assert_eq!(chosen(&pool, &wish(), now).unwrap(), "b");
-    // After its pause it is taken again, at first only when the others have been tried.
+    assert_eq!(chosen(&pool, &request(), now).unwrap(), "b");
+    // After its ejection it is chosen again, at first only if the others have been tried.
     let later = now.plus(second);
     let tried = [id("b")];
     let alone = RoutingRequest {
         tried: &tried,
-        ..wish()
+        ..request()
     };
     assert_eq!(chosen(&pool, &alone, later).unwrap(), "a");
-    assert_eq!(chosen(&pool, &wish(), later).unwrap(), "b");
+    assert_eq!(chosen(&pool, &request(), later).unwrap(), "b");
     let much_later = now.plus(Duration::from_secs(60));
-    assert_eq!(chosen(&pool, &wish(), much_later).unwrap(), "a");
+    assert_eq!(chosen(&pool, &request(), much_later).unwrap(), "a");
     pool.succeeded(&id("a"), Duration::from_millis(10));
     let again = pool.failed(&id("a"), later).unwrap().since(later);
     assert_eq!(again, first);
 }
 
 #[test]
-fn when_all_failed_the_one_that_pauses_least_is_taken() {
+fn if_all_replicas_are_ejected_the_shortest_ejection_is_chosen() {
     let mut pool = pool(vec![backend("a", "here"), backend("b", "there")]);
     let now = Timestamp::from_millis(1_000);
     pool.failed(&id("a"), now);
     pool.failed(&id("a"), now);
     pool.failed(&id("b"), now);
-    assert_eq!(chosen(&pool, &wish(), now).unwrap(), "b");
+    assert_eq!(chosen(&pool, &request(), now).unwrap(), "b");
 }
 
 #[test]
-fn a_new_list_keeps_what_is_known_of_those_that_stay() {
+fn a_new_list_keeps_the_records_of_remaining_replicas() {
     let before = vec![backend("a", "here"), backend("b", "here")];
     let mut pool = pool(before.clone());
     for _ in 0..4 {
         pool.begin(&id("a"));
     }
     let after = vec![backend("a", "here"), backend("c", "here")];
-    show(&mut pool, &BackendList::new(before), after);
-    assert_eq!(chosen(&pool, &wish(), Timestamp::ZERO).unwrap(), "c");
+    apply_list(&mut pool, &BackendList::new(before), after);
+    assert_eq!(chosen(&pool, &request(), Timestamp::ZERO).unwrap(), "c");
     assert!(!pool.lists(&id("b")));
-    // Requests of replicas that have left end without harm.
+    // Requests at replicas that were removed end without an error.
     pool.end(&id("b"));
 }
 
@@ -154,7 +154,7 @@
 fn gateways_with_the_same_list_agree_on_a_program_s_home() {
     let backends: Vec<Backend> = (0..5).map(|n| backend(&n.to_string(), "here")).collect();
     let mut elsewhere = Pool::new("there");
-    show(&mut elsewhere, &BackendList::default(), backends.clone());
+    apply_list(&mut elsewhere, &BackendList::default(), backends.clone());
     let here = pool(backends);
     let homes: Vec<_> = (0..100)
         .map(|program| here.home(SERVICE, program))
@@ -168,22 +168,26 @@
 }
 
 #[test]
-fn a_replica_that_fails_now_and_then_gets_less_until_that_is_long_ago() {
+fn occasional_failures_count_until_they_decay() {
     let mut pool = pool(vec![backend("grey", "here"), backend("sound", "there")]);
     let now = Timestamp::from_millis(100_000);
-    assert_eq!(chosen(&pool, &wish(), now).unwrap(), "grey", "it is nearer");
+    assert_eq!(
+        chosen(&pool, &request(), now).unwrap(),
+        "grey",
+        "the replica is nearer"
+    );
     for _ in 0..3 {
         pool.note_failure(&id("grey"), now);
         pool.succeeded(&id("grey"), Duration::from_millis(10));
     }
-    // A success ends a pause, but not what is known of the failures.
-    assert_eq!(chosen(&pool, &wish(), now).unwrap(), "sound");
+    // A success ends an ejection, but does not erase the recorded failures.
+    assert_eq!(chosen(&pool, &request(), now).unwrap(), "sound");
     let later = now.plus(Duration::from_secs(60));
-    assert_eq!(chosen(&pool, &wish(), later).unwrap(), "grey");
+    assert_eq!(chosen(&pool, &request(), later).unwrap(), "grey");
 }
 
 #[test]
-fn a_replica_with_a_connection_at_rest_is_preferred_until_it_is_busier_or_farther() {
+fn a_replica_with_an_idle_connection_is_preferred_unless_busier_or_farther() {
     let mut pool = pool(vec![
         backend("new", "here"),
         backend("kept", "here"),
@@ -193,8 +197,8 @@
         pool.note_connected(&id(connected));
     }
     let chosen = |pool: &Pool, connected: &str, draw| {
-        let wish = RoutingRequest { draw, ..wish() };
-        pool.choose(&wish, |id| id.0 == connected, Timestamp::ZERO)
+        let request = RoutingRequest { draw, ..request() };
+        pool.choose(&request, |id| id.0 == connected, Timestamp::ZERO)
             .map(|choice| choice.backend.id.0)
             .unwrap()
     };
@@ -203,7 +207,7 @@
         assert_ne!(
             chosen(&pool, "far", draw),
             "far",
-            "a connection is not worth the way"
+            "a connection does not outweigh the distance"
         );
     }
     pool.begin(&id("kept"));
@@ -238,7 +242,7 @@
 }
 
 #[test]
-fn leaving_replicas_do_not_make_a_zone_large_enough() {
+fn draining_replicas_do_not_count_for_the_size_of_a_zone() {
     let mut backends: Vec<Backend> = (0..15)
         .map(|number| Backend {
             draining: number > 6,
@@ -252,14 +256,14 @@
 }
 
 #[test]
-fn programs_stay_in_their_zones_only_where_every_zone_has_enough_replicas() {
+fn programs_stay_in_their_zones_only_if_every_zone_has_enough_replicas() {
     let in_zone = |zone: &str, count: usize| -> Vec<Backend> {
         let name = |number| format!("{zone}-{number}");
         (0..count)
             .map(|number| backend(&name(number), zone))
             .collect()
     };
-    // Were this zone to keep its programs, its replicas would have those of smaller zones besides.
+    // If this zone kept its programs, its replicas would also get those of smaller zones.
     let mut backends = in_zone("here", 8);
     backends.extend(in_zone("there", 7));
     let pool = pool(backends);
@@ -274,7 +278,7 @@
 }
 
 #[test]
-fn programs_of_a_zone_without_replicas_have_a_home_elsewhere() {
+fn programs_of_a_zone_without_replicas_have_a_home_in_another_zone() {
     let backends = (0..15).map(|number| backend(&format!("there-{number}"), "there"));
     assert!(pool(backends.collect()).home(SERVICE, 1).is_some());
 }
@@ -297,7 +301,7 @@
 }
 
 #[test]
-fn replicas_that_failed_are_candidates_only_when_no_others_are_left() {
+fn ejected_replicas_are_the_last_candidates() {
     let backends = (0..3).map(|number| backend(&format!("here-{number}"), "here"));
     let mut pool = pool(backends.collect());
     let candidates = |pool: &Pool, count| {
@@ -314,22 +318,22 @@
 }
 
 #[test]
-fn where_programs_stay_in_their_zone_the_other_zones_are_elsewhere() {
+fn candidates_in_other_zones_are_separate_from_home() {
     let zone =
         |zone: &'static str| (0..8).map(move |number| backend(&format!("{zone}-{number}"), zone));
     let pool = pool(zone("here").chain(zone("there")).collect());
-    let reach = |reach| pool.candidates(SERVICE, 1, reach, 20, Timestamp::ZERO);
+    let in_scope = |scope| pool.candidates(SERVICE, 1, scope, 20, Timestamp::ZERO);
     let (home, elsewhere) = (
-        reach(CandidateScope::Home),
-        reach(CandidateScope::OtherZones),
+        in_scope(CandidateScope::Home),
+        in_scope(CandidateScope::OtherZones),
     );
     assert!(home.iter().all(|found| found.zone == "here"));
     assert!(elsewhere.iter().all(|found| found.zone == "there"));
     assert_eq!((home.len(), elsewhere.len()), (8, 8));
 }
 
-/// Replicas of two zones.
-fn large(in_each: usize) -> Vec<Backend> {
+/// Returns the replicas of two zones.
+fn two_zones(in_each: usize) -> Vec<Backend> {
     let zone = |zone: &'static str| {
         (0..in_each).map(move |number| backend(&format!("{zone}-{number}"), zone))
     };
@@ -346,114 +350,121 @@
     }
 }
 
-/// A choice weighs those that this gateway has used lately and a drawn one, not the whole fleet.
+/// A choice compares the replicas that this gateway has used recently and a drawn one, not the
+/// whole fleet.
 #[test]
-fn a_choice_looks_at_a_few_replicas_however_many_there_are() {
+fn a_choice_compares_few_replicas_in_any_fleet() {
     for in_each in [50, 500, 5_000, 10_000] {
-        let mut pool = pool(large(in_each));
+        let mut pool = pool(two_zones(in_each));
         // Over time this gateway uses every replica.
         for number in 0..in_each {
             let used = id(&format!("here-{number}"));
             pool.begin(&used);
             pool.end(&used);
         }
-        let looks = Cell::new(0);
+        let connection_checks = Cell::new(0);
         for draw in 0..50 {
-            let wish = RoutingRequest { draw, ..wish() };
+            let request = RoutingRequest { draw, ..request() };
             let is_connected = |_: &BackendId| {
-                looks.set(looks.get() + 1);
+                connection_checks.set(connection_checks.get() + 1);
                 false
             };
-            pool.choose(&wish, is_connected, Timestamp::ZERO).unwrap();
+            pool.choose(&request, is_connected, Timestamp::ZERO)
+                .unwrap();
         }
-        assert!(looks.get() <= 50 * 66, "{in_each}: {}", looks.get());
+        assert!(
+            connection_checks.get() <= 50 * 66,
+            "{in_each}: {}",
+            connection_checks.get()
+        );
     }
 }
 
 #[test]
-fn programs_begin_at_as_many_replicas_as_the_load_needs() {
+fn programs_start_at_as_many_replicas_as_the_load_needs() {
     let homes = |pool: &Pool| -> BTreeSet<BackendId> {
         let homes = (0..5_000).filter_map(|program| pool.home(SERVICE, program));
         homes.collect()
     };
-    let mut pool = pool(large(1_000));
+    let mut pool = pool(two_zones(1_000));
     let idle = homes(&pool);
     assert!(idle.len() <= 16, "{}", idle.len());
     let now = Timestamp::from_millis(1_000);
-    // Replicas have ten slots: four hundred places for a hundred requests.
+    // Replicas have ten slots: four hundred slots for a hundred requests.
     pool.follow_zone_load(&load(100), now);
     let busy = homes(&pool);
     assert_eq!(busy.len(), 40);
-    assert!(busy.is_superset(&idle), "those that are warm stay in use");
+    assert!(busy.is_superset(&idle), "replicas in use stay in use");
     pool.follow_zone_load(&load(0), now.plus(Duration::from_secs(1)));
-    assert!(homes(&pool).len() > 30, "it shrinks slowly");
+    assert!(homes(&pool).len() > 30, "the working set shrinks slowly");
     pool.follow_zone_load(&load(0), now.plus(Duration::from_secs(100)));
     assert_eq!(homes(&pool), idle);
     pool.follow_zone_load(&load(100_000), now.plus(Duration::from_secs(101)));
     assert!(
         homes(&pool).len() > 980,
-        "all but those that no program fell to"
+        "all replicas except those that no program maps to"
     );
 }
 
 #[test]
-fn busy_replicas_make_the_working_set_grow_at_once() {
-    let mut pool = pool(large(1_000));
-    let reach = |pool: &Pool, reach| {
-        let found = pool.candidates(SERVICE, 1, reach, 1_000, Timestamp::ZERO);
+fn the_working_set_grows_at_once() {
+    let mut pool = pool(two_zones(1_000));
+    let in_scope = |pool: &Pool, scope| {
+        let found = pool.candidates(SERVICE, 1, scope, 1_000, Timestamp::ZERO);
         let found: BTreeSet<BackendId> = found.into_iter().map(|found| found.id).collect();
         found
     };
-    let before = reach(&pool, CandidateScope::Home);
-    let spare = reach(&pool, CandidateScope::Spare);
+    let before = in_scope(&pool, CandidateScope::Home);
+    let spare = in_scope(&pool, CandidateScope::Spare);
     assert!(spare.is_disjoint(&before) && !spare.is_empty());
     pool.grow_working_set(SERVICE);
-    let after = reach(&pool, CandidateScope::Home);
+    let after = in_scope(&pool, CandidateScope::Home);
     assert!(after.len() > before.len() && after.is_superset(&before));
 }
 
 /// A crash of many replicas must leave the zone enough of them at once.
 #[test]
-fn others_take_the_place_of_members_of_the_working_set_that_leave() {
-    let backends = large(1_000);
+fn draining_members_of_the_working_set_are_replaced() {
+    let backends = two_zones(1_000);
     let mut pool = pool(backends.clone());
     let homes = |pool: &Pool| -> BTreeSet<BackendId> {
         let homes = (0..2_000).filter_map(|program| pool.home(SERVICE, program));
         homes.collect()
     };
     let before = homes(&pool);
-    let leaving: BTreeSet<&BackendId> = before.iter().take(8).collect();
+    let draining: BTreeSet<&BackendId> = before.iter().take(8).collect();
     let left = backends.iter().cloned().map(|backend| Backend {
-        draining: leaving.contains(&backend.id),
+        draining: draining.contains(&backend.id),
         ..backend
     });
-    show(
+    apply_list(
         &mut pool,
         &BackendList::new(backends.clone()),
         left.collect(),
     );
     let after = homes(&pool);
     assert_eq!(after.len(), before.len());
-    assert!(after.iter().all(|home| !leaving.contains(home)));
+    assert!(after.iter().all(|home| !draining.contains(home)));
     assert_eq!(after.intersection(&before).count(), before.len() - 8);
 }
 
-/// When all that a gateway has used are busy, one more of the working set gets the request.
+/// If all replicas that a gateway has used are busy, another one of the working set gets the
+/// request.
 #[test]
-fn requests_go_to_the_working_set_until_all_of_it_has_been_tried() {
-    let pool = pool(large(1_000));
+fn requests_use_the_working_set_until_all_of_it_was_tried() {
+    let pool = pool(two_zones(1_000));
     let mut tried = Vec::new();
     let set: BTreeSet<String> = (0..2_000)
         .filter_map(|program| pool.home(SERVICE, program))
         .map(|home| home.0)
         .collect();
     for draw in 0..(set.len() as u64 + 5) {
-        let wish = RoutingRequest {
+        let request = RoutingRequest {
             tried: &tried,
             draw,
-            ..wish()
+            ..request()
         };
-        let chosen = chosen(&pool, &wish, Timestamp::ZERO).unwrap();
+        let chosen = chosen(&pool, &request, Timestamp::ZERO).unwrap();
         assert_eq!(set.contains(&chosen), tried.len() < set.len());
         assert!(chosen.starts_with("here"));
         tried.push(id(&chosen));
--- a/crates/turns/src/account.rs
+++ b/crates/turns/src/account.rs
@@ -44,7 +44,7 @@
 
 impl Account {
     /// Records the tokens of a turn. Returns true if the account changed.
-    pub fn note(&mut self, turn: &TurnId, spend: Spend) -> bool {
+    pub fn record(&mut self, turn: &TurnId, spend: Spend) -> bool {
         let known = self.spends.get(turn).copied();
         let merged = known.map_or(spend, |known| known.merge(spend));
         if known == Some(merged) {
@@ -57,7 +57,7 @@
     /// Merges another copy into this one.
     pub fn merge(&mut self, other: &Self) {
         for (turn, spend) in &other.spends {
-            self.note(turn, *spend);
+            self.record(turn, *spend);
         }
     }
 
@@ -81,7 +81,7 @@
     /// Returns true if no turn other than `turn` has spent or reserved tokens, which means that
     /// `turn` is the first of the program.
     #[must_use]
-    pub fn is_begun_by(&self, turn: &TurnId) -> bool {
+    pub fn is_first_turn(&self, turn: &TurnId) -> bool {
         let mut others = self.spends().filter(|(other, _)| *other != turn);
         others.all(|(_, spend)| spend == Spend::Settled(0))
     }
--- a/crates/turns/src/node.rs
+++ b/crates/turns/src/node.rs
@@ -220,8 +220,8 @@
                 epoch,
                 turn,
                 tokens,
-                carried,
-            } => self.keep(token, epoch, *turn, tokens, carried),
+                foreign_ancestors,
+            } => self.keep(token, epoch, *turn, tokens, foreign_ancestors),
             StoreRequest::HandOver { turns, accounts } => {
                 self.accept_hand_over(token, turns, accounts)
             }
@@ -282,12 +282,12 @@
         epoch: u64,
         turn: TurnRecord,
         tokens: u64,
-        carried: Vec<TurnRecord>,
+        foreign_ancestors: Vec<TurnRecord>,
     ) {
         let program = turn.program.clone();
         let settled = Spend::Settled(tokens);
         let mut entries = vec![spend_entry(&program, &turn.id, settled, turn.retention_ms)];
-        entries.extend(carried.into_iter().map(Entry::Turn));
+        entries.extend(foreign_ancestors.into_iter().map(Entry::Turn));
         entries.push(Entry::Turn(turn));
         self.write(epoch, &program, entries);
         self.pending.push(PendingReply {
@@ -498,7 +498,7 @@
                 retention_ms,
             } => {
                 let mut account = Account::default();
-                account.note(turn, *spend);
+                account.record(turn, *spend);
                 accounts.push((program.clone(), account, *retention_ms));
             }
             Entry::HandedOver(_) => {}
--- a/crates/turns/src/protocol.rs
+++ b/crates/turns/src/protocol.rs
@@ -63,7 +63,7 @@
         /// Tokens that the turn took.
         tokens: u64,
         /// Ancestors that belong to another program, whose records other stores may own.
-        carried: Vec<TurnRecord>,
+        foreign_ancestors: Vec<TurnRecord>,
     },
     /// Looks up a chain.
     Lookup(ChainQuery),
--- a/crates/turns/src/replication.rs
+++ b/crates/turns/src/replication.rs
@@ -52,7 +52,7 @@
 impl AbsenceProof {
     /// Records a store's response. It counts only if the view shows that the store is not still
     /// being filled and that its disk was not replaced.
-    pub fn note(&mut self, view: &StoreView, store: &StoreName, chain: &Chain) {
+    pub fn record(&mut self, view: &StoreView, store: &StoreName, chain: &Chain) {
         if let Chain::Absent { incarnation } = chain
             && view.is_authoritative(store, *incarnation)
         {
--- a/crates/turns/src/state.rs
+++ b/crates/turns/src/state.rs
@@ -106,7 +106,7 @@
         held.expires_at = held
             .expires_at
             .max(now.plus(Duration::from_millis(held.retention_ms)));
-        held.account.note(turn, spend);
+        held.account.record(turn, spend);
     }
 
     /// Removes turns and accounts whose retention has passed.
--- a/crates/turns/tests/accounts.rs
+++ b/crates/turns/tests/accounts.rs
@@ -19,7 +19,7 @@
         } else {
             Spend::Reserved(*tokens)
         };
-        account.note(&turn(*number), spend);
+        account.record(&turn(*number), spend);
     }
     account
 }
@@ -39,12 +39,12 @@
 
 #[test]
 fn a_turn_is_the_first_unless_another_one_has_spent_or_reserved_tokens() {
-    assert!(Account::default().is_begun_by(&turn(1)));
-    assert!(account(&[(1, false, 288)]).is_begun_by(&turn(1)));
+    assert!(Account::default().is_first_turn(&turn(1)));
+    assert!(account(&[(1, false, 288)]).is_first_turn(&turn(1)));
     // A turn that was refused, or failed before it generated a token, does not count.
-    assert!(account(&[(1, false, 288), (2, true, 0)]).is_begun_by(&turn(1)));
-    assert!(!account(&[(1, false, 288), (2, true, 9)]).is_begun_by(&turn(1)));
-    assert!(!account(&[(1, false, 288), (2, false, 288)]).is_begun_by(&turn(1)));
+    assert!(account(&[(1, false, 288), (2, true, 0)]).is_first_turn(&turn(1)));
+    assert!(!account(&[(1, false, 288), (2, true, 9)]).is_first_turn(&turn(1)));
+    assert!(!account(&[(1, false, 288), (2, false, 288)]).is_first_turn(&turn(1)));
 }
 
 proptest! {
@@ -64,7 +64,7 @@
         let spends: Vec<(TurnId, Spend)> =
             known.spends().map(|(turn, spend)| (turn.clone(), spend)).collect();
         for (turn, spend) in spends {
-            prop_assert!(!known.note(&turn, spend));
+            prop_assert!(!known.record(&turn, spend));
         }
     }
 }
--- a/crates/turns/tests/admission.rs
+++ b/crates/turns/tests/admission.rs
@@ -49,7 +49,7 @@
             return;
         }
         let store = self.order[self.written];
-        stores[store].note(&self.turn, Spend::Reserved(CEILING));
+        stores[store].record(&self.turn, Spend::Reserved(CEILING));
         self.written += 1;
         if self.written > QUORUM {
             return;
--- a/crates/turns/tests/store.rs
+++ b/crates/turns/tests/store.rs
@@ -72,7 +72,7 @@
         epoch,
         turn: Box::new(record),
         tokens,
-        carried: Vec::new(),
+        foreign_ancestors: Vec::new(),
     }
 }
 
@@ -458,14 +458,14 @@
     let view = registry.view();
     let absent = |incarnation| Chain::Absent { incarnation };
     let mut absence = AbsenceProof::default();
-    absence.note(view, &name("a"), &absent(1));
+    absence.record(view, &name("a"), &absent(1));
     assert!(!absence.is_certain(view, replication), "one may have it");
-    absence.note(view, &name("b"), &absent(77));
+    absence.record(view, &name("b"), &absent(77));
     assert!(
         !absence.is_certain(view, replication),
         "a replaced disk is not authoritative"
     );
-    absence.note(view, &name("b"), &absent(2));
+    absence.record(view, &name("b"), &absent(2));
     assert!(absence.is_certain(view, replication));
     let nobody = StoreView::default();
     assert!(!AbsenceProof::default().is_certain(&nobody, replication));
