--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -11,11 +11,11 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 
 /// Parts of a streamed body that may wait for a slow caller.
-const QUEUE_PARTS: usize = 64;
+const MAX_QUEUED_PARTS: usize = 64;
 
 /// Bytes of a streamed body that may wait for a slow caller; a single part may be longer. Callers
 /// that read are never so far behind.
-const QUEUE_BYTES: u32 = 64 << 10;
+const MAX_QUEUED_BYTES: u32 = 64 << 10;
 
 /// The body cannot be completed: the connection must be broken off, so that nobody takes what
 /// was sent for the whole.
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub struct BodySender {
     parts: mpsc::Sender<Part>,
-    room: Arc<Semaphore>,
+    byte_permits: Arc<Semaphore>,
     finish: oneshot::Sender<()>,
 }
 
@@ -54,18 +54,20 @@
 #[derive(Debug)]
 struct Part {
     bytes: Bytes,
-    _room: Option<OwnedSemaphorePermit>,
+    _permits: Option<OwnedSemaphorePermit>,
 }
 
 impl BodySender {
     /// Sends a part, once there is room for it. Returns false when the caller has left.
     pub async fn send(&self, bytes: Bytes) -> bool {
         let length = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
-        let wanted = length.min(QUEUE_BYTES);
-        let room = Arc::clone(&self.room).acquire_many_owned(wanted).await;
+        let wanted = length.min(MAX_QUEUED_BYTES);
+        let byte_permits = Arc::clone(&self.byte_permits)
+            .acquire_many_owned(wanted)
+            .await;
         let part = Part {
             bytes,
-            _room: room.ok(),
+            _permits: byte_permits.ok(),
         };
         self.parts.send(part).await.is_ok()
     }
@@ -73,8 +75,8 @@
     /// Bytes that wait for the caller, a part longer than the room for them counted as that room.
     #[must_use]
     pub fn waiting_bytes(&self) -> u64 {
-        let free = self.room.available_permits() as u64;
-        u64::from(QUEUE_BYTES).saturating_sub(free)
+        let free = self.byte_permits.available_permits() as u64;
+        u64::from(MAX_QUEUED_BYTES).saturating_sub(free)
     }
 
     /// Waits until the caller has left.
@@ -92,23 +94,23 @@
 /// A body whose parts are sent one by one.
 #[must_use]
 pub fn stream_body() -> (BodySender, Body) {
-    let (parts_sender, parts) = mpsc::channel(QUEUE_PARTS);
+    let (parts_sender, parts) = mpsc::channel(MAX_QUEUED_PARTS);
     let (finish_sender, finish) = oneshot::channel();
     let sender = BodySender {
         parts: parts_sender,
-        room: Arc::new(Semaphore::new(QUEUE_BYTES as usize)),
+        byte_permits: Arc::new(Semaphore::new(MAX_QUEUED_BYTES as usize)),
         finish: finish_sender,
     };
-    (sender, Streamed { parts, finish }.boxed_unsync())
+    (sender, StreamBody { parts, finish }.boxed_unsync())
 }
 
 /// A body whose parts come one by one.
-struct Streamed {
+struct StreamBody {
     parts: mpsc::Receiver<Part>,
     finish: oneshot::Receiver<()>,
 }
 
-impl hyper::body::Body for Streamed {
+impl hyper::body::Body for StreamBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -5,7 +5,7 @@
 use hyper::client::conn::http1::SendRequest;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use luglink_net::set_liveness;
+use luglink_net::set_tcp_options;
 use snafu::{OptionExt, ResultExt, Snafu};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 pub enum ConnectError {
     /// The other end refused or is unreachable.
     #[snafu(display("cannot connect to {address}: {source}"))]
-    Refused {
+    Io {
         /// The other end.
         address: SocketAddr,
         /// Why not.
@@ -24,7 +24,7 @@
     },
     /// The other end is silent.
     #[snafu(display("no connection to {address} within {limit:?}"))]
-    Silent {
+    Timeout {
         /// The other end.
         address: SocketAddr,
         /// What was waited.
@@ -79,9 +79,9 @@
     let stream = actix_rt::time::timeout(limit, TcpStream::connect(address))
         .await
         .ok()
-        .context(SilentSnafu { address, limit })?
-        .context(RefusedSnafu { address })?;
-    set_liveness(&stream).context(RefusedSnafu { address })?;
+        .context(TimeoutSnafu { address, limit })?
+        .context(IoSnafu { address })?;
+    set_tcp_options(&stream).context(IoSnafu { address })?;
     let (sender, connection) = hyper::client::conn::http1::Builder::new()
         .handshake(TokioIo::new(stream))
         .await
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,7 +1,7 @@
 //! The accepting end.
 
 use crate::body::Body;
-use crate::unread::UnreadLimit;
+use crate::unread::WriteStallStream;
 use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
@@ -17,7 +17,7 @@
 use tokio::sync::watch;
 
 /// Pause after the operating system refused to accept, as when files run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Smallest buffer that the library takes, in bytes.
 const MIN_BUFFER_BYTES: usize = 8_192;
@@ -89,14 +89,14 @@
 
 /// Accepts connections for ever and has `handler` answer their requests. A request whose caller
 /// leaves is dropped, with the handler's future.
-pub async fn serve<Handler, Answer>(
+pub async fn serve<Handler, ResponseFuture>(
     listener: TcpListener,
     options: impl Fn() -> ServeOptions,
     signal: StopSignal,
     handler: Rc<Handler>,
 ) where
-    Handler: Fn(Request<Incoming>) -> Answer + 'static,
-    Answer: Future<Output = Result<Response<Body>, Abort>> + 'static,
+    Handler: Fn(Request<Incoming>) -> ResponseFuture + 'static,
+    ResponseFuture: Future<Output = Result<Response<Body>, Abort>> + 'static,
 {
     loop {
         match listener.accept().await {
@@ -107,20 +107,20 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "cannot accept");
-                actix_rt::time::sleep(ACCEPT_PAUSE).await;
+                actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_connection<Handler, Answer>(
+async fn serve_connection<Handler, ResponseFuture>(
     stream: TcpStream,
     options: ServeOptions,
     mut signal: StopSignal,
     handler: Rc<Handler>,
 ) where
-    Handler: Fn(Request<Incoming>) -> Answer + 'static,
-    Answer: Future<Output = Result<Response<Body>, Abort>> + 'static,
+    Handler: Fn(Request<Incoming>) -> ResponseFuture + 'static,
+    ResponseFuture: Future<Output = Result<Response<Body>, Abort>> + 'static,
 {
     // A connection without these options still serves.
     let _ = stream.set_nodelay(true);
@@ -131,7 +131,7 @@
     {
         tracing::debug!(%error, "the send buffer stays as it is");
     }
-    let stream = UnreadLimit::new(stream, options.unread);
+    let stream = WriteStallStream::new(stream, options.unread);
     let service = service_fn(move |request| handler(request));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/http/src/unread.rs
+++ b/crates/http/src/unread.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Sleep, sleep};
 
 /// A connection that fails once nothing of what is written to it was taken for a while.
-pub(crate) struct UnreadLimit {
+pub(crate) struct WriteStallStream {
     stream: TcpStream,
     /// The while; `None` to wait for ever.
     limit: Option<Duration>,
@@ -21,7 +21,7 @@
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl UnreadLimit {
+impl WriteStallStream {
     pub(crate) fn new(stream: TcpStream, limit: Option<Duration>) -> Self {
         Self {
             stream,
@@ -49,7 +49,7 @@
     }
 }
 
-impl AsyncRead for UnreadLimit {
+impl AsyncRead for WriteStallStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -59,7 +59,7 @@
     }
 }
 
-impl AsyncWrite for UnreadLimit {
+impl AsyncWrite for WriteStallStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/http/tests/unread.rs
+++ b/crates/http/tests/unread.rs
@@ -10,16 +10,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const LIMIT: Duration = Duration::from_millis(300);
+const STALL_TIMEOUT: Duration = Duration::from_millis(300);
 
 const PART_BYTES: usize = 16 << 10;
 
 /// More than the room of an answer and a part.
-const MOST_WAITING_BYTES: u64 = (64 << 10) + PART_BYTES as u64;
+const MAX_WAITING_BYTES: u64 = (64 << 10) + PART_BYTES as u64;
 
 /// Sends an answer without end to a caller that has asked for it. Returns its connection, the
 /// server's signal and whether the answer has ended.
-async fn endless(limit: Option<Duration>) -> (TcpStream, StopSignal, Rc<Cell<bool>>) {
+async fn start_endless_response(
+    limit: Option<Duration>,
+) -> (TcpStream, StopSignal, Rc<Cell<bool>>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (_, signal) = stopper();
@@ -36,7 +38,7 @@
             let (sender, body) = stream_body();
             actix_rt::spawn(async move {
                 while sender.send(Bytes::from(vec![b'x'; PART_BYTES])).await {
-                    assert!(sender.waiting_bytes() <= MOST_WAITING_BYTES);
+                    assert!(sender.waiting_bytes() <= MAX_WAITING_BYTES);
                 }
                 ended.set(true);
             });
@@ -54,7 +56,7 @@
 
 #[actix_rt::test]
 async fn a_connection_that_is_not_read_is_broken_off() {
-    let (_caller, signal, has_ended) = endless(Some(LIMIT)).await;
+    let (_caller, signal, has_ended) = start_endless_response(Some(STALL_TIMEOUT)).await;
     for _ in 0..600 {
         if has_ended.get() && signal.open_connections() == 0 {
             return;
@@ -66,11 +68,11 @@
 
 #[actix_rt::test]
 async fn one_that_is_read_goes_on() {
-    let (mut caller, signal, has_ended) = endless(Some(LIMIT)).await;
+    let (mut caller, signal, has_ended) = start_endless_response(Some(STALL_TIMEOUT)).await;
     let mut buffer = vec![0; PART_BYTES];
     for _ in 0..20 {
         assert!(caller.read(&mut buffer).await.unwrap() > 0);
-        actix_rt::time::sleep(LIMIT / 10).await;
+        actix_rt::time::sleep(STALL_TIMEOUT / 10).await;
     }
     assert!(!has_ended.get());
     assert_eq!(signal.open_connections(), 1);
@@ -78,8 +80,8 @@
 
 #[actix_rt::test]
 async fn without_a_limit_it_stays_open() {
-    let (_caller, signal, has_ended) = endless(None).await;
-    actix_rt::time::sleep(LIMIT * 4).await;
+    let (_caller, signal, has_ended) = start_endless_response(None).await;
+    actix_rt::time::sleep(STALL_TIMEOUT * 4).await;
     assert!(!has_ended.get());
     assert_eq!(signal.open_connections(), 1);
 }
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -8,13 +8,13 @@
 use tokio::sync::mpsc;
 
 /// Frames that may wait for one connection.
-const QUEUE_FRAMES: usize = 8_192;
+const MAX_QUEUED_FRAMES: usize = 8_192;
 
 /// Bytes that are read at once.
-const READ_BYTES: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
 /// Bytes of waiting frames that are written at once.
-const WRITE_BYTES: usize = 256 << 10;
+const WRITE_BATCH_BYTES: usize = 256 << 10;
 
 /// Puts frames into a connection's queue.
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
 /// A bounded queue of frames.
 #[must_use]
 pub fn frame_channel() -> (FrameSender, mpsc::Receiver<Frame>) {
-    let (sender, receiver) = mpsc::channel(QUEUE_FRAMES);
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
     (FrameSender(sender), receiver)
 }
 
@@ -47,7 +47,7 @@
         Self {
             half,
             decoder: FrameDecoder::default(),
-            buffer: vec![0; READ_BYTES],
+            buffer: vec![0; READ_BUFFER_BYTES],
         }
     }
 
@@ -75,7 +75,7 @@
 ) -> Result<(), NetError> {
     while let Some(frame) = frames.recv().await {
         let mut bytes = encode_frame(&frame)?;
-        while bytes.len() < WRITE_BYTES {
+        while bytes.len() < WRITE_BATCH_BYTES {
             match frames.try_recv() {
                 Ok(frame) => bytes.extend(encode_frame(&frame)?),
                 Err(_) => break,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -17,4 +17,4 @@
 pub use link::{Link, LinkEvent};
 pub use listener::{Accepted, serve};
 pub use request_client::RequestClient;
-pub use socket::{set_liveness, set_send_buffer};
+pub use socket::{set_send_buffer, set_tcp_options};
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::{FrameReader, FrameSender, frame_channel, write_frames};
 use crate::errors::{IoSnafu, NetError};
-use crate::socket::set_liveness;
+use crate::socket::set_tcp_options;
 use luglink_wire::{Frame, Hello};
 use snafu::ResultExt;
 use std::cell::RefCell;
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 
 /// Pause before a broken connection is tried again.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
 /// Time after which an attempt to connect is given up. A machine that is dark answers nothing, and
 /// its first packet is sent again only after a second: an attempt that begins while it is dark
@@ -34,7 +34,7 @@
 /// Dropping the link closes it.
 #[derive(Debug)]
 pub struct Link {
-    current: Rc<RefCell<Option<FrameSender>>>,
+    current_sender: Rc<RefCell<Option<FrameSender>>>,
     task: actix_rt::task::JoinHandle<()>,
 }
 
@@ -43,15 +43,24 @@
     pub fn open(address: SocketAddr, hello: Hello, on_event: impl Fn(LinkEvent) + 'static) -> Self {
         // What is sent from now on goes with the first connection: the first message of a process
         // that has just started must not be lost to its own link.
-        let (sender, frames) = greeting(hello);
-        let current = Rc::new(RefCell::new(Some(sender)));
-        let task = actix_rt::spawn(run(address, hello, Rc::clone(&current), frames, on_event));
-        Self { current, task }
+        let (sender, frames) = queue_with_hello(hello);
+        let current_sender = Rc::new(RefCell::new(Some(sender)));
+        let task = actix_rt::spawn(run(
+            address,
+            hello,
+            Rc::clone(&current_sender),
+            frames,
+            on_event,
+        ));
+        Self {
+            current_sender,
+            task,
+        }
     }
 
     /// Sends a frame. Returns false when the link is broken or its queue is full.
     pub fn send(&self, frame: Frame) -> bool {
-        self.current
+        self.current_sender
             .borrow()
             .as_ref()
             .is_some_and(|sender| sender.send(frame))
@@ -65,7 +74,7 @@
 }
 
 /// A queue for one connection that begins with the hello.
-fn greeting(hello: Hello) -> (FrameSender, mpsc::Receiver<Frame>) {
+fn queue_with_hello(hello: Hello) -> (FrameSender, mpsc::Receiver<Frame>) {
     let (sender, frames) = frame_channel();
     sender.send(Frame::Hello(hello));
     (sender, frames)
@@ -74,20 +83,20 @@
 async fn run(
     address: SocketAddr,
     hello: Hello,
-    current: Rc<RefCell<Option<FrameSender>>>,
+    current_sender: Rc<RefCell<Option<FrameSender>>>,
     mut frames: mpsc::Receiver<Frame>,
     on_event: impl Fn(LinkEvent),
 ) {
     loop {
         let ended = connect_once(address, frames, &on_event).await;
-        *current.borrow_mut() = None;
+        *current_sender.borrow_mut() = None;
         if let Err(error) = ended {
             tracing::debug!(%address, %error, "link lost");
         }
         on_event(LinkEvent::Lost);
-        actix_rt::time::sleep(RECONNECT_PAUSE).await;
-        let (sender, next) = greeting(hello);
-        *current.borrow_mut() = Some(sender);
+        actix_rt::time::sleep(RECONNECT_DELAY).await;
+        let (sender, next) = queue_with_hello(hello);
+        *current_sender.borrow_mut() = Some(sender);
         frames = next;
     }
 }
@@ -103,7 +112,7 @@
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))
         .and_then(|connected| connected)
         .context(IoSnafu { action: "connect" })?;
-    set_liveness(&stream).context(IoSnafu {
+    set_tcp_options(&stream).context(IoSnafu {
         action: "configure",
     })?;
     let (read_half, write_half) = stream.into_split();
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::{FrameReader, FrameSender, frame_channel, write_frames};
 use crate::errors::{NetError, NoHelloSnafu};
-use crate::socket::set_liveness;
+use crate::socket::set_tcp_options;
 use luglink_wire::{Frame, Hello, PROTOCOL_VERSION};
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Pause after the operating system refused to accept, as when files run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What the accepting end is told.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "cannot accept");
-                actix_rt::time::sleep(ACCEPT_PAUSE).await;
+                actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -72,7 +72,7 @@
     on_event: &impl Fn(Accepted),
 ) -> Result<(), NetError> {
     // A peer that is slow to read must not delay small answers.
-    let _ = set_liveness(&stream);
+    let _ = set_tcp_options(&stream);
     let (read_half, write_half) = stream.into_split();
     let mut reader = FrameReader::new(read_half);
     let hello = read_hello(&mut reader).await?;
--- a/crates/net/src/request_client.rs
+++ b/crates/net/src/request_client.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-type Waiting = Rc<RefCell<HashMap<u64, oneshot::Sender<Vec<u8>>>>>;
+type PendingResponses = Rc<RefCell<HashMap<u64, oneshot::Sender<Vec<u8>>>>>;
 
 /// Sends requests over a link and gives each its response. Requests that are under way when the
 /// link breaks fail at once.
@@ -19,19 +19,19 @@
 pub struct RequestClient {
     address: SocketAddr,
     link: Link,
-    waiting: Waiting,
+    pending: PendingResponses,
     next: Cell<u64>,
 }
 
 /// Forgets a request whose asker has stopped to wait.
-struct Forget<'client> {
-    waiting: &'client Waiting,
+struct PendingGuard<'client> {
+    pending: &'client PendingResponses,
     correlation: u64,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.waiting.borrow_mut().remove(&self.correlation);
+        self.pending.borrow_mut().remove(&self.correlation);
     }
 }
 
@@ -39,26 +39,26 @@
     /// Starts to connect to `address`.
     #[must_use]
     pub fn open(address: SocketAddr, hello: Hello) -> Self {
-        let waiting: Waiting = Rc::default();
+        let pending: PendingResponses = Rc::default();
         let link = Link::open(address, hello, {
-            let waiting = Rc::clone(&waiting);
+            let pending = Rc::clone(&pending);
             move |event| match event {
                 LinkEvent::Frame(Frame::Response {
                     correlation, body, ..
                 }) => {
-                    if let Some(asker) = waiting.borrow_mut().remove(&correlation) {
+                    if let Some(response_sender) = pending.borrow_mut().remove(&correlation) {
                         // An asker that has gone away needs no answer.
-                        let _ = asker.send(body);
+                        let _ = response_sender.send(body);
                     }
                 }
                 LinkEvent::Frame(_) => {}
-                LinkEvent::Lost => waiting.borrow_mut().clear(),
+                LinkEvent::Lost => pending.borrow_mut().clear(),
             }
         });
         Self {
             address,
             link,
-            waiting,
+            pending,
             next: Cell::new(0),
         }
     }
@@ -85,9 +85,9 @@
         let correlation = self.next.get();
         self.next.set(correlation + 1);
         let (sender, response) = oneshot::channel();
-        self.waiting.borrow_mut().insert(correlation, sender);
-        let _forget = Forget {
-            waiting: &self.waiting,
+        self.pending.borrow_mut().insert(correlation, sender);
+        let _guard = PendingGuard {
+            pending: &self.pending,
             correlation,
         };
         ensure!(
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -12,7 +12,7 @@
 ///
 /// # Errors
 /// The operating system refuses an option.
-pub fn set_liveness(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_tcp_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
--- a/crates/net/tests/link.rs
+++ b/crates/net/tests/link.rs
@@ -16,7 +16,7 @@
 }
 
 /// Answers each request with its own body.
-async fn echo() -> std::net::SocketAddr {
+async fn start_echo_server() -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let senders = Rc::new(RefCell::new(std::collections::BTreeMap::new()));
@@ -39,29 +39,29 @@
     address
 }
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[actix_rt::test]
 async fn a_request_that_is_made_before_the_link_is_up_goes_with_it() {
-    let client = RequestClient::open(echo().await, hello());
+    let client = RequestClient::open(start_echo_server().await, hello());
     // The link's own task must have begun to connect, not to have connected.
     tokio::task::yield_now().await;
-    let answer = client.request(b"first".to_vec(), LIMIT).await;
+    let answer = client.request(b"first".to_vec(), TIMEOUT).await;
     assert_eq!(answer.unwrap(), b"first");
 }
 
 #[actix_rt::test]
 async fn answers_find_their_requests_whatever_their_order() {
-    let client = Rc::new(RequestClient::open(echo().await, hello()));
+    let client = Rc::new(RequestClient::open(start_echo_server().await, hello()));
     tokio::task::yield_now().await;
-    let asks: Vec<_> = (0..50_u8)
+    let requests: Vec<_> = (0..50_u8)
         .map(|number| {
             let client = Rc::clone(&client);
-            actix_rt::spawn(async move { client.request(vec![number], LIMIT).await.unwrap() })
+            actix_rt::spawn(async move { client.request(vec![number], TIMEOUT).await.unwrap() })
         })
         .collect();
-    for (number, ask) in asks.into_iter().enumerate() {
-        assert_eq!(ask.await.unwrap(), [u8::try_from(number).unwrap()]);
+    for (number, request) in requests.into_iter().enumerate() {
+        assert_eq!(request.await.unwrap(), [u8::try_from(number).unwrap()]);
     }
 }
 
@@ -80,7 +80,7 @@
 
 #[actix_rt::test]
 async fn what_is_sent_right_after_a_link_is_opened_goes_with_its_first_connection() {
-    let address = echo().await;
+    let address = start_echo_server().await;
     let client = RequestClient::open(address, hello());
     let answer = client
         .request(b"first".to_vec(), Duration::from_secs(20))
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -7,7 +7,7 @@
 
 impl RaftNode {
     /// Compares terms before a message is looked at. Returns whether to go on with it.
-    pub(crate) fn adopt_term(&mut self, envelope: &Envelope) -> bool {
+    pub(crate) fn check_term(&mut self, envelope: &Envelope) -> bool {
         let Envelope {
             from,
             term,
@@ -23,7 +23,7 @@
                 if term > self.hard_state.term
                 // A follower that hears its leader ignores elections, so that a node with a bad
                 // link cannot depose a leader that the majority can reach.
-                && !transfer && self.leader_is_fresh() =>
+                && !transfer && self.has_recent_leader_contact() =>
             {
                 return false;
             }
@@ -38,13 +38,13 @@
             self.become_follower(term, leader);
         }
         if term < self.hard_state.term {
-            self.answer_old_term(from, message);
+            self.reject_stale_term(from, message);
             return false;
         }
         true
     }
 
-    fn answer_old_term(&mut self, to: Peer, message: &Message) {
+    fn reject_stale_term(&mut self, to: Peer, message: &Message) {
         // An old leader learns of the new term from any answer.
         if let Message::Append { read, .. } = message {
             let reply = Message::AppendReply {
@@ -64,11 +64,12 @@
         }
     }
 
-    fn leader_is_fresh(&self) -> bool {
+    fn has_recent_leader_contact(&self) -> bool {
         if self.is_leader() {
             return true;
         }
-        self.leader.is_some() && self.now.since(self.leader_heard_at) < self.config.election_timeout
+        self.leader.is_some()
+            && self.now.since(self.last_leader_contact) < self.config.election_timeout
     }
 
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<Peer>) {
@@ -147,7 +148,7 @@
         last_term: Term,
     ) {
         let granted = term > self.hard_state.term
-            && !self.leader_is_fresh()
+            && !self.has_recent_leader_contact()
             && self.log_is_current(last_index, last_term);
         let reply_term = if granted { term } else { self.hard_state.term };
         self.ready.messages.push(Envelope {
@@ -207,8 +208,8 @@
         self.leader = Some(self.me);
         self.progress.clear();
         self.refresh_progress();
-        self.heartbeat_due = self.now;
-        self.append_own(Payload::Empty);
+        self.heartbeat_deadline = self.now;
+        self.append_as_leader(Payload::Empty);
     }
 
     /// A leader that cannot reach a quorum steps down: it can commit nothing, and its clients
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -58,8 +58,8 @@
     /// Last entry that is durable here. A leader counts only this of its own log.
     pub(crate) persisted: LogIndex,
     pub(crate) election_deadline: Timestamp,
-    pub(crate) heartbeat_due: Timestamp,
-    pub(crate) leader_heard_at: Timestamp,
+    pub(crate) heartbeat_deadline: Timestamp,
+    pub(crate) last_leader_contact: Timestamp,
     pub(crate) votes: BTreeSet<Peer>,
     pub(crate) progress: BTreeMap<Peer, Progress>,
     pub(crate) reads: PendingReads,
@@ -72,7 +72,7 @@
 pub(crate) struct Transfer {
     pub(crate) to: Peer,
     pub(crate) until: Timestamp,
-    pub(crate) asked: bool,
+    pub(crate) timeout_now_sent: bool,
 }
 
 impl RaftNode {
@@ -107,8 +107,8 @@
             applied: snapshot_index,
             persisted,
             election_deadline: now,
-            heartbeat_due: now,
-            leader_heard_at: Timestamp::ZERO,
+            heartbeat_deadline: now,
+            last_leader_contact: Timestamp::ZERO,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             reads: PendingReads::default(),
@@ -172,7 +172,7 @@
     #[must_use]
     pub fn next_deadline(&self) -> Timestamp {
         if self.is_leader() {
-            self.heartbeat_due
+            self.heartbeat_deadline
         } else {
             self.election_deadline
         }
@@ -195,7 +195,7 @@
             // Addressed to an earlier incarnation of this machine.
             return;
         }
-        if !self.adopt_term(&envelope) {
+        if !self.check_term(&envelope) {
             return;
         }
         let Envelope { from, message, .. } = envelope;
@@ -223,7 +223,7 @@
                 index,
                 read,
             } => self.on_append_reply(from, accepted, index, read),
-            Message::InstallSnapshot { snapshot } => self.on_snapshot(from, snapshot),
+            Message::InstallSnapshot { snapshot } => self.on_install_snapshot(from, snapshot),
             Message::TimeoutNow => self.on_timeout_now(from),
         }
     }
@@ -240,7 +240,7 @@
     ) -> Result<(LogIndex, Term), ProposeError> {
         self.now = self.now.max(now);
         self.ensure_may_propose()?;
-        Ok(self.append_own(Payload::Command(command)))
+        Ok(self.append_as_leader(Payload::Command(command)))
     }
 
     /// Appends a membership change.
@@ -273,7 +273,7 @@
             Ok(next) => next,
             Err(reason) => return InvalidChangeSnafu { reason }.fail(),
         };
-        Ok(self.append_own(Payload::Membership(next)))
+        Ok(self.append_as_leader(Payload::Membership(next)))
     }
 
     /// Asks for a linearizable read; see [`ReadOutcome`].
@@ -292,8 +292,8 @@
         // the read then waits for this leader's own first entry.
         let term_start = self.first_index_of_term();
         let read = self.reads.add(self.commit.max(term_start));
-        self.heartbeat_due = self.now;
-        self.confirm_reads();
+        self.heartbeat_deadline = self.now;
+        self.send_read_heartbeats();
         Ok(read)
     }
 
@@ -313,7 +313,7 @@
         self.transfer = Some(Transfer {
             to,
             until: self.now.plus(self.config.election_timeout),
-            asked: false,
+            timeout_now_sent: false,
         });
         self.continue_transfer();
         Ok(())
@@ -347,14 +347,15 @@
     pub fn has_caught_up(&self, peer: Peer) -> bool {
         self.progress
             .get(&peer)
-            .is_some_and(|progress| progress.matched >= self.commit && progress.matched > 0)
+            .is_some_and(|progress| progress.match_index >= self.commit && progress.match_index > 0)
     }
 
     /// Followers heard from within one election timeout, this node included when it leads.
     #[must_use]
     pub fn live_peers(&self) -> Vec<Peer> {
-        let recent =
-            |progress: &&Progress| self.now.since(progress.heard_at) < self.config.election_timeout;
+        let recent = |progress: &&Progress| {
+            self.now.since(progress.last_contact) < self.config.election_timeout
+        };
         let followers = self
             .progress
             .iter()
@@ -374,7 +375,7 @@
         Ok(())
     }
 
-    pub(crate) fn append_own(&mut self, payload: Payload) -> (LogIndex, Term) {
+    pub(crate) fn append_as_leader(&mut self, payload: Payload) -> (LogIndex, Term) {
         let entry = Entry {
             index: self.log.last_index() + 1,
             term: self.hard_state.term,
@@ -432,7 +433,7 @@
     /// Half a heartbeat, and a whole one more for each voter that comes before this one: voters
     /// that start together take turns instead of splitting the vote, and the first of them that
     /// is there and has the newest log does not wait for luck.
-    fn first_timeout(&mut self) -> Duration {
+    fn startup_timeout(&mut self) -> Duration {
         let heartbeat = self.config.heartbeat_interval;
         let limit = self.config.election_timeout;
         let turn = self.membership.voters.range(..self.me).count() as f64;
@@ -449,9 +450,9 @@
         // A node that has heard no leader since it started asks soon whether there is one to be
         // elected. A pre-vote disturbs nobody: those who hear a leader refuse it. Once it is a
         // candidate it waits the full time, or candidates would split the vote again and again.
-        let is_new = self.leader_heard_at == Timestamp::ZERO;
-        let timeout = if is_new && self.role != Role::Candidate {
-            self.first_timeout()
+        let has_heard_no_leader = self.last_leader_contact == Timestamp::ZERO;
+        let timeout = if has_heard_no_leader && self.role != Role::Candidate {
+            self.startup_timeout()
         } else {
             self.random_election_timeout()
         };
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -8,13 +8,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
     /// Last entry known to be stored by the follower.
-    pub(crate) matched: LogIndex,
+    pub(crate) match_index: LogIndex,
     /// Next entry to send.
     pub(crate) next: LogIndex,
     /// Append messages with entries that are not answered yet.
     pub(crate) in_flight: usize,
     /// Last time anything was heard from the follower in this term.
-    pub(crate) heard_at: Timestamp,
+    pub(crate) last_contact: Timestamp,
     /// Latest read that the follower confirmed.
     pub(crate) confirmed_read: ReadId,
     /// When a snapshot was sent that is not answered yet.
@@ -24,24 +24,26 @@
 impl Progress {
     pub(crate) fn new(next: LogIndex, now: Timestamp) -> Self {
         Self {
-            matched: 0,
+            match_index: 0,
             next,
             in_flight: 0,
-            heard_at: now,
+            last_contact: now,
             confirmed_read: ReadId::default(),
             snapshot_sent_at: None,
         }
     }
 
     pub(crate) fn accepted(&mut self, index: LogIndex) {
-        self.matched = self.matched.max(index);
-        self.next = self.next.max(self.matched + 1);
+        self.match_index = self.match_index.max(index);
+        self.next = self.next.max(self.match_index + 1);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.snapshot_sent_at = None;
     }
 
     pub(crate) fn rejected(&mut self, hint: LogIndex) {
-        self.next = hint.min(self.next.saturating_sub(1)).max(self.matched + 1);
+        self.next = hint
+            .min(self.next.saturating_sub(1))
+            .max(self.match_index + 1);
         self.in_flight = 0;
         self.snapshot_sent_at = None;
     }
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Wait before a snapshot that was not answered is offered again, in election timeouts.
-const SNAPSHOT_RESEND_TIMEOUTS: u32 = 8;
+const SNAPSHOT_RESEND_ELECTION_TIMEOUTS: u32 = 8;
 
 impl RaftNode {
     pub(crate) fn tick_leader(&mut self) {
@@ -23,8 +23,8 @@
         {
             self.transfer = None;
         }
-        if self.now >= self.heartbeat_due {
-            self.heartbeat_due = self.now.plus(self.config.heartbeat_interval);
+        if self.now >= self.heartbeat_deadline {
+            self.heartbeat_deadline = self.now.plus(self.config.heartbeat_interval);
             for peer in self.followers() {
                 self.send_heartbeat(peer);
             }
@@ -71,7 +71,7 @@
                 return;
             }
             if next <= self.log.snapshot_index() {
-                self.request_snapshot_for(peer);
+                self.send_snapshot(peer);
                 return;
             }
             let entries = self.log.batch(
@@ -106,7 +106,7 @@
     /// A heartbeat probes at the last matched entry, so that lost appends are noticed: the
     /// window is reopened and sending goes on from what the follower really has.
     fn send_heartbeat(&mut self, peer: Peer) {
-        let resend_after = self.config.election_timeout * SNAPSHOT_RESEND_TIMEOUTS;
+        let resend_after = self.config.election_timeout * SNAPSHOT_RESEND_ELECTION_TIMEOUTS;
         let now = self.now;
         let snapshot_index = self.log.snapshot_index();
         let Some(progress) = self.progress.get_mut(&peer) else {
@@ -116,15 +116,15 @@
         if progress.snapshot_sent_at.is_some_and(timed_out) {
             progress.snapshot_sent_at = None;
         }
-        let probe = if progress.matched >= snapshot_index {
-            progress.matched + 1
+        let probe = if progress.match_index >= snapshot_index {
+            progress.match_index + 1
         } else {
             progress.next.max(snapshot_index + 1)
         };
         self.send_append(peer, probe, Vec::new());
     }
 
-    fn request_snapshot_for(&mut self, peer: Peer) {
+    fn send_snapshot(&mut self, peer: Peer) {
         let now = self.now;
         if let Some(progress) = self.progress.get_mut(&peer) {
             progress.snapshot_sent_at = Some(now);
@@ -148,7 +148,7 @@
         commit: LogIndex,
         read: ReadId,
     ) {
-        self.follow(from);
+        self.follow_leader(from);
         if !self.matches(previous_index, previous_term) {
             let index = self.conflict_hint(previous_index);
             let reply = Message::AppendReply {
@@ -161,7 +161,7 @@
         }
         let last_matched = previous_index + entries.len() as u64;
         for entry in entries {
-            self.append_received(entry);
+            self.append_from_leader(entry);
         }
         // Only entries that this append vouched for are known to be the leader's.
         self.commit = self.commit.max(commit.min(last_matched));
@@ -174,10 +174,10 @@
         self.send_after_sync(from, term, reply);
     }
 
-    fn follow(&mut self, leader: Peer) {
+    fn follow_leader(&mut self, leader: Peer) {
         self.role = Role::Follower;
         self.leader = Some(leader);
-        self.leader_heard_at = self.now;
+        self.last_leader_contact = self.now;
         self.votes.clear();
         self.reset_election_deadline();
     }
@@ -193,19 +193,19 @@
         if index > self.log.last_index() {
             return self.log.last_index() + 1;
         }
-        let Some(conflicting) = self.log.term_at(index) else {
+        let Some(conflicting_term) = self.log.term_at(index) else {
             return index;
         };
         let mut first = index;
         while first > self.log.snapshot_index() + 1
-            && self.log.term_at(first - 1) == Some(conflicting)
+            && self.log.term_at(first - 1) == Some(conflicting_term)
         {
             first -= 1;
         }
         first
     }
 
-    fn append_received(&mut self, entry: Entry) {
+    fn append_from_leader(&mut self, entry: Entry) {
         if entry.index <= self.log.snapshot_index() {
             return;
         }
@@ -235,14 +235,14 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.heard_at = now;
+        progress.last_contact = now;
         progress.confirmed_read = progress.confirmed_read.max(read);
         if accepted {
-            let stalled = index <= progress.matched && progress.next > index + 1;
+            let stalled = index <= progress.match_index && progress.next > index + 1;
             progress.accepted(index.min(last_index));
             if stalled && progress.in_flight == 0 {
                 // A heartbeat was answered with nothing on the way: appends were lost.
-                progress.next = progress.matched + 1;
+                progress.next = progress.match_index + 1;
             }
         } else {
             progress.rejected(index);
@@ -262,7 +262,7 @@
             .membership
             .voters
             .iter()
-            .map(|peer| self.stored_by(*peer))
+            .map(|peer| self.durable_index_of(*peer))
             .collect();
         stored.sort_unstable_by(|left, right| right.cmp(left));
         let Some(candidate) = stored.get(self.membership.quorum() - 1).copied() else {
@@ -274,13 +274,13 @@
         }
     }
 
-    fn stored_by(&self, peer: Peer) -> LogIndex {
+    fn durable_index_of(&self, peer: Peer) -> LogIndex {
         if peer == self.me {
             return self.persisted;
         }
         self.progress
             .get(&peer)
-            .map_or(0, |progress| progress.matched)
+            .map_or(0, |progress| progress.match_index)
     }
 
     fn step_down_if_removed(&mut self) {
@@ -294,8 +294,8 @@
         }
     }
 
-    pub(crate) fn on_snapshot(&mut self, from: Peer, snapshot: Snapshot) {
-        self.follow(from);
+    pub(crate) fn on_install_snapshot(&mut self, from: Peer, snapshot: Snapshot) {
+        self.follow_leader(from);
         let index = snapshot.index;
         let term = self.hard_state.term;
         if index > self.commit {
@@ -325,9 +325,9 @@
         let caught_up = self
             .progress
             .get(&transfer.to)
-            .is_some_and(|progress| progress.matched == last_index);
-        if caught_up && !transfer.asked {
-            transfer.asked = true;
+            .is_some_and(|progress| progress.match_index == last_index);
+        if caught_up && !transfer.timeout_now_sent {
+            transfer.timeout_now_sent = true;
             let to = transfer.to;
             self.send(to, Message::TimeoutNow);
         }
@@ -339,7 +339,7 @@
             .membership
             .voters
             .iter()
-            .map(|peer| self.read_confirmed_by(*peer))
+            .map(|peer| self.read_confirmed_of(*peer))
             .collect();
         confirmed.sort_unstable_by(|left, right| right.cmp(left));
         confirmed
@@ -348,7 +348,7 @@
             .unwrap_or_default()
     }
 
-    fn read_confirmed_by(&self, peer: Peer) -> ReadId {
+    fn read_confirmed_of(&self, peer: Peer) -> ReadId {
         if peer == self.me {
             return self.reads.last();
         }
@@ -357,11 +357,11 @@
             .map_or(ReadId::default(), |progress| progress.confirmed_read)
     }
 
-    pub(crate) fn confirm_reads(&mut self) {
+    pub(crate) fn send_read_heartbeats(&mut self) {
         if self.reads.is_empty() {
             return;
         }
-        self.heartbeat_due = self.now.plus(self.config.heartbeat_interval);
+        self.heartbeat_deadline = self.now.plus(self.config.heartbeat_interval);
         for peer in self.followers() {
             self.send_heartbeat(peer);
         }
@@ -371,15 +371,15 @@
     #[must_use]
     pub fn silence_of(&self, peer: Peer) -> Option<Duration> {
         let progress = self.progress.get(&peer)?;
-        Some(self.now.since(progress.heard_at))
+        Some(self.now.since(progress.last_contact))
     }
 
-    /// The other voter that the leader heard from last, among those that `fits` accepts.
+    /// The other voter that the leader heard from last, among those that `is_eligible` accepts.
     #[must_use]
-    pub fn successor(&self, fits: impl Fn(Peer) -> bool) -> Option<Peer> {
+    pub fn successor(&self, is_eligible: impl Fn(Peer) -> bool) -> Option<Peer> {
         let voters = self.membership.voters.iter().copied();
         voters
-            .filter(|peer| *peer != self.me() && fits(*peer))
+            .filter(|peer| *peer != self.me() && is_eligible(*peer))
             .filter_map(|peer| Some((self.silence_of(peer)?, peer)))
             .min()
             .map(|(_, peer)| peer)
--- a/crates/raft/tests/cluster.rs
+++ b/crates/raft/tests/cluster.rs
@@ -10,12 +10,12 @@
 use std::time::Duration;
 
 /// Members that there are; the first three begin as voters.
-const MEMBERS: u32 = 5;
+const MEMBER_COUNT: u32 = 5;
 
-const VOTERS: u32 = 3;
+const VOTER_COUNT: u32 = 3;
 
 /// Rounds within which a healed group must commit something.
-const HEALING_ROUNDS: usize = 600;
+const MAX_RECOVERY_ROUNDS: usize = 600;
 
 fn peer(member: u32) -> Peer {
     Peer {
@@ -26,7 +26,7 @@
 
 /// What a node's disk holds.
 #[derive(Clone, Default)]
-struct Stored {
+struct StoredState {
     hard_state: HardState,
     snapshot: Snapshot,
     entries: Vec<Entry>,
@@ -34,7 +34,7 @@
 
 struct Node {
     raft: RaftNode,
-    stored: Stored,
+    stored: StoredState,
     applied: Vec<Entry>,
     restarts: u64,
 }
@@ -50,19 +50,19 @@
 
 impl Cluster {
     fn new() -> Self {
-        let membership = Membership::of_voters((1..=VOTERS).map(peer));
-        let stored = |member: u32| Stored {
+        let membership = Membership::of_voters((1..=VOTER_COUNT).map(peer));
+        let stored = |member: u32| StoredState {
             snapshot: Snapshot {
-                membership: if member <= VOTERS {
+                membership: if member <= VOTER_COUNT {
                     membership.clone()
                 } else {
                     Membership::default()
                 },
                 ..Snapshot::default()
             },
-            ..Stored::default()
+            ..StoredState::default()
         };
-        let nodes = (1..=MEMBERS).map(|member| {
+        let nodes = (1..=MEMBER_COUNT).map(|member| {
             let stored = stored(member);
             let node = Node {
                 raft: start(member, &stored, 0, Timestamp::ZERO),
@@ -164,7 +164,7 @@
 
     fn tick(&mut self, millis: u64) {
         self.now = self.now.plus(Duration::from_millis(millis));
-        for member in 1..=MEMBERS {
+        for member in 1..=MEMBER_COUNT {
             let now = self.now;
             let node = self.nodes.get_mut(&member).unwrap();
             if now >= node.raft.next_deadline() {
@@ -246,14 +246,14 @@
     }
 
     /// Once nothing is lost any more, something must be committed soon.
-    fn heal(&mut self) {
+    fn recover(&mut self) {
         let before = self.committed.len();
-        for _ in 0..HEALING_ROUNDS {
+        for _ in 0..MAX_RECOVERY_ROUNDS {
             self.tick(40);
             for _ in 0..self.network.len() {
                 self.deliver(0, false);
             }
-            for member in 1..=MEMBERS {
+            for member in 1..=MEMBER_COUNT {
                 self.propose(member);
             }
             if self.committed.len() > before + 1 {
@@ -264,7 +264,7 @@
     }
 }
 
-fn start(member: u32, stored: &Stored, restarts: u64, now: Timestamp) -> RaftNode {
+fn start(member: u32, stored: &StoredState, restarts: u64, now: Timestamp) -> RaftNode {
     let restored = RestoredState {
         hard_state: stored.hard_state,
         snapshot: stored.snapshot.clone(),
@@ -278,8 +278,8 @@
 enum Action {
     Tick(u64),
     Deliver(usize),
-    Double(usize),
-    Lose(usize),
+    Duplicate(usize),
+    Drop(usize),
     Propose(u32),
     Crash(u32),
     Compact(u32),
@@ -287,18 +287,18 @@
 }
 
 fn action() -> impl Strategy<Value = Action> {
-    let member = 1..=MEMBERS;
-    let change = (0..4, 1..=MEMBERS).prop_map(|(kind, member)| match kind {
+    let member = 1..=MEMBER_COUNT;
+    let change = (0..4, 1..=MEMBER_COUNT).prop_map(|(kind, member)| match kind {
         0 => MembershipChange::AddLearner(peer(member)),
         1 => MembershipChange::Promote(peer(member)),
-        2 => MembershipChange::AddLearners((member..=MEMBERS).map(peer).collect()),
+        2 => MembershipChange::AddLearners((member..=MEMBER_COUNT).map(peer).collect()),
         _ => MembershipChange::Remove(peer(member)),
     });
     prop_oneof![
         12 => (1..400_u64).prop_map(Action::Tick),
         40 => any::<usize>().prop_map(Action::Deliver),
-        4 => any::<usize>().prop_map(Action::Double),
-        4 => any::<usize>().prop_map(Action::Lose),
+        4 => any::<usize>().prop_map(Action::Duplicate),
+        4 => any::<usize>().prop_map(Action::Drop),
         8 => member.clone().prop_map(Action::Propose),
         2 => member.clone().prop_map(Action::Crash),
         2 => member.clone().prop_map(Action::Compact),
@@ -306,12 +306,12 @@
     ]
 }
 
-fn carry_out(cluster: &mut Cluster, action: Action) {
+fn perform(cluster: &mut Cluster, action: Action) {
     match action {
         Action::Tick(millis) => cluster.tick(millis),
         Action::Deliver(place) => cluster.deliver(place, false),
-        Action::Double(place) => cluster.deliver(place, true),
-        Action::Lose(place) => {
+        Action::Duplicate(place) => cluster.deliver(place, true),
+        Action::Drop(place) => {
             if !cluster.network.is_empty() {
                 let place = place % cluster.network.len();
                 cluster.network.remove(place);
@@ -337,18 +337,18 @@
         actions in proptest::collection::vec(action(), 50..500),
     ) {
         let mut cluster = Cluster::new();
-        cluster.heal();
+        cluster.recover();
         for action in actions {
-            carry_out(&mut cluster, action);
+            perform(&mut cluster, action);
         }
-        cluster.heal();
+        cluster.recover();
     }
 }
 
 #[test]
 fn entries_carry_commands_in_order_of_proposal() {
     let mut cluster = Cluster::new();
-    cluster.heal();
+    cluster.recover();
     let leader = *cluster
         .nodes
         .iter()
--- a/crates/storage/src/file_disk.rs
+++ b/crates/storage/src/file_disk.rs
@@ -25,16 +25,16 @@
     /// The folder cannot be created, read or written.
     pub fn open(folder: impl Into<PathBuf>) -> Result<Self, StorageError> {
         let folder = folder.into();
-        let shown = folder.display().to_string();
+        let folder_name = folder.display().to_string();
         create_folder(&folder).context(IoSnafu {
             action: "create the data folder",
-            file: &shown,
+            file: &folder_name,
         })?;
         let mut disk = Self {
             folder,
             open: HashMap::new(),
         };
-        disk.remove_leftovers()?;
+        disk.remove_temporary_files()?;
         disk.replace("write-check", b"")?;
         disk.remove("write-check")?;
         Ok(disk)
@@ -45,7 +45,7 @@
     }
 
     /// A crash in [`Disk::replace`] can leave a half-written file under its temporary name.
-    fn remove_leftovers(&mut self) -> Result<(), StorageError> {
+    fn remove_temporary_files(&mut self) -> Result<(), StorageError> {
         for file in self.all_names()? {
             if file.ends_with(TEMPORARY_SUFFIX) {
                 self.remove(&file)?;
@@ -171,15 +171,15 @@
 /// forgotten after a loss of power is lost with it. The folder above is synced even when the
 /// folder is there already, since the process that made it may have been killed before it did.
 fn create_folder(folder: &Path) -> std::io::Result<()> {
-    let above = folder
+    let parent = folder
         .parent()
-        .filter(|above| !above.as_os_str().is_empty());
-    let above = above.unwrap_or(Path::new("."));
-    if !above.is_dir() {
-        create_folder(above)?;
+        .filter(|parent| !parent.as_os_str().is_empty());
+    let parent = parent.unwrap_or(Path::new("."));
+    if !parent.is_dir() {
+        create_folder(parent)?;
     }
     if !folder.is_dir() {
         std::fs::create_dir(folder)?;
     }
-    File::open(above)?.sync_all()
+    File::open(parent)?.sync_all()
 }
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -8,7 +8,7 @@
 const MAGIC_END: usize = 4;
 
 /// Bytes of the magic that are the same in every version.
-const FAMILY_END: usize = 3;
+const FORMAT_ID_END: usize = 3;
 const LENGTH_END: usize = 8;
 const SEQUENCE_END: usize = 16;
 
@@ -58,7 +58,7 @@
     if bytes.len() < HEADER_BYTES {
         return Err("the header is cut short");
     }
-    if bytes[..FAMILY_END] != MAGIC[..FAMILY_END] {
+    if bytes[..FORMAT_ID_END] != MAGIC[..FORMAT_ID_END] {
         return Err("the header is not a record's");
     }
     let length = read_u32(&bytes[MAGIC_END..LENGTH_END]) as usize;
@@ -77,14 +77,14 @@
 }
 
 /// Whether `bytes` start with an intact frame whose payload has another version.
-pub(crate) fn is_of_another_version(bytes: &[u8]) -> bool {
+pub(crate) fn has_other_version(bytes: &[u8]) -> bool {
     decode_any_version(bytes).is_ok() && bytes[..MAGIC_END] != MAGIC
 }
 
 /// Whether an intact frame later than `sequence`, of any version, starts anywhere in `bytes`.
-pub(crate) fn intact_frame_follows(bytes: &[u8], sequence: u64) -> bool {
-    let starts = bytes.windows(FAMILY_END).enumerate();
-    let candidates = starts.filter(|(_, window)| *window == &MAGIC[..FAMILY_END]);
+pub(crate) fn contains_later_frame(bytes: &[u8], sequence: u64) -> bool {
+    let starts = bytes.windows(FORMAT_ID_END).enumerate();
+    let candidates = starts.filter(|(_, window)| *window == &MAGIC[..FORMAT_ID_END]);
     candidates
         .map(|(offset, _)| decode_any_version(&bytes[offset..]))
         .any(|frame| frame.is_ok_and(|frame| frame.sequence > sequence))
--- a/crates/storage/src/memory_disk.rs
+++ b/crates/storage/src/memory_disk.rs
@@ -105,7 +105,7 @@
         .into_error(source))
     }
 
-    fn missing(file: &str) -> StorageError {
+    fn not_found(file: &str) -> StorageError {
         let source = Error::new(ErrorKind::NotFound, "no such file");
         IoSnafu {
             action: "read",
@@ -124,7 +124,7 @@
         self.files
             .get(file)
             .map(|file| file.content.clone())
-            .ok_or_else(|| Self::missing(file))
+            .ok_or_else(|| Self::not_found(file))
     }
 
     fn append(&mut self, file: &str, bytes: &[u8]) -> Result<(), StorageError> {
@@ -173,7 +173,7 @@
 
     fn truncate(&mut self, file: &str, length: u64) -> Result<(), StorageError> {
         let Some(found) = self.files.get_mut(file) else {
-            return Err(Self::missing(file));
+            return Err(Self::not_found(file));
         };
         let length = usize::try_from(length).unwrap_or(usize::MAX);
         found.content.truncate(length);
@@ -185,6 +185,6 @@
         self.files
             .remove(file)
             .map(|_| ())
-            .ok_or_else(|| Self::missing(file))
+            .ok_or_else(|| Self::not_found(file))
     }
 }
--- a/crates/storage/src/wal.rs
+++ b/crates/storage/src/wal.rs
@@ -9,7 +9,7 @@
 const SEGMENT_SUFFIX: &str = ".log";
 
 /// Why a whole batch of another version is refused rather than cut off: it was acknowledged.
-const NEWER_LAYOUT: &str = "the record has a layout that this build does not know";
+const UNKNOWN_LAYOUT_REASON: &str = "the record has a layout that this build does not know";
 
 /// Limits of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -172,15 +172,15 @@
                 Err(reason) => {
                     let rest = &bytes[offset..];
                     ensure!(
-                        !frame::is_of_another_version(rest),
+                        !frame::has_other_version(rest),
                         CorruptSnafu {
                             file: &file,
                             offset: offset as u64,
-                            reason: NEWER_LAYOUT
+                            reason: UNKNOWN_LAYOUT_REASON
                         }
                     );
                     let torn_tail =
-                        is_last && !frame::intact_frame_follows(rest, self.next_sequence);
+                        is_last && !frame::contains_later_frame(rest, self.next_sequence);
                     ensure!(
                         torn_tail,
                         CorruptSnafu {
--- a/crates/storage/tests/wal.rs
+++ b/crates/storage/tests/wal.rs
@@ -3,10 +3,10 @@
 use luglink_storage::{CrashDamage, Disk, FileDisk, MemoryDisk, StorageError, Wal, WalConfig};
 use proptest::prelude::*;
 
-const SMALL: WalConfig = WalConfig { segment_bytes: 200 };
+const SMALL_SEGMENTS: WalConfig = WalConfig { segment_bytes: 200 };
 
 fn append_all(disk: &mut MemoryDisk, batches: &[Vec<u8>]) {
-    let (mut wal, _) = Wal::open(disk, SMALL).expect("open");
+    let (mut wal, _) = Wal::open(disk, SMALL_SEGMENTS).expect("open");
     for batch in batches {
         if wal.segment_is_full() {
             wal.start_segment();
@@ -16,7 +16,7 @@
 }
 
 fn payloads(disk: &mut MemoryDisk) -> Vec<Vec<u8>> {
-    let (_, recovered) = Wal::open(disk, SMALL).expect("open");
+    let (_, recovered) = Wal::open(disk, SMALL_SEGMENTS).expect("open");
     let batches = recovered.batches.into_iter();
     batches.map(|batch| batch.payload).collect()
 }
@@ -57,7 +57,7 @@
         let first = "wal-0000000000000000.log";
         let length = disk.read(first).expect("read").len();
         disk.flip_bit(first, position.index(length));
-        match Wal::open(&mut disk, SMALL) {
+        match Wal::open(&mut disk, SMALL_SEGMENTS) {
             Err(StorageError::Corrupt { .. } | StorageError::Gap { .. }) => {}
             Err(other) => prop_assert!(false, "unexpected error {other}"),
             // Damage in the very last batch looks like a torn tail: one batch less.
@@ -71,7 +71,7 @@
     let mut disk = MemoryDisk::new();
     append_all(&mut disk, &[vec![1; 30], vec![2; 30]]);
     disk.flip_bit("wal-0000000000000000.log", 25);
-    let error = Wal::open(&mut disk, SMALL).expect_err("damaged");
+    let error = Wal::open(&mut disk, SMALL_SEGMENTS).expect_err("damaged");
     let text = error.to_string();
     assert!(text.contains("wal-0000000000000000.log"), "{text}");
     assert!(text.contains("byte 0"), "{text}");
@@ -83,14 +83,14 @@
     let batches: Vec<Vec<u8>> = (0..30).map(|byte| vec![byte; 50]).collect();
     append_all(&mut disk, &batches);
     disk.remove("wal-0000000000000001.log").expect("remove");
-    let error = Wal::open(&mut disk, SMALL).expect_err("gap");
+    let error = Wal::open(&mut disk, SMALL_SEGMENTS).expect_err("gap");
     assert!(matches!(error, StorageError::Gap { .. }), "{error}");
 }
 
 #[test]
 fn a_full_disk_is_an_error_and_not_an_acknowledgement() {
     let mut disk = MemoryDisk::new();
-    let (mut wal, _) = Wal::open(&mut disk, SMALL).expect("open");
+    let (mut wal, _) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("open");
     disk.set_full(true);
     assert!(wal.append(&mut disk, b"lost").is_err());
     disk.set_full(false);
@@ -101,13 +101,13 @@
 fn a_folder_of_the_file_system_keeps_the_log() {
     let folder = tempfile::tempdir().expect("folder");
     let mut disk = FileDisk::open(folder.path()).expect("open");
-    let (mut wal, _) = Wal::open(&mut disk, SMALL).expect("open");
+    let (mut wal, _) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("open");
     wal.append(&mut disk, b"first").expect("append");
     wal.start_segment();
     wal.append(&mut disk, b"second").expect("append");
     wal.remove_segments_before(&mut disk, 1).expect("remove");
     let mut disk = FileDisk::open(folder.path()).expect("open again");
-    let (_, recovered) = Wal::open(&mut disk, SMALL).expect("recover");
+    let (_, recovered) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("recover");
     let found: Vec<&[u8]> = recovered
         .batches
         .iter()
@@ -121,12 +121,12 @@
     let folder = tempfile::tempdir().expect("folder");
     let nested = folder.path().join("machine").join("member");
     let mut disk = FileDisk::open(&nested).expect("open");
-    let (mut wal, _) = Wal::open(&mut disk, SMALL).expect("open");
+    let (mut wal, _) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("open");
     wal.append(&mut disk, b"first").expect("append");
     let beside = FileDisk::open(folder.path().join("machine").join("store")).expect("beside");
     assert!(beside.list().expect("list").is_empty());
     let mut disk = FileDisk::open(&nested).expect("open again");
-    let (_, recovered) = Wal::open(&mut disk, SMALL).expect("recover");
+    let (_, recovered) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("recover");
     assert_eq!(recovered.batches.len(), 1);
 }
 
@@ -138,7 +138,7 @@
 }
 
 /// A frame whose payload has the version after today's, with a right checksum.
-fn frame_of_a_newer_build(batches: usize) -> Vec<u8> {
+fn frame_with_newer_version(batches: usize) -> Vec<u8> {
     let mut disk = MemoryDisk::new();
     append_all(&mut disk, &vec![b"newer".to_vec(); batches + 1]);
     let log = disk.read("wal-0000000000000000.log").expect("read");
@@ -155,11 +155,11 @@
     for batches in 0..3 {
         let mut disk = MemoryDisk::new();
         append_all(&mut disk, &vec![b"known".to_vec(); batches]);
-        disk.append(file, &frame_of_a_newer_build(batches))
+        disk.append(file, &frame_with_newer_version(batches))
             .expect("append");
         disk.sync(file).expect("sync");
         let before = disk.read(file).expect("read");
-        let error = Wal::open(&mut disk, SMALL).expect_err("a newer layout");
+        let error = Wal::open(&mut disk, SMALL_SEGMENTS).expect_err("a newer layout");
         assert!(error.to_string().contains("does not know"), "{error}");
         assert_eq!(disk.read(file).expect("read"), before);
     }
@@ -170,7 +170,7 @@
     let file = "wal-0000000000000000.log";
     let mut disk = MemoryDisk::new();
     append_all(&mut disk, &[b"known".to_vec()]);
-    let frame = frame_of_a_newer_build(1);
+    let frame = frame_with_newer_version(1);
     disk.append(file, &frame[..frame.len() - 1])
         .expect("append");
     assert_eq!(payloads(&mut disk), [b"known".to_vec()]);
--- a/crates/wire/tests/extension.rs
+++ b/crates/wire/tests/extension.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 
 const KNOWN: PartNumber = PartNumber(1);
-const OF_A_NEWER_BUILD: PartNumber = PartNumber(9);
+const UNKNOWN_PART: PartNumber = PartNumber(9);
 
 type Message = (u64, Vec<String>);
 
@@ -34,7 +34,7 @@
 #[test]
 fn a_part_that_is_not_known_is_passed_over() {
     let mut parts = Parts::default();
-    parts.put(OF_A_NEWER_BUILD, &(1_u64, 2_u64)).unwrap();
+    parts.put(UNKNOWN_PART, &(1_u64, 2_u64)).unwrap();
     parts.put(KNOWN, &5_u32).unwrap();
     let bytes = encode_with_parts(&message(), &parts).unwrap();
     let (_, read) = decode_with_parts::<Message>(&bytes).unwrap();
--- a/crates/wire/tests/support/golden.rs
+++ b/crates/wire/tests/support/golden.rs
@@ -12,7 +12,7 @@
 use std::fmt::Write;
 
 /// Bytes behind a message as a newer build may add them.
-const OF_A_NEWER_BUILD: [u8; 5] = [1, 9, 2, 7, 7];
+const PARTS_OF_NEWER_BUILD: [u8; 5] = [1, 9, 2, 7, 7];
 
 /// The lines of one file.
 pub struct Golden {
@@ -61,7 +61,7 @@
             "`{label}` is laid out differently: {}",
             to_hex(&written)
         );
-        let extended = [golden, &OF_A_NEWER_BUILD].concat();
+        let extended = [golden, &PARTS_OF_NEWER_BUILD].concat();
         let read: T = postcard::from_bytes(&extended).expect("parts are passed over");
         assert_eq!(&read, value, "parts behind `{label}` are not passed over");
     }
