--- a/crates/raft/src/config.rs
+++ b/crates/raft/src/config.rs
@@ -1,21 +1,23 @@
-//! Timing and batch limits of a Raft node.
+//! Timing and batching parameters of a Raft node.
 
 use crate::errors::{ConfigError, config_error::*};
 use snafu::ensure;
 use std::time::Duration;
 
-/// Timing and batch limits. All members of a group should agree on them.
+/// Timing and batching parameters. All members of a group should use the same values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RaftConfig {
-    /// Time between a leader's heartbeats.
+    /// Interval between two heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// Shortest silence after which a follower starts an election; the longest is twice that.
+    /// Minimum time without contact from a leader after which a follower starts an election. The
+    /// actual timeout is random, up to twice this value.
     pub election_timeout: Duration,
-    /// Entries in one append message at the most.
+    /// Maximum number of entries in one append message.
     pub append_batch_entries: usize,
-    /// Bytes of entry payloads in one append message, passed by at most one entry.
+    /// Payload bytes at which an append message takes no further entry. The last entry may exceed
+    /// the limit.
     pub append_batch_bytes: usize,
-    /// Append messages on the way to one follower at the most.
+    /// Maximum number of unacknowledged append messages per follower.
     pub append_window: usize,
 }
 
@@ -31,14 +33,15 @@
     }
 }
 
-/// An election timeout below this many heartbeats would let one lost message depose a leader.
+/// Minimum ratio of election timeout to heartbeat interval. With a smaller ratio, a single lost
+/// heartbeat can depose a leader.
 const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
 
 impl RaftConfig {
-    /// Checks that the values can work together.
+    /// Checks that the values are consistent with each other.
     ///
     /// # Errors
-    /// Names the first value that breaks a rule.
+    /// Returns the first rule that is violated.
     pub fn validate(&self) -> Result<(), ConfigError> {
         ensure!(!self.heartbeat_interval.is_zero(), HeartbeatSnafu);
         ensure!(
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes, terms, and a leader's doubt about itself.
+//! Leader election: pre-vote, votes, terms and check-quorum.
 
 use crate::entry::{HardState, LogIndex, Payload, Term};
 use crate::membership::Peer;
@@ -6,7 +6,8 @@
 use crate::node::{RaftNode, Role};
 
 impl RaftNode {
-    /// Compares terms before a message is looked at. Returns whether to go on with it.
+    /// Compares the message's term with the local term and updates the local term. Returns true if
+    /// the message should be processed.
     pub(crate) fn check_term(&mut self, envelope: &Envelope) -> bool {
         let Envelope {
             from,
@@ -15,14 +16,15 @@
             ..
         } = *envelope;
         match message {
-            // Pre-votes never change a term; they are answered whatever their term is.
+            // Pre-votes never change a term and are answered for any term.
             Message::PreVote { .. } => return true,
-            // A refusal from a later term shows that this node is behind.
+            // A granted reply carries the term that this node would start; it does not change the
+            // local term. A rejection with a later term shows that this node is behind.
             Message::PreVoteReply { granted } if *granted => return true,
             Message::Vote { transfer, .. }
                 if term > self.hard_state.term
-                // A follower that hears its leader ignores elections, so that a node with a bad
-                // link cannot depose a leader that the majority can reach.
+                // A follower in contact with its leader ignores vote requests, so that a node with
+                // a bad connection cannot depose a leader that the majority can reach.
                 && !transfer && self.has_recent_leader_contact() =>
             {
                 return false;
@@ -44,8 +46,9 @@
         true
     }
 
+    /// Rejects an append or a snapshot of an earlier term.
     fn reject_stale_term(&mut self, to: Peer, message: &Message) {
-        // An old leader learns of the new term from any answer.
+        // A stale leader learns the new term from any reply.
         if let Message::Append { read, .. } = message {
             let reply = Message::AppendReply {
                 accepted: false,
@@ -64,6 +67,7 @@
         }
     }
 
+    /// Returns true if this node leads or heard from its leader within the election timeout.
     fn has_recent_leader_contact(&self) -> bool {
         if self.is_leader() {
             return true;
@@ -132,7 +136,7 @@
                 last_term,
                 transfer,
             };
-            // The vote for itself must be durable before anyone counts on it.
+            // The node's own vote must be persisted before other nodes reply to the request.
             self.send_after_sync(peer, self.hard_state.term, message);
         }
         if self.has_quorum_of_votes() {
@@ -170,9 +174,9 @@
     }
 
     pub(crate) fn on_vote(&mut self, from: Peer, last_index: LogIndex, last_term: Term) {
-        let free = self.hard_state.voted_for.is_none_or(|voted| voted == from);
-        // A node outside the membership has an empty or foreign log; its vote must not count.
-        let granted = free
+        let can_vote = self.hard_state.voted_for.is_none_or(|voted| voted == from);
+        // A node outside the membership may have lost its log; its vote must not count.
+        let granted = can_vote
             && self.role == Role::Follower
             && self.membership.is_voter(self.me)
             && self.log_is_current(last_index, last_term);
@@ -212,8 +216,8 @@
         self.append_as_leader(Payload::Empty);
     }
 
-    /// A leader that cannot reach a quorum steps down: it can commit nothing, and its clients
-    /// should look for the leader that the others may have elected.
+    /// Makes a leader that cannot reach a quorum step down. It cannot commit anything, and its
+    /// clients should look for the leader that the other nodes may have elected.
     pub(crate) fn check_quorum(&mut self) {
         let live = self
             .live_peers()
@@ -232,13 +236,14 @@
     }
 
     fn has_quorum_of_votes(&self) -> bool {
-        let counted = self
+        let voters = self
             .votes
             .iter()
             .filter(|peer| self.membership.is_voter(**peer));
-        counted.count() >= self.membership.quorum()
+        voters.count() >= self.membership.quorum()
     }
 
+    /// Returns true if a log with this last entry is at least as up to date as the local log.
     fn log_is_current(&self, last_index: LogIndex, last_term: Term) -> bool {
         (last_term, last_index) >= (self.log.last_term(), self.log.last_index())
     }
--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -1,28 +1,28 @@
-//! Log entries and what else a node must remember.
+//! Log entries, snapshots and the persistent state of a node.
 
 use crate::membership::{Membership, Peer};
 use luglink_types::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// A leader's period. Each term has at most one leader.
+/// Election term. Each term has at most one leader.
 pub type Term = u64;
 
-/// Place in the log, from 1. 0 stands before the first entry.
+/// Index of a log entry, starting at 1. 0 denotes the position before the first entry.
 pub type LogIndex = u64;
 
-/// What an entry carries.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// A new leader's first entry, which lets it commit what earlier terms left behind.
+    /// First entry of a new leader. Committing it also commits the entries of earlier terms.
     Empty,
-    /// A command for the replicated state machine.
+    /// Command for the replicated state machine.
     Command(Vec<u8>),
-    /// The membership from this entry on, committed or not.
+    /// New membership, in effect as soon as the entry is in the log, committed or not.
     Membership(Membership),
 }
 
 impl Payload {
-    /// Approximate size in bytes, for batch limits.
+    /// Returns the approximate size in bytes, for batch limits.
     #[must_use]
     pub fn size(&self) -> usize {
         match self {
@@ -33,37 +33,39 @@
     }
 }
 
-/// One log entry.
+/// Entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Place in the log.
+    /// Index in the log.
     pub index: LogIndex,
-    /// Term of the leader that appended it.
+    /// Term of the leader that appended the entry.
     pub term: Term,
-    /// The leader's time when it appended it; the state machine's only clock.
+    /// Leader's time when it appended the entry. State machines use no other clock, so that all
+    /// replicas compute the same result.
     pub at: Timestamp,
-    /// What it carries.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
-/// What a node must never forget. Losing it could give one vote to two candidates.
+/// State that a node must persist before it answers. A node that loses it can vote for two
+/// candidates in one term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Latest term seen.
+    /// Latest term that the node has seen.
     pub term: Term,
-    /// Who got this node's vote in that term.
+    /// Candidate that received this node's vote in that term.
     pub voted_for: Option<Peer>,
 }
 
-/// The state machine after the entry at `index`.
+/// State of the state machine after it has applied the entry at `index`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last entry that the state contains.
+    /// Index of the last entry that the state includes.
     pub index: LogIndex,
-    /// That entry's term.
+    /// Term of that entry.
     pub term: Term,
-    /// Membership at that entry.
+    /// Membership in effect at that entry.
     pub membership: Membership,
-    /// The encoded state.
+    /// Encoded state.
     pub state: Vec<u8>,
 }
--- a/crates/raft/src/errors.rs
+++ b/crates/raft/src/errors.rs
@@ -1,47 +1,49 @@
-//! Errors of this crate.
+//! Error types.
 
 use crate::membership::Peer;
 use snafu::Snafu;
 use std::time::Duration;
 
-/// A configuration that cannot work.
+/// Invalid [`crate::RaftConfig`].
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(crate)), module)]
 pub enum ConfigError {
     /// The heartbeat interval is zero.
-    #[snafu(display("heartbeat_interval must be above zero"))]
+    #[snafu(display("heartbeat_interval must be greater than zero"))]
     Heartbeat,
-    /// The election timeout is too short.
+    /// The election timeout is too short for the heartbeat interval.
     #[snafu(display("election_timeout must be at least {minimum:?}"))]
     ElectionTimeout {
-        /// The shortest that works with the heartbeat interval.
+        /// Shortest election timeout allowed with the heartbeat interval.
         minimum: Duration,
     },
-    /// A batch limit is zero.
-    #[snafu(display("append batch limits and window must be above zero"))]
+    /// A batch limit or the append window is zero.
+    #[snafu(display(
+        "append_batch_entries, append_batch_bytes and append_window must be greater than zero"
+    ))]
     Batch,
 }
 
-/// A proposal that was not taken; nothing was appended.
+/// Rejected proposal. Nothing was appended to the log.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(crate)), module)]
 pub enum ProposeError {
-    /// This node does not lead.
+    /// This node is not the leader.
     #[snafu(display("not the leader"))]
     NotLeader {
-        /// The leader, when it is known.
+        /// Current leader, if known.
         leader: Option<Peer>,
     },
-    /// An earlier membership change is not committed yet.
-    #[snafu(display("a membership change is under way"))]
+    /// A previous membership change is not committed yet.
+    #[snafu(display("a membership change is in progress"))]
     ChangeInProgress,
-    /// The change contradicts the current membership.
-    #[snafu(display("the membership does not allow this change: {reason}"))]
+    /// The change is not possible with the current membership.
+    #[snafu(display("invalid membership change: {reason}"))]
     InvalidChange {
-        /// What is wrong with it.
+        /// Violated rule.
         reason: &'static str,
     },
-    /// Leadership is being handed over.
-    #[snafu(display("leadership is being transferred"))]
+    /// A leadership transfer is in progress.
+    #[snafu(display("a leadership transfer is in progress"))]
     Transferring,
 }
--- a/crates/raft/src/lib.rs
+++ b/crates/raft/src/lib.rs
@@ -1,14 +1,16 @@
-//! Raft (Ongaro and Ousterhout, 2014) as a pure state machine.
+//! Raft consensus (Ongaro and Ousterhout, 2014) as a pure state machine.
 //!
-//! [`RaftNode`] takes messages, proposals and the time, and gives out a [`Ready`]: what to make
-//! durable, what to send, what is committed. It does no I/O and reads no clock; randomness comes
-//! from the seed it is given. Beyond the basic protocol: pre-vote, check-quorum, read-index,
-//! learners, one-at-a-time membership change, snapshots, leadership transfer.
+//! [`RaftNode`] takes messages, proposals and the current time, and returns a [`Ready`]: state to
+//! persist, messages to send and committed entries to apply. It performs no I/O and reads no
+//! clock; its randomness comes from a seed. It implements the basic protocol with pre-vote,
+//! check-quorum, read-index, learners, single-server membership changes, snapshots and leadership
+//! transfer.
 //!
-//! A node is a [`Peer`]: a member and the incarnation of its storage. A machine that lost its
-//! disk comes back under a new incarnation, which no membership contains: it cannot vote until
-//! the leader has added it as a learner, brought it up to date and promoted it. Without this a
-//! second failure right after a repair could elect a leader without committed entries.
+//! A node is identified by a [`Peer`]: a member and the incarnation of its storage. A machine that
+//! loses its disk restarts with a new incarnation, which no membership contains. It cannot vote
+//! until the leader has added it as a learner, brought it up to date and promoted it. If an empty
+//! node could vote at once, a second failure after the repair could elect a leader that lacks
+//! committed entries.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/raft/src/log.rs
+++ b/crates/raft/src/log.rs
@@ -1,10 +1,10 @@
-//! The log in memory: a snapshot's end and the entries after it.
+//! In-memory log: the position of the latest snapshot and the entries after it.
 
 use crate::entry::{Entry, LogIndex, Payload, Snapshot, Term};
 use crate::membership::Membership;
 use std::collections::VecDeque;
 
-/// The log of one node. Entries up to the snapshot's index are gone.
+/// Log of one node. Entries up to the snapshot's index have been discarded.
 #[derive(Clone, Debug, Default)]
 pub struct RaftLog {
     snapshot_index: LogIndex,
@@ -14,7 +14,7 @@
 }
 
 impl RaftLog {
-    /// A log from what was stored: the latest snapshot's end and the entries after it.
+    /// Creates a log from persisted state. Entries that the snapshot covers are skipped.
     #[must_use]
     pub fn restored(snapshot: &Snapshot, entries: Vec<Entry>) -> Self {
         Self {
@@ -28,13 +28,13 @@
         }
     }
 
-    /// Index of the last entry.
+    /// Returns the index of the last entry.
     #[must_use]
     pub fn last_index(&self) -> LogIndex {
         self.snapshot_index + self.entries.len() as u64
     }
 
-    /// Term of the last entry.
+    /// Returns the term of the last entry.
     #[must_use]
     pub fn last_term(&self) -> Term {
         self.entries
@@ -42,25 +42,25 @@
             .map_or(self.snapshot_term, |entry| entry.term)
     }
 
-    /// Index of the snapshot's last entry.
+    /// Returns the index of the last entry that the snapshot covers.
     #[must_use]
     pub fn snapshot_index(&self) -> LogIndex {
         self.snapshot_index
     }
 
-    /// Number of entries after the snapshot.
+    /// Returns the number of entries after the snapshot.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no entries after the snapshot.
+    /// Returns true if there are no entries after the snapshot.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Term of the entry at `index`; `None` when the log does not have it.
+    /// Returns the term of the entry at `index`, or `None` if the log does not hold that entry.
     #[must_use]
     pub fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot_index {
@@ -69,14 +69,15 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// The entry at `index`.
+    /// Returns the entry at `index`.
     #[must_use]
     pub fn get(&self, index: LogIndex) -> Option<&Entry> {
         let offset = index.checked_sub(self.snapshot_index + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from `from` on, within the limits but at least one when there is one.
+    /// Returns entries starting at `from`, within the limits. Returns at least one entry if the log
+    /// holds any from `from` on.
     #[must_use]
     pub fn batch(&self, from: LogIndex, max_entries: usize, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
@@ -93,7 +94,7 @@
         batch
     }
 
-    /// The latest membership in the log, committed or not.
+    /// Returns the latest membership in the log, committed or not, and the index of its entry.
     #[must_use]
     pub fn membership(&self) -> (LogIndex, &Membership) {
         self.entries
@@ -106,7 +107,7 @@
             .unwrap_or((self.snapshot_index, &self.snapshot_membership))
     }
 
-    /// The membership in force at `index`.
+    /// Returns the membership in effect at `index`.
     #[must_use]
     pub fn membership_at(&self, index: LogIndex) -> &Membership {
         self.entries
@@ -120,18 +121,19 @@
             .unwrap_or(&self.snapshot_membership)
     }
 
+    /// Appends the next entry.
     pub(crate) fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         self.entries.push_back(entry);
     }
 
-    /// Drops every entry from `index` on.
+    /// Removes all entries from `index` on.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         let keep = index.saturating_sub(self.snapshot_index + 1);
         self.entries.truncate(usize::try_from(keep).unwrap_or(0));
     }
 
-    /// Forgets entries up to `index`, which a snapshot now contains.
+    /// Discards the entries up to `index`, which a snapshot covers.
     pub(crate) fn compact(&mut self, index: LogIndex) {
         let Some(term) = self.term_at(index) else {
             return;
@@ -148,7 +150,7 @@
         self.snapshot_term = term;
     }
 
-    /// Replaces the whole log by a received snapshot.
+    /// Replaces the whole log with a received snapshot.
     pub(crate) fn reset(&mut self, snapshot: &Snapshot) {
         self.entries.clear();
         self.snapshot_index = snapshot.index;
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -1,18 +1,19 @@
-//! Who belongs to a group.
+//! Membership of a Raft group.
 
 use luglink_types::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// One node of a group: a member and the incarnation of its storage.
+/// Identity of a node of a group: a member and the incarnation of its storage.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Peer {
-    /// The control machine.
+    /// Member, which is one machine.
     pub member: MemberId,
-    /// Distinguishes the storages the machine has had. Never used twice.
+    /// Identifies the current storage of the machine. A machine with new storage gets a new
+    /// incarnation; values are never reused.
     pub incarnation: u64,
 }
 
@@ -22,31 +23,32 @@
     }
 }
 
-/// Voters decide; learners only receive.
+/// Nodes of a group. Voters form quorums; learners only receive the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Peers whose votes and acknowledgements count.
+    /// Peers whose votes and acknowledgements count towards a quorum.
     pub voters: BTreeSet<Peer>,
-    /// Peers that are being brought up to date.
+    /// Peers that replicate the log without a vote.
     pub learners: BTreeSet<Peer>,
 }
 
-/// A change by one voter at the most, one at a time, so that any two consecutive majorities
-/// overlap. Learners have no part in majorities, so any number may come at once.
+/// Membership change. A change adds or removes at most one voter, and only one change is in
+/// progress at a time, so that the quorums of consecutive memberships overlap. Learners are not
+/// part of quorums, so any number can be added at once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Starts to bring a peer up to date.
+    /// Adds a peer as a learner.
     AddLearner(Peer),
-    /// Starts to bring several peers up to date; those that are members already stay as they are.
+    /// Adds several peers as learners. Peers that are already members are unchanged.
     AddLearners(BTreeSet<Peer>),
-    /// Gives a learner a vote. Refused until it has caught up.
+    /// Promotes a learner to a voter. Rejected until the learner has caught up.
     Promote(Peer),
-    /// Removes a voter or learner.
+    /// Removes a voter or a learner.
     Remove(Peer),
 }
 
 impl Membership {
-    /// A membership of voters only.
+    /// Creates a membership that has only voters.
     #[must_use]
     pub fn of_voters(voters: impl IntoIterator<Item = Peer>) -> Self {
         Self {
@@ -55,31 +57,31 @@
         }
     }
 
-    /// Voters that make a majority.
+    /// Returns the number of voters that form a majority.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether the peer has a vote.
+    /// Returns true if the peer is a voter.
     #[must_use]
     pub fn is_voter(&self, peer: Peer) -> bool {
         self.voters.contains(&peer)
     }
 
-    /// Whether the peer belongs to the group at all.
+    /// Returns true if the peer is a voter or a learner.
     #[must_use]
     pub fn contains(&self, peer: Peer) -> bool {
         self.voters.contains(&peer) || self.learners.contains(&peer)
     }
 
-    /// Every peer.
+    /// Iterates over all voters and learners.
     pub fn peers(&self) -> impl Iterator<Item = Peer> + '_ {
         self.voters.iter().chain(self.learners.iter()).copied()
     }
 
-    /// The membership after `change`, or why it is not allowed.
-    pub(crate) fn changed(&self, change: MembershipChange) -> Result<Self, &'static str> {
+    /// Returns the membership after `change`, or the rule that the change violates.
+    pub(crate) fn with_change(&self, change: MembershipChange) -> Result<Self, &'static str> {
         let mut next = self.clone();
         match change {
             MembershipChange::AddLearner(peer) => {
@@ -112,6 +114,7 @@
         Ok(next)
     }
 
+    /// Returns the approximate size in bytes.
     pub(crate) fn size(&self) -> usize {
         (self.voters.len() + self.learners.len()) * size_of::<Peer>()
     }
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -1,79 +1,82 @@
-//! Messages between the nodes of a group.
+//! Messages between nodes of a group.
 
 use crate::entry::{Entry, LogIndex, Snapshot, Term};
 use crate::membership::Peer;
 use crate::read::ReadId;
 use serde::{Deserialize, Serialize};
 
-/// A message with its ends and its sender's term.
+/// Message with its sender, its receiver and the sender's term.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Sender.
+    /// Sending node.
     pub from: Peer,
-    /// Receiver.
+    /// Receiving node.
     pub to: Peer,
-    /// Sender's term; for pre-votes, the term that the sender would start.
+    /// Sender's term; for a pre-vote, the term that the sender would start.
     pub term: Term,
-    /// The message.
+    /// Message content.
     pub message: Message,
 }
 
-/// What nodes say to each other.
+/// Raft message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Would you vote for me? Raises no term, so a cut-off node cannot disturb the others.
+    /// Asks whether the receiver would vote for the sender. Does not increase any term, so a
+    /// partitioned node cannot disrupt the group.
     PreVote {
-        /// Last entry of the candidate's log.
+        /// Index of the last entry in the candidate's log.
         last_index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         last_term: Term,
     },
-    /// Answer to a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
-        /// Whether the vote would be given.
+        /// True if the receiver would grant its vote.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     Vote {
-        /// Last entry of the candidate's log.
+        /// Index of the last entry in the candidate's log.
         last_index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         last_term: Term,
-        /// The old leader asked for this election, so followers need not wait for its silence.
+        /// True if the leader requested this election. Followers then vote even though they have
+        /// recently heard from the leader.
         transfer: bool,
     },
-    /// Answer to a vote.
+    /// Reply to a vote request.
     VoteReply {
-        /// Whether the vote is given.
+        /// True if the vote is granted.
         granted: bool,
     },
-    /// Entries to append; a heartbeat when there are none.
+    /// Entries to append. Without entries, the message is a heartbeat.
     Append {
-        /// Entry before the first of `entries`.
+        /// Index of the entry that precedes `entries`.
         previous_index: LogIndex,
-        /// That entry's term.
+        /// Term of that entry.
         previous_term: Term,
-        /// The entries.
+        /// Entries to append.
         entries: Vec<Entry>,
-        /// The leader's commit index.
+        /// Leader's commit index.
         commit: LogIndex,
-        /// Latest read that waits for confirmation of leadership.
+        /// Latest read that is waiting for the leadership to be confirmed.
         read: ReadId,
     },
-    /// Answer to an append.
+    /// Reply to an append or a snapshot.
     AppendReply {
-        /// Whether the previous entry matched.
+        /// True if the receiver's log matched at the previous entry.
         accepted: bool,
-        /// When accepted, the last entry known to match; else a hint where to try next.
+        /// Index of the last matching entry if accepted, otherwise the next index that the leader
+        /// should try.
         index: LogIndex,
-        /// Repeats the read of the append.
+        /// Value of `read` in the append.
         read: ReadId,
     },
-    /// A snapshot for a follower whose next entry the leader no longer has.
+    /// Snapshot for a follower whose next entry the leader has discarded.
     InstallSnapshot {
-        /// The snapshot.
+        /// Snapshot to install.
         snapshot: Snapshot,
     },
-    /// Asks the receiver to start an election at once.
+    /// Tells the receiver to start an election immediately.
     TimeoutNow,
 }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: its state, its entrances, and the work it gives out.
+//! Raft node: its state, its public operations and the work that it hands out.
 
 use crate::config::RaftConfig;
 use crate::entry::{Entry, HardState, LogIndex, Payload, Snapshot, Term};
@@ -16,31 +16,31 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What a node is doing.
+/// Role of a node in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader or waits for one.
+    /// Follows a leader, or waits for one to be elected.
     Follower,
-    /// Asks whether an election would succeed.
+    /// Asks the voters whether an election would succeed.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads its term.
+    /// Leads the current term.
     Leader,
 }
 
-/// What a node's storage gave back at start.
+/// Persisted state of a node, read at startup.
 #[derive(Clone, Debug, Default)]
 pub struct RestoredState {
     /// Term and vote.
     pub hard_state: HardState,
-    /// End of the latest snapshot; the state itself is the driver's.
+    /// Position of the latest snapshot. Its state bytes are not used by the node.
     pub snapshot: Snapshot,
     /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// One node of one group.
+/// Node of a Raft group.
 #[derive(Clone, Debug)]
 pub struct RaftNode {
     pub(crate) me: Peer,
@@ -55,7 +55,8 @@
     pub(crate) leader: Option<Peer>,
     pub(crate) commit: LogIndex,
     pub(crate) applied: LogIndex,
-    /// Last entry that is durable here. A leader counts only this of its own log.
+    /// Index of the last entry persisted on this node. A leader counts only entries up to it
+    /// towards a quorum.
     pub(crate) persisted: LogIndex,
     pub(crate) election_deadline: Timestamp,
     pub(crate) heartbeat_deadline: Timestamp,
@@ -67,16 +68,16 @@
     pub(crate) ready: Ready,
 }
 
-/// A hand-over of leadership under way.
+/// Leadership transfer in progress.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Transfer {
     pub(crate) to: Peer,
-    pub(crate) until: Timestamp,
+    pub(crate) deadline: Timestamp,
     pub(crate) timeout_now_sent: bool,
 }
 
 impl RaftNode {
-    /// A node from its stored state. `seed` drives election timeouts only.
+    /// Creates a node from its persisted state. `seed` only affects election timeouts.
     #[must_use]
     pub fn new(
         me: Peer,
@@ -119,56 +120,56 @@
         node
     }
 
-    /// Who this node is.
+    /// Returns the identity of this node.
     #[must_use]
     pub fn me(&self) -> Peer {
         self.me
     }
 
-    /// What this node is doing.
+    /// Returns the role of this node.
     #[must_use]
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Whether this node leads its term. A cut-off leader may think so for up to one election
-    /// timeout, but commits and confirms nothing in that time.
+    /// Returns true if this node leads its term. A partitioned leader keeps this role for up to one
+    /// election timeout, but commits no entries and confirms no reads in that time.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// The leader of the current term, when known.
+    /// Returns the leader of the current term, if known.
     #[must_use]
     pub fn leader(&self) -> Option<Peer> {
         self.leader
     }
 
-    /// The current term.
+    /// Returns the current term.
     #[must_use]
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// Last committed entry.
+    /// Returns the index of the last committed entry.
     #[must_use]
     pub fn commit_index(&self) -> LogIndex {
         self.commit
     }
 
-    /// The log.
+    /// Returns the log.
     #[must_use]
     pub fn log(&self) -> &RaftLog {
         &self.log
     }
 
-    /// The latest membership in the log.
+    /// Returns the latest membership in the log, committed or not.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// When [`RaftNode::tick`] next has something to do.
+    /// Returns the time at which [`RaftNode::tick`] must be called next.
     #[must_use]
     pub fn next_deadline(&self) -> Timestamp {
         if self.is_leader() {
@@ -178,7 +179,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock: sends due heartbeats or starts a due election.
     pub fn tick(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         if self.is_leader() {
@@ -188,11 +189,11 @@
         }
     }
 
-    /// Takes a message from another node.
+    /// Processes a message from another node.
     pub fn step(&mut self, envelope: Envelope, now: Timestamp) {
         self.now = self.now.max(now);
         if envelope.to != self.me {
-            // Addressed to an earlier incarnation of this machine.
+            // The message is addressed to an earlier incarnation of this member.
             return;
         }
         if !self.check_term(&envelope) {
@@ -228,11 +229,11 @@
         }
     }
 
-    /// Appends a command. Returns the entry's place; it is in force once that place is among
-    /// [`Ready::committed`] with this term.
+    /// Appends a command and returns the index and term of its entry. The command is committed once
+    /// [`Ready::committed`] contains an entry with this index and term.
     ///
     /// # Errors
-    /// Nothing was appended.
+    /// This node is not the leader or is transferring its leadership. Nothing was appended.
     pub fn propose(
         &mut self,
         command: Vec<u8>,
@@ -243,10 +244,11 @@
         Ok(self.append_as_leader(Payload::Command(command)))
     }
 
-    /// Appends a membership change.
+    /// Appends a membership change and returns the index and term of its entry.
     ///
     /// # Errors
-    /// Nothing was appended.
+    /// This node is not the leader or is transferring its leadership, an earlier change is not
+    /// committed, or the change is invalid. Nothing was appended.
     pub fn propose_membership(
         &mut self,
         change: MembershipChange,
@@ -254,8 +256,9 @@
     ) -> Result<(LogIndex, Term), ProposeError> {
         self.now = self.now.max(now);
         self.ensure_may_propose()?;
-        // A leader must have committed in its own term first, or a change left behind by an
-        // earlier leader could take effect beside this one (the 2015 erratum to the thesis).
+        // A leader must first commit an entry of its own term. Otherwise an uncommitted change of an
+        // earlier leader could take effect in parallel with this one (see the 2015 erratum to the
+        // Raft thesis).
         let committed_in_term = self.log.term_at(self.commit) == Some(self.hard_state.term);
         ensure!(
             self.membership_index <= self.commit && committed_in_term,
@@ -269,17 +272,17 @@
                 }
             );
         }
-        let next = match self.membership.changed(change) {
+        let next = match self.membership.with_change(change) {
             Ok(next) => next,
             Err(reason) => return InvalidChangeSnafu { reason }.fail(),
         };
         Ok(self.append_as_leader(Payload::Membership(next)))
     }
 
-    /// Asks for a linearizable read; see [`ReadOutcome`].
+    /// Requests a linearizable read. Its outcome is returned in [`Ready::reads`].
     ///
     /// # Errors
-    /// This node does not lead.
+    /// This node is not the leader.
     pub fn request_read(&mut self, now: Timestamp) -> Result<ReadId, ProposeError> {
         self.now = self.now.max(now);
         ensure!(
@@ -288,8 +291,8 @@
                 leader: self.leader
             }
         );
-        // Until an entry of this term is committed, earlier terms may hold commits unknown here:
-        // the read then waits for this leader's own first entry.
+        // Until an entry of this term is committed, the leader may not know the latest commit index
+        // of earlier terms. The read therefore waits for the first entry of this term.
         let term_start = self.first_index_of_term();
         let read = self.reads.add(self.commit.max(term_start));
         self.heartbeat_deadline = self.now;
@@ -297,29 +300,30 @@
         Ok(read)
     }
 
-    /// Hands leadership to a voter, for a planned stop.
+    /// Starts to transfer leadership to the voter `to`, for example before a planned stop.
     ///
     /// # Errors
-    /// This node does not lead or `to` has no vote.
+    /// This node is not the leader, a transfer is already in progress, or `to` is this node or not
+    /// a voter.
     pub fn transfer_leadership(&mut self, to: Peer, now: Timestamp) -> Result<(), ProposeError> {
         self.now = self.now.max(now);
         self.ensure_may_propose()?;
         ensure!(
             to != self.me && self.membership.is_voter(to),
             InvalidChangeSnafu {
-                reason: "the receiver of leadership must be another voter"
+                reason: "the transfer target must be another voter"
             }
         );
         self.transfer = Some(Transfer {
             to,
-            until: self.now.plus(self.config.election_timeout),
+            deadline: self.now.plus(self.config.election_timeout),
             timeout_now_sent: false,
         });
         self.continue_transfer();
         Ok(())
     }
 
-    /// Tells the node that everything up to `index` is durable here.
+    /// Records that all entries up to `index` are persisted on this node.
     pub fn on_persisted(&mut self, index: LogIndex) {
         self.persisted = self.persisted.max(index.min(self.log.last_index()));
         if self.is_leader() {
@@ -327,14 +331,14 @@
         }
     }
 
-    /// Tells the node that its driver holds a snapshot up to `index`, so the log before it can go.
+    /// Discards the log up to `index`, for which the driver has stored a snapshot.
     pub fn compact(&mut self, index: LogIndex) {
         if index <= self.applied {
             self.log.compact(index);
         }
     }
 
-    /// Takes the work that has come up.
+    /// Returns the pending work and clears it.
     #[must_use]
     pub fn take_ready(&mut self) -> Ready {
         self.collect_committed();
@@ -342,7 +346,7 @@
         std::mem::take(&mut self.ready)
     }
 
-    /// Whether a learner or voter is as far as this leader's commit index.
+    /// Returns true if this node leads and the peer has stored the log up to the commit index.
     #[must_use]
     pub fn has_caught_up(&self, peer: Peer) -> bool {
         self.progress
@@ -350,7 +354,7 @@
             .is_some_and(|progress| progress.match_index >= self.commit && progress.match_index > 0)
     }
 
-    /// Followers heard from within one election timeout, this node included when it leads.
+    /// Returns the peers that replied within the last election timeout, and this node.
     #[must_use]
     pub fn live_peers(&self) -> Vec<Peer> {
         let recent = |progress: &&Progress| {
@@ -375,6 +379,7 @@
         Ok(())
     }
 
+    /// Appends an entry to the leader's own log and replicates it.
     pub(crate) fn append_as_leader(&mut self, payload: Payload) -> (LogIndex, Term) {
         let entry = Entry {
             index: self.log.last_index() + 1,
@@ -382,13 +387,13 @@
             at: self.now,
             payload,
         };
-        let place = (entry.index, entry.term);
+        let index_and_term = (entry.index, entry.term);
         self.store(entry);
         self.replicate_to_all();
-        place
+        index_and_term
     }
 
-    /// Appends to the log in memory and asks for it to be made durable.
+    /// Appends an entry to the in-memory log and to the entries that the driver must persist.
     pub(crate) fn store(&mut self, entry: Entry) {
         if let Payload::Membership(membership) = &entry.payload {
             self.membership_index = entry.index;
@@ -399,7 +404,7 @@
         self.log.push(entry);
     }
 
-    /// Cuts the log, also out of what still waits to be made durable.
+    /// Removes all entries from `index` on, from the log and from the entries to persist.
     pub(crate) fn truncate_from(&mut self, index: LogIndex) {
         self.log.truncate_from(index);
         self.ready.entries.retain(|entry| entry.index < index);
@@ -430,15 +435,16 @@
         });
     }
 
-    /// Half a heartbeat, and a whole one more for each voter that comes before this one: voters
-    /// that start together take turns instead of splitting the vote, and the first of them that
-    /// is there and has the newest log does not wait for luck.
+    /// Returns the election timeout of a node that has not heard from a leader since it started:
+    /// half a heartbeat interval, plus one interval for each voter that precedes this node. Voters
+    /// that start together then start their elections one after the other instead of splitting the
+    /// vote, and the first available voter with an up-to-date log is elected without further delay.
     fn startup_timeout(&mut self) -> Duration {
         let heartbeat = self.config.heartbeat_interval;
-        let limit = self.config.election_timeout;
-        let turn = self.membership.voters.range(..self.me).count() as f64;
+        let max_timeout = self.config.election_timeout;
+        let position = self.membership.voters.range(..self.me).count() as f64;
         let jitter = self.random.random_range(0.0..0.25);
-        heartbeat.mul_f64(0.5 + turn + jitter).min(limit)
+        heartbeat.mul_f64(0.5 + position + jitter).min(max_timeout)
     }
 
     pub(crate) fn random_election_timeout(&mut self) -> Duration {
@@ -447,9 +453,10 @@
     }
 
     pub(crate) fn reset_election_deadline(&mut self) {
-        // A node that has heard no leader since it started asks soon whether there is one to be
-        // elected. A pre-vote disturbs nobody: those who hear a leader refuse it. Once it is a
-        // candidate it waits the full time, or candidates would split the vote again and again.
+        // A node that has not heard from a leader since it started sends a pre-vote after a short
+        // time. This does not disrupt the group: nodes in contact with a leader reject it. A
+        // candidate waits for the full timeout; otherwise candidates could split the vote
+        // repeatedly.
         let has_heard_no_leader = self.last_leader_contact == Timestamp::ZERO;
         let timeout = if has_heard_no_leader && self.role != Role::Candidate {
             self.startup_timeout()
@@ -459,6 +466,7 @@
         self.election_deadline = self.now.plus(timeout);
     }
 
+    /// Moves newly committed entries to the pending work.
     fn collect_committed(&mut self) {
         while self.applied < self.commit {
             let Some(entry) = self.log.get(self.applied + 1) else {
@@ -469,6 +477,7 @@
         }
     }
 
+    /// Moves confirmed reads, or all reads after a loss of leadership, to the pending work.
     fn collect_reads(&mut self) {
         let outcomes: Vec<ReadOutcome> = if self.is_leader() {
             let confirmed = self.confirmed_read();
@@ -481,6 +490,7 @@
         self.ready.reads.extend(outcomes);
     }
 
+    /// Returns the index of the first entry of the current term.
     fn first_index_of_term(&self) -> LogIndex {
         let term = self.hard_state.term;
         let mut index = self.log.last_index();
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -1,23 +1,23 @@
-//! What a leader knows of a follower.
+//! Replication progress of a follower, as tracked by its leader.
 
 use crate::entry::LogIndex;
 use crate::read::ReadId;
 use luglink_types::Timestamp;
 
-/// A follower as its leader sees it.
+/// Replication progress of one follower.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// Last entry known to be stored by the follower.
+    /// Index of the last entry that the follower is known to have stored.
     pub(crate) match_index: LogIndex,
-    /// Next entry to send.
+    /// Index of the next entry to send.
     pub(crate) next: LogIndex,
-    /// Append messages with entries that are not answered yet.
+    /// Number of append messages with entries that are not acknowledged yet.
     pub(crate) in_flight: usize,
-    /// Last time anything was heard from the follower in this term.
+    /// Time of the last reply from the follower in this term.
     pub(crate) last_contact: Timestamp,
-    /// Latest read that the follower confirmed.
+    /// Latest read for which the follower has confirmed the leadership.
     pub(crate) confirmed_read: ReadId,
-    /// When a snapshot was sent that is not answered yet.
+    /// Time at which the unacknowledged snapshot, if any, was sent.
     pub(crate) snapshot_sent_at: Option<Timestamp>,
 }
 
@@ -33,14 +33,16 @@
         }
     }
 
-    pub(crate) fn accepted(&mut self, index: LogIndex) {
+    /// Records that the follower stored the log up to `index`.
+    pub(crate) fn on_accepted(&mut self, index: LogIndex) {
         self.match_index = self.match_index.max(index);
         self.next = self.next.max(self.match_index + 1);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.snapshot_sent_at = None;
     }
 
-    pub(crate) fn rejected(&mut self, hint: LogIndex) {
+    /// Moves back to the index that the follower suggests, but not before the matched entries.
+    pub(crate) fn on_rejected(&mut self, hint: LogIndex) {
         self.next = hint
             .min(self.next.saturating_sub(1))
             .max(self.match_index + 1);
--- a/crates/raft/src/read.rs
+++ b/crates/raft/src/read.rs
@@ -1,26 +1,27 @@
-//! Linearizable reads by read-index: a leader confirms with a quorum that it still leads, then
-//! reads its own state. A leader that was cut off gets no quorum and answers nothing.
+//! Linearizable reads with the read-index protocol: a leader confirms its leadership with a quorum
+//! and then reads its own state. A partitioned leader reaches no quorum and serves no read.
 
 use crate::entry::LogIndex;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Number of a read at one leader, rising.
+/// Identifier of a read at one leader. Identifiers increase.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ReadId(pub u64);
 
-/// What became of a read.
+/// Outcome of a read request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The local state machine may answer it now.
+    /// The local state machine can serve the read now.
     Ready(ReadId),
-    /// This node lost leadership first; ask the new leader.
+    /// This node lost its leadership before the read was confirmed. The caller should retry at the
+    /// new leader.
     Lost(ReadId),
 }
 
-/// Reads that wait for confirmation, oldest first.
+/// Reads that are waiting for confirmation, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PendingReads {
     waiting: VecDeque<(ReadId, LogIndex)>,
@@ -28,17 +29,19 @@
 }
 
 impl PendingReads {
+    /// Adds a read that must see the state up to `commit`.
     pub(crate) fn add(&mut self, commit: LogIndex) -> ReadId {
         self.last = ReadId(self.last.0 + 1);
         self.waiting.push_back((self.last, commit));
         self.last
     }
 
+    /// Returns the latest read.
     pub(crate) fn last(&self) -> ReadId {
         self.last
     }
 
-    /// Reads up to `confirmed` whose commit index has been applied.
+    /// Removes and returns the reads up to `confirmed` whose commit index is applied.
     pub(crate) fn take_ready(&mut self, confirmed: ReadId, applied: LogIndex) -> Vec<ReadId> {
         let mut ready = Vec::new();
         while let Some((read, index)) = self.waiting.front().copied() {
@@ -51,6 +54,7 @@
         ready
     }
 
+    /// Removes and returns all reads.
     pub(crate) fn take_all(&mut self) -> Vec<ReadId> {
         self.waiting.drain(..).map(|(read, _)| read).collect()
     }
--- a/crates/raft/src/ready.rs
+++ b/crates/raft/src/ready.rs
@@ -1,40 +1,40 @@
-//! What a node wants done.
+//! Work that a node hands to its driver.
 
 use crate::entry::{Entry, HardState, Snapshot};
 use crate::message::Envelope;
 use crate::read::ReadOutcome;
 
-/// Work that a node gives out. Its driver must, in this order: send `messages`; make
-/// `hard_state`, `snapshot` and `entries` durable; tell the node with
-/// [`crate::RaftNode::on_persisted`]; send `messages_after_sync`; apply `committed`.
+/// Pending work of a node. The driver must perform these steps in order: send `messages`; persist
+/// `hard_state`, `snapshot` and `entries`; call [`crate::RaftNode::on_persisted`]; send
+/// `messages_after_sync`; apply `committed`.
 ///
-/// Sending `messages_after_sync` before the sync would acknowledge what a crash can still lose.
+/// Sending `messages_after_sync` before the sync acknowledges data that a crash can still lose.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// Messages that promise nothing about this node's storage.
+    /// Messages that do not depend on persisted state.
     pub messages: Vec<Envelope>,
-    /// Term and vote to make durable.
+    /// Term and vote to persist.
     pub hard_state: Option<HardState>,
-    /// A snapshot that replaces the whole log and state machine.
+    /// Snapshot that replaces the whole log and the state machine.
     pub snapshot: Option<Snapshot>,
-    /// Entries to append. The first one's index tells where to cut the stored log.
+    /// Entries to persist. Stored entries from the first one's index on must be removed first.
     pub entries: Vec<Entry>,
-    /// Messages that may go out only after the sync.
+    /// Messages to send only after the sync.
     pub messages_after_sync: Vec<Envelope>,
     /// Entries to apply to the state machine, in order.
     pub committed: Vec<Entry>,
-    /// Reads that are decided.
+    /// Outcomes of read requests.
     pub reads: Vec<ReadOutcome>,
 }
 
 impl Ready {
-    /// Whether there is nothing to do.
+    /// Returns true if there is no work.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Whether anything must be made durable.
+    /// Returns true if there is state to persist.
     #[must_use]
     pub fn must_sync(&self) -> bool {
         self.hard_state.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: appends, commits, snapshots and confirmation of reads.
+//! Log replication: appends, commits, snapshots and confirmation of reads.
 
 use crate::entry::{Entry, LogIndex, Snapshot, Term};
 use crate::membership::Peer;
@@ -8,7 +8,7 @@
 use crate::read::ReadId;
 use std::time::Duration;
 
-/// Wait before a snapshot that was not answered is offered again, in election timeouts.
+/// Number of election timeouts after which an unacknowledged snapshot is sent again.
 const SNAPSHOT_RESEND_ELECTION_TIMEOUTS: u32 = 8;
 
 impl RaftNode {
@@ -19,7 +19,7 @@
         }
         if self
             .transfer
-            .is_some_and(|transfer| self.now >= transfer.until)
+            .is_some_and(|transfer| self.now >= transfer.deadline)
         {
             self.transfer = None;
         }
@@ -35,7 +35,7 @@
         self.progress.keys().copied().collect()
     }
 
-    /// Keeps exactly one progress record for each other peer of the membership.
+    /// Adds and removes progress records so that each other peer of the membership has exactly one.
     pub(crate) fn refresh_progress(&mut self) {
         if !self.is_leader() {
             return;
@@ -59,7 +59,7 @@
         self.advance_commit();
     }
 
-    /// Sends what the follower lacks, within the window.
+    /// Sends missing entries to the follower, within the append window, or a snapshot.
     fn replicate(&mut self, peer: Peer) {
         loop {
             let Some(progress) = self.progress.get(&peer) else {
@@ -103,8 +103,8 @@
         self.send(peer, message);
     }
 
-    /// A heartbeat probes at the last matched entry, so that lost appends are noticed: the
-    /// window is reopened and sending goes on from what the follower really has.
+    /// Sends a heartbeat. It refers to the last matched entry, so that the reply reveals lost
+    /// appends and replication resumes from the entries that the follower really has.
     fn send_heartbeat(&mut self, peer: Peer) {
         let resend_after = self.config.election_timeout * SNAPSHOT_RESEND_ELECTION_TIMEOUTS;
         let now = self.now;
@@ -116,12 +116,12 @@
         if progress.snapshot_sent_at.is_some_and(timed_out) {
             progress.snapshot_sent_at = None;
         }
-        let probe = if progress.match_index >= snapshot_index {
+        let next = if progress.match_index >= snapshot_index {
             progress.match_index + 1
         } else {
             progress.next.max(snapshot_index + 1)
         };
-        self.send_append(peer, probe, Vec::new());
+        self.send_append(peer, next, Vec::new());
     }
 
     fn send_snapshot(&mut self, peer: Peer) {
@@ -129,7 +129,7 @@
         if let Some(progress) = self.progress.get_mut(&peer) {
             progress.snapshot_sent_at = Some(now);
         }
-        // The state itself is the driver's: it fills in the bytes before it sends.
+        // The driver fills in the state bytes before it sends the message.
         let snapshot = Snapshot {
             index: self.log.snapshot_index(),
             term: self.log.term_at(self.log.snapshot_index()).unwrap_or(0),
@@ -149,7 +149,7 @@
         read: ReadId,
     ) {
         self.follow_leader(from);
-        if !self.matches(previous_index, previous_term) {
+        if !self.has_entry(previous_index, previous_term) {
             let index = self.conflict_hint(previous_index);
             let reply = Message::AppendReply {
                 accepted: false,
@@ -163,7 +163,7 @@
         for entry in entries {
             self.append_from_leader(entry);
         }
-        // Only entries that this append vouched for are known to be the leader's.
+        // Only the entries that this append covers are known to match the leader's log.
         self.commit = self.commit.max(commit.min(last_matched));
         let term = self.hard_state.term;
         let reply = Message::AppendReply {
@@ -174,6 +174,7 @@
         self.send_after_sync(from, term, reply);
     }
 
+    /// Records contact with the leader of the current term and becomes its follower.
     fn follow_leader(&mut self, leader: Peer) {
         self.role = Role::Follower;
         self.leader = Some(leader);
@@ -182,13 +183,14 @@
         self.reset_election_deadline();
     }
 
-    fn matches(&self, index: LogIndex, term: Term) -> bool {
-        // What the snapshot covers is committed, hence equal everywhere.
+    /// Returns true if the log has an entry with this index and term.
+    fn has_entry(&self, index: LogIndex, term: Term) -> bool {
+        // Entries covered by the snapshot are committed and therefore identical on all nodes.
         index < self.log.snapshot_index() || self.log.term_at(index) == Some(term)
     }
 
-    /// The next index a leader should try: before this node's end, or before the whole
-    /// conflicting term.
+    /// Returns the next index that the leader should send: the end of this log if the log is too
+    /// short, otherwise the first entry of the conflicting term.
     fn conflict_hint(&self, index: LogIndex) -> LogIndex {
         if index > self.log.last_index() {
             return self.log.last_index() + 1;
@@ -205,6 +207,7 @@
         first
     }
 
+    /// Appends an entry unless the log already has it. Removes conflicting entries first.
     fn append_from_leader(&mut self, entry: Entry) {
         if entry.index <= self.log.snapshot_index() {
             return;
@@ -239,41 +242,46 @@
         progress.confirmed_read = progress.confirmed_read.max(read);
         if accepted {
             let stalled = index <= progress.match_index && progress.next > index + 1;
-            progress.accepted(index.min(last_index));
+            progress.on_accepted(index.min(last_index));
             if stalled && progress.in_flight == 0 {
-                // A heartbeat was answered with nothing on the way: appends were lost.
+                // The follower has fewer entries than were sent, and no append is in flight: appends
+                // were lost.
                 progress.next = progress.match_index + 1;
             }
         } else {
-            progress.rejected(index);
+            progress.on_rejected(index);
         }
         self.advance_commit();
         self.replicate(from);
         self.continue_transfer();
     }
 
-    /// Commits what a quorum has stored, if the entry is of this term: entries of earlier terms
-    /// could otherwise be committed and overwritten (figure 8 of the paper).
+    /// Advances the commit index to the last entry that a quorum has stored, if that entry is of the
+    /// current term. An entry of an earlier term could still be overwritten after a quorum has
+    /// stored it (figure 8 of the Raft paper).
     pub(crate) fn advance_commit(&mut self) {
         if !self.is_leader() {
             return;
         }
-        let mut stored: Vec<LogIndex> = self
+        let mut durable_indexes: Vec<LogIndex> = self
             .membership
             .voters
             .iter()
             .map(|peer| self.durable_index_of(*peer))
             .collect();
-        stored.sort_unstable_by(|left, right| right.cmp(left));
-        let Some(candidate) = stored.get(self.membership.quorum() - 1).copied() else {
+        durable_indexes.sort_unstable_by(|left, right| right.cmp(left));
+        let Some(quorum_index) = durable_indexes.get(self.membership.quorum() - 1).copied() else {
             return;
         };
-        if candidate > self.commit && self.log.term_at(candidate) == Some(self.hard_state.term) {
-            self.commit = candidate;
+        if quorum_index > self.commit
+            && self.log.term_at(quorum_index) == Some(self.hard_state.term)
+        {
+            self.commit = quorum_index;
             self.step_down_if_removed();
         }
     }
 
+    /// Returns the index of the last entry that the peer is known to have persisted.
     fn durable_index_of(&self, peer: Peer) -> LogIndex {
         if peer == self.me {
             return self.persisted;
@@ -286,7 +294,8 @@
     fn step_down_if_removed(&mut self) {
         let removed = !self.membership.contains(self.me) && self.membership_index <= self.commit;
         if removed {
-            // The others learn of the commit first, so that none of them has to find out alone.
+            // The heartbeats carry the new commit index, so that the remaining nodes learn that the
+            // removal is committed before this node stops leading.
             for peer in self.followers() {
                 self.send_heartbeat(peer);
             }
@@ -317,6 +326,7 @@
         self.send_after_sync(from, term, reply);
     }
 
+    /// Tells the target of a leadership transfer to start its election once its log is complete.
     pub(crate) fn continue_transfer(&mut self) {
         let last_index = self.log.last_index();
         let Some(transfer) = self.transfer.as_mut() else {
@@ -333,7 +343,7 @@
         }
     }
 
-    /// Latest read that a quorum has confirmed by answering a later append.
+    /// Returns the latest read for which a quorum has confirmed the leadership.
     pub(crate) fn confirmed_read(&self) -> ReadId {
         let mut confirmed: Vec<ReadId> = self
             .membership
@@ -348,6 +358,7 @@
             .unwrap_or_default()
     }
 
+    /// Returns the latest read for which the peer has confirmed the leadership.
     fn read_confirmed_of(&self, peer: Peer) -> ReadId {
         if peer == self.me {
             return self.reads.last();
@@ -357,6 +368,7 @@
             .map_or(ReadId::default(), |progress| progress.confirmed_read)
     }
 
+    /// Sends heartbeats to confirm the leadership for pending reads.
     pub(crate) fn send_read_heartbeats(&mut self) {
         if self.reads.is_empty() {
             return;
@@ -367,14 +379,16 @@
         }
     }
 
-    /// How long the leader has gone without hearing from `peer`.
+    /// Returns the time since this leader last heard from `peer`, or `None` if this node does not
+    /// lead or `peer` is not one of its followers.
     #[must_use]
     pub fn silence_of(&self, peer: Peer) -> Option<Duration> {
         let progress = self.progress.get(&peer)?;
         Some(self.now.since(progress.last_contact))
     }
 
-    /// The other voter that the leader heard from last, among those that `is_eligible` accepts.
+    /// Returns the voter that this leader heard from most recently, excluding itself, among those
+    /// that `is_eligible` accepts.
     #[must_use]
     pub fn successor(&self, is_eligible: impl Fn(Peer) -> bool) -> Option<Peer> {
         let voters = self.membership.voters.iter().copied();
