--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -10,7 +10,7 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Peer {
-    /// Member, which is one machine.
+    /// Member that the node runs on.
     pub member: MemberId,
     /// Identifies the current storage of the machine. A machine with new storage gets a new
     /// incarnation; values are never reused.
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -13,7 +13,7 @@
     pub(crate) next: LogIndex,
     /// Number of append messages with entries that are not acknowledged yet.
     pub(crate) in_flight: usize,
-    /// Time of the last reply from the follower in this term.
+    /// Time of the last reply from the follower in this term, initially the creation time.
     pub(crate) last_contact: Timestamp,
     /// Latest read for which the follower has confirmed the leadership.
     pub(crate) confirmed_read: ReadId,
--- a/crates/raft/tests/cluster.rs
+++ b/crates/raft/tests/cluster.rs
@@ -1,4 +1,5 @@
-//! Whole groups under lost, doubled and reordered messages, crashes and membership changes.
+//! Tests of whole groups with lost, duplicated and reordered messages, crashes and membership
+//! changes.
 
 use luglink_raft::{
     Entry, Envelope, HardState, Membership, MembershipChange, Message, Payload, Peer, RaftConfig,
@@ -9,12 +10,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Members that there are; the first three begin as voters.
+/// Number of members. The first `VOTER_COUNT` start as voters.
 const MEMBER_COUNT: u32 = 5;
 
 const VOTER_COUNT: u32 = 3;
 
-/// Rounds within which a healed group must commit something.
+/// Number of rounds within which a group must commit an entry once messages are no longer lost.
 const MAX_RECOVERY_ROUNDS: usize = 600;
 
 fn peer(member: u32) -> Peer {
@@ -24,7 +25,7 @@
     }
 }
 
-/// What a node's disk holds.
+/// Persisted state of a node.
 #[derive(Clone, Default)]
 struct StoredState {
     hard_state: HardState,
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Does a node's work: makes it durable and sends what follows.
-    fn work(&mut self, member: u32) {
+    /// Performs the pending work of a node until there is none.
+    fn process_ready(&mut self, member: u32) {
         loop {
             let node = self.nodes.get_mut(&member).unwrap();
             let mut ready = node.raft.take_ready();
@@ -129,7 +130,7 @@
         }
     }
 
-    /// No two nodes ever apply different entries at one place.
+    /// Applies committed entries. Asserts that no two nodes apply different entries at one index.
     fn apply(&mut self, member: u32, ready: &Ready) {
         let node = self.nodes.get_mut(&member).unwrap();
         if let Some(snapshot) = &ready.snapshot {
@@ -138,11 +139,14 @@
         for entry in &ready.committed {
             node.applied.push(entry.clone());
             let known = self.committed.entry(entry.index).or_insert(entry.clone());
-            assert_eq!(known, entry, "two entries were committed at one place");
+            assert_eq!(
+                known, entry,
+                "two different entries were committed at one index"
+            );
         }
     }
 
-    /// A term has one leader, and the latest leader has every committed entry.
+    /// Asserts that a term has one leader and that the latest leader has every committed entry.
     fn check_leader(&mut self, member: u32) {
         let node = &self.nodes[&member];
         if !node.raft.is_leader() {
@@ -158,7 +162,11 @@
         let log = node.raft.log();
         for (index, entry) in self.committed.range(log.snapshot_index() + 1..) {
             let own = log.get(*index).map(|entry| entry.term);
-            assert_eq!(own, Some(entry.term), "the leader lacks entry {index}");
+            assert_eq!(
+                own,
+                Some(entry.term),
+                "the leader does not have entry {index}"
+            );
         }
     }
 
@@ -170,19 +178,20 @@
             if now >= node.raft.next_deadline() {
                 node.raft.tick(now);
             }
-            self.work(member);
+            self.process_ready(member);
         }
     }
 
-    fn deliver(&mut self, place: usize, keep: bool) {
+    /// Delivers one message. With `keep`, it stays in the network and can be delivered again.
+    fn deliver(&mut self, position: usize, keep: bool) {
         if self.network.is_empty() {
             return;
         }
-        let place = place % self.network.len();
+        let position = position % self.network.len();
         let envelope = if keep {
-            self.network[place].clone()
+            self.network[position].clone()
         } else {
-            self.network.remove(place)
+            self.network.remove(position)
         };
         let member = envelope.to.member.0;
         let now = self.now;
@@ -190,32 +199,32 @@
             return;
         };
         node.raft.step(envelope, now);
-        self.work(member);
+        self.process_ready(member);
     }
 
     fn propose(&mut self, member: u32) {
         self.proposals += 1;
         let command = self.proposals.to_be_bytes().to_vec();
         let now = self.now;
-        // Only a leader takes it.
+        // Nodes that do not lead reject the proposal.
         let _ = self
             .nodes
             .get_mut(&member)
             .unwrap()
             .raft
             .propose(command, now);
-        self.work(member);
+        self.process_ready(member);
     }
 
     fn change_membership(&mut self, member: u32, change: MembershipChange) {
         let now = self.now;
         let raft = &mut self.nodes.get_mut(&member).unwrap().raft;
-        // The leader refuses what the rules do not allow now.
+        // The node rejects changes that are not allowed in its current state.
         let _ = raft.propose_membership(change, now);
-        self.work(member);
+        self.process_ready(member);
     }
 
-    /// The node stops; work that it had not made durable is lost, and sent by nobody.
+    /// Restarts a node from its persisted state. Its pending work is lost.
     fn crash(&mut self, member: u32) {
         let now = self.now;
         let node = self.nodes.get_mut(&member).unwrap();
@@ -225,7 +234,7 @@
         node.applied = postcard::from_bytes(&node.stored.snapshot.state).unwrap_or_default();
     }
 
-    /// Writes what a node has applied as a snapshot and forgets the log before it.
+    /// Stores the applied entries of a node as a snapshot and discards the log up to it.
     fn compact(&mut self, member: u32) {
         let node = self.nodes.get_mut(&member).unwrap();
         let Some(last) = node.applied.last().map(|entry| entry.index) else {
@@ -245,7 +254,7 @@
         node.raft.compact(last);
     }
 
-    /// Once nothing is lost any more, something must be committed soon.
+    /// Delivers all messages and asserts that the group commits new entries.
     fn recover(&mut self) {
         let before = self.committed.len();
         for _ in 0..MAX_RECOVERY_ROUNDS {
@@ -260,7 +269,7 @@
                 return;
             }
         }
-        panic!("nothing was committed after healing");
+        panic!("no entry was committed within {MAX_RECOVERY_ROUNDS} rounds");
     }
 }
 
@@ -309,12 +318,12 @@
 fn perform(cluster: &mut Cluster, action: Action) {
     match action {
         Action::Tick(millis) => cluster.tick(millis),
-        Action::Deliver(place) => cluster.deliver(place, false),
-        Action::Duplicate(place) => cluster.deliver(place, true),
-        Action::Drop(place) => {
+        Action::Deliver(position) => cluster.deliver(position, false),
+        Action::Duplicate(position) => cluster.deliver(position, true),
+        Action::Drop(position) => {
             if !cluster.network.is_empty() {
-                let place = place % cluster.network.len();
-                cluster.network.remove(place);
+                let position = position % cluster.network.len();
+                cluster.network.remove(position);
             }
         }
         Action::Propose(member) => cluster.propose(member),
@@ -333,7 +342,7 @@
     })]
 
     #[test]
-    fn nothing_committed_is_lost_and_the_group_recovers(
+    fn committed_entries_are_never_lost_and_the_group_recovers(
         actions in proptest::collection::vec(action(), 50..500),
     ) {
         let mut cluster = Cluster::new();
@@ -377,9 +386,8 @@
     assert_eq!(commands, (first..first + 5).collect::<Vec<_>>());
 }
 
-/// The situation of a second failure right after a repair: a storage that came back empty has a
-/// new incarnation, and its vote counts for nobody until it has been promoted.
-/// Lets time pass in small steps, with nothing lost, until somebody leads.
+/// Advances time in small steps without message loss until a node leads. Returns its member number
+/// and the elapsed time.
 fn first_leader(cluster: &mut Cluster) -> (u32, Duration) {
     let members: Vec<u32> = cluster.nodes.keys().copied().collect();
     for step in 1..1_000 {
@@ -388,7 +396,7 @@
         for member in &members {
             let now = cluster.now;
             cluster.nodes.get_mut(member).unwrap().raft.tick(now);
-            cluster.work(*member);
+            cluster.process_ready(*member);
         }
         while !cluster.network.is_empty() {
             cluster.deliver(0, false);
@@ -398,11 +406,11 @@
             return (*member, passed);
         }
     }
-    panic!("nobody leads");
+    panic!("no leader was elected");
 }
 
 #[test]
-fn voters_that_start_together_take_turns() {
+fn voters_that_start_together_stand_for_election_in_order() {
     let heartbeat = RaftConfig::default().heartbeat_interval;
     for restarts in 0..50 {
         let mut cluster = Cluster::new();
@@ -412,7 +420,7 @@
         let (leader, passed) = first_leader(&mut cluster);
         assert_eq!(leader, 1, "start {restarts}");
         assert!(passed <= heartbeat, "start {restarts}: {passed:?}");
-        // Without the first of them the next one does not wait for much longer.
+        // If the first voter is down, the second one is elected one heartbeat interval later.
         let mut cluster = Cluster::new();
         cluster.nodes.remove(&1);
         for (member, node) in &mut cluster.nodes {
@@ -425,8 +433,11 @@
     }
 }
 
+/// A member that lost its storage restarts with a new incarnation, which is not in the membership.
+/// If its vote counted, a second failure right after the repair could elect a leader that lacks
+/// committed entries.
 #[test]
-fn an_empty_storage_has_no_vote() {
+fn a_node_with_empty_storage_has_no_vote() {
     let now = Timestamp::from_millis(10_000);
     let fresh = Peer {
         member: MemberId(1),
@@ -439,7 +450,7 @@
         1,
         now,
     );
-    let ask = Envelope {
+    let vote_request = Envelope {
         from: peer(2),
         to: fresh,
         term: 9,
@@ -449,7 +460,7 @@
             transfer: true,
         },
     };
-    node.step(ask, now);
+    node.step(vote_request, now);
     let ready = node.take_ready();
     let refused = ready
         .messages_after_sync
@@ -459,6 +470,6 @@
     node.tick(now.plus(Duration::from_secs(60)));
     assert!(
         node.take_ready().messages.is_empty(),
-        "it must not stand for election"
+        "a node outside the membership must not start an election"
     );
 }
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,23 +1,23 @@
-//! What storage needs of a disk.
+//! Interface between the write-ahead log and a disk.
 
 use crate::errors::StorageError;
 
-/// A folder of files. Nothing is durable before [`Disk::sync`] returns, except what
-/// [`Disk::replace`] writes.
+/// Folder of files. Appended data is durable once [`Disk::sync`] has returned; all other changes
+/// are durable when the method returns.
 pub trait Disk {
-    /// Names of all files, sorted.
+    /// Returns the names of all files, sorted.
     ///
     /// # Errors
     /// The folder cannot be read.
     fn list(&self) -> Result<Vec<String>, StorageError>;
 
-    /// The whole content of a file.
+    /// Returns the whole content of a file.
     ///
     /// # Errors
     /// The file is missing or cannot be read.
     fn read(&self, file: &str) -> Result<Vec<u8>, StorageError>;
 
-    /// Appends to a file, which is created when it is missing.
+    /// Appends to a file and creates it if it does not exist.
     ///
     /// # Errors
     /// The disk is full, read-only or broken.
@@ -26,16 +26,16 @@
     /// Makes a file's content and name durable.
     ///
     /// # Errors
-    /// What is durable is not known afterwards.
+    /// The sync failed. It is then unknown which data is durable.
     fn sync(&mut self, file: &str) -> Result<(), StorageError>;
 
-    /// Writes a whole file so that after a crash either the old or the new content is there.
+    /// Replaces a file atomically: after a crash it has either the old or the new content.
     ///
     /// # Errors
     /// The disk is full, read-only or broken.
     fn replace(&mut self, file: &str, bytes: &[u8]) -> Result<(), StorageError>;
 
-    /// Cuts a file to `length` bytes and makes that durable.
+    /// Truncates a file to `length` bytes durably.
     ///
     /// # Errors
     /// The disk is read-only or broken.
--- a/crates/storage/src/errors.rs
+++ b/crates/storage/src/errors.rs
@@ -1,50 +1,54 @@
-//! Errors of this crate.
+//! Error types.
 
 use snafu::Snafu;
 
-/// A storage failure. After any of these the member must stop: what is durable is not known.
+/// Storage failure. After any of these errors the process must stop, because it is unknown which
+/// data is durable.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// The operating system refused.
+    /// An operation of the operating system failed.
     #[snafu(display("cannot {action} `{file}`: {source}"))]
     Io {
-        /// What was tried.
+        /// Operation that failed.
         action: &'static str,
-        /// On which file of the data folder.
+        /// File in the data folder, or the folder itself.
         file: String,
-        /// Why not.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Intact records follow a broken one: the log was damaged after it was synced.
+    /// The log is damaged or unreadable in a place that a crash cannot explain: the data was already
+    /// synced.
     #[snafu(display(
-        "`{file}` is damaged at byte {offset}: {reason}, and intact records follow. Restore the \
-         file, or empty the data folder and let the other members bring this one up to date"
+        "log file `{file}` is damaged at byte {offset}: {reason}; restore the file, or empty the \
+         data folder and let the other members bring this one up to date"
     ))]
     Corrupt {
-        /// The damaged file.
+        /// Damaged file.
         file: String,
-        /// Where.
+        /// Position of the first frame that cannot be read.
         offset: u64,
-        /// What is wrong.
+        /// Reason for which the frame cannot be read.
         reason: &'static str,
     },
-    /// A whole stretch of the log is missing.
-    #[snafu(display("the log jumps from batch {after} to {found} at the start of `{file}`"))]
+    /// Batches are missing between two segments or within one.
+    #[snafu(display(
+        "batches are missing from the log: batch {after} is followed by {found} in `{file}`"
+    ))]
     Gap {
-        /// The file after the gap.
+        /// File that contains the first batch after the gap.
         file: String,
-        /// Last batch before it.
+        /// Last batch before the gap.
         after: u64,
-        /// First batch after it.
+        /// First batch after the gap.
         found: u64,
     },
-    /// A batch is too large for one frame.
-    #[snafu(display("a batch of {bytes} bytes is over the limit of {limit}"))]
+    /// A batch exceeds the maximum payload of a frame.
+    #[snafu(display("batch of {bytes} bytes exceeds the limit of {limit} bytes"))]
     BatchTooLarge {
-        /// Its size.
+        /// Size of the batch.
         bytes: usize,
-        /// The limit.
+        /// Maximum size.
         limit: usize,
     },
 }
--- a/crates/storage/src/file_disk.rs
+++ b/crates/storage/src/file_disk.rs
@@ -1,4 +1,4 @@
-//! A folder of the file system.
+//! Disk backed by a folder of the file system.
 
 use crate::disk::Disk;
 use crate::errors::{IoSnafu, StorageError};
@@ -10,16 +10,16 @@
 
 const TEMPORARY_SUFFIX: &str = ".tmp";
 
-/// The data folder of a control member.
+/// Data folder of a process.
 #[derive(Debug)]
 pub struct FileDisk {
     folder: PathBuf,
-    /// Files that are being appended to, kept open.
+    /// Open handles of the files that are appended to.
     open: HashMap<String, File>,
 }
 
 impl FileDisk {
-    /// Opens the folder and creates it when it is missing. Checks that it can be written.
+    /// Opens the folder, creates it if it does not exist and checks that it is writable.
     ///
     /// # Errors
     /// The folder cannot be created, read or written.
@@ -44,7 +44,7 @@
         self.folder.join(file)
     }
 
-    /// A crash in [`Disk::replace`] can leave a half-written file under its temporary name.
+    /// Removes incomplete files that a crash during [`Disk::replace`] left behind.
     fn remove_temporary_files(&mut self) -> Result<(), StorageError> {
         for file in self.all_names()? {
             if file.ends_with(TEMPORARY_SUFFIX) {
@@ -146,12 +146,12 @@
 
     fn truncate(&mut self, file: &str, length: u64) -> Result<(), StorageError> {
         self.open.remove(file);
-        let cut = || -> std::io::Result<()> {
+        let truncate = || -> std::io::Result<()> {
             let handle = OpenOptions::new().write(true).open(self.path(file))?;
             handle.set_len(length)?;
             handle.sync_all()
         };
-        cut().context(IoSnafu {
+        truncate().context(IoSnafu {
             action: "truncate",
             file,
         })
@@ -167,9 +167,9 @@
     }
 }
 
-/// Makes sure that a folder is there and stays: what is synced into a folder that is itself
-/// forgotten after a loss of power is lost with it. The folder above is synced even when the
-/// folder is there already, since the process that made it may have been killed before it did.
+/// Creates a folder and its parents durably: if a folder is lost in a power failure, the files
+/// synced into it are lost too. The parent is synced even if the folder already exists, because the
+/// process that created it may have been killed before the sync.
 fn create_folder(folder: &Path) -> std::io::Result<()> {
     let parent = folder
         .parent()
--- a/crates/storage/src/frame.rs
+++ b/crates/storage/src/frame.rs
@@ -1,24 +1,25 @@
-//! One batch on disk: `magic, length, sequence, checksum, payload`, integers little-endian.
+//! On-disk format of one batch: `magic, length, sequence, checksum, payload`, with little-endian
+//! integers.
 //!
 //! The last byte of the magic is the version of the payload's layout. The header is the same in
-//! every version, so that a build recognizes the batches of a newer one, whose payloads it cannot
-//! read, and does not take them for a torn tail that may be cut off.
+//! every version, so that a build recognizes batches of a newer build, whose payloads it cannot
+//! read, and does not truncate them as a torn tail.
 
 const MAGIC: [u8; 4] = *b"LLW1";
 const MAGIC_END: usize = 4;
 
-/// Bytes of the magic that are the same in every version.
+/// End of the part of the magic that is the same in every version.
 const FORMAT_ID_END: usize = 3;
 const LENGTH_END: usize = 8;
 const SEQUENCE_END: usize = 16;
 
-/// Bytes before the payload.
+/// Length of the header.
 pub(crate) const HEADER_BYTES: usize = 20;
 
-/// Largest payload of one frame.
+/// Maximum payload of a frame.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 256 << 20;
 
-/// A frame that was read.
+/// Frame that holds one batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Frame<'a> {
     pub(crate) sequence: u64,
@@ -42,46 +43,47 @@
     }
 }
 
-/// Reads the frame at the start of `bytes`.
+/// Decodes the frame at the start of `bytes`. Returns the reason if there is no intact frame.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Frame<'_>, &'static str> {
     if bytes.len() < HEADER_BYTES {
-        return Err("the header is cut short");
+        return Err("the header is truncated");
     }
     if bytes[..MAGIC_END] != MAGIC {
-        return Err("the header is not a record's");
+        return Err("the magic number does not match");
     }
     decode_any_version(bytes)
 }
 
-/// Reads the frame at the start of `bytes`, whichever version its payload has.
+/// Decodes the frame at the start of `bytes`, with a payload of any version.
 fn decode_any_version(bytes: &[u8]) -> Result<Frame<'_>, &'static str> {
     if bytes.len() < HEADER_BYTES {
-        return Err("the header is cut short");
+        return Err("the header is truncated");
     }
     if bytes[..FORMAT_ID_END] != MAGIC[..FORMAT_ID_END] {
-        return Err("the header is not a record's");
+        return Err("the magic number does not match");
     }
     let length = read_u32(&bytes[MAGIC_END..LENGTH_END]) as usize;
     let sequence = read_u64(&bytes[LENGTH_END..SEQUENCE_END]);
     let expected = read_u32(&bytes[SEQUENCE_END..HEADER_BYTES]);
     if length > MAX_PAYLOAD_BYTES {
-        return Err("the length is impossible");
+        return Err("the payload length exceeds the limit");
     }
     let Some(payload) = bytes.get(HEADER_BYTES..HEADER_BYTES + length) else {
-        return Err("the record is cut short");
+        return Err("the payload is truncated");
     };
     if checksum(sequence, payload) != expected {
-        return Err("the checksum is wrong");
+        return Err("the checksum does not match");
     }
     Ok(Frame { sequence, payload })
 }
 
-/// Whether `bytes` start with an intact frame whose payload has another version.
+/// Returns true if `bytes` start with an intact frame whose payload has another version.
 pub(crate) fn has_other_version(bytes: &[u8]) -> bool {
     decode_any_version(bytes).is_ok() && bytes[..MAGIC_END] != MAGIC
 }
 
-/// Whether an intact frame later than `sequence`, of any version, starts anywhere in `bytes`.
+/// Returns true if `bytes` contain an intact frame, of any version and at any offset, with a
+/// sequence number greater than `sequence`.
 pub(crate) fn contains_later_frame(bytes: &[u8], sequence: u64) -> bool {
     let starts = bytes.windows(FORMAT_ID_END).enumerate();
     let candidates = starts.filter(|(_, window)| *window == &MAGIC[..FORMAT_ID_END]);
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! Durable storage of a control member: a disk abstraction and a write-ahead log on it.
+//! Durable storage: a disk abstraction and a write-ahead log.
 //!
-//! [`Wal`] keeps batches of bytes. A batch is one frame with one checksum, and the next batch is
-//! written only after the one before it is synced. So at most the last frame can be torn by a
-//! crash, and a broken frame with an intact one behind it is corruption, not a torn tail.
+//! [`Wal`] stores batches of bytes. A batch is one frame with one checksum, and a batch is written
+//! only after the previous one is synced. A crash can therefore tear only the last frame, and a
+//! broken frame that is followed by an intact one is corruption, not a torn tail.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/storage/src/memory_disk.rs
+++ b/crates/storage/src/memory_disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that forgets unsynced writes when it is told to crash.
+//! In-memory disk that simulates crashes and disk failures.
 
 use crate::disk::Disk;
 use crate::errors::{IoSnafu, StorageError};
@@ -6,17 +6,17 @@
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind};
 
-/// What a crash does to writes that were not synced.
+/// Effect of a crash on unsynced writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashDamage {
-    /// They are gone.
+    /// Unsynced writes are lost.
     LoseUnsynced,
-    /// Part of them is kept, cut at this many thousandths of their length.
+    /// The first part of the unsynced writes to each file is kept.
     TearUnsynced {
-        /// Share that is kept.
+        /// Kept part, in thousandths of the unsynced length.
         kept_per_mille: u16,
     },
-    /// Nothing is lost.
+    /// Unsynced writes survive.
     KeepAll,
 }
 
@@ -26,7 +26,7 @@
     synced: usize,
 }
 
-/// A disk for tests and the simulator.
+/// In-memory disk for tests and the simulator.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk {
     files: BTreeMap<String, MemoryFile>,
@@ -36,13 +36,13 @@
 }
 
 impl MemoryDisk {
-    /// An empty disk.
+    /// Creates an empty disk.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Does to unsynced writes what a crash of the machine may do.
+    /// Simulates a crash of the machine: applies `damage` to unsynced writes.
     pub fn crash(&mut self, damage: CrashDamage) {
         for file in self.files.values_mut() {
             let unsynced = file.content.len() - file.synced;
@@ -60,17 +60,17 @@
         self.files.retain(|_, file| !file.content.is_empty());
     }
 
-    /// Makes every later write fail, or work again.
+    /// Sets whether writes and syncs fail because the disk is full.
     pub fn set_full(&mut self, full: bool) {
         self.full = full;
     }
 
-    /// Makes every later sync fail with the writes before it not durable, or work again.
+    /// Sets whether syncs fail, which leaves earlier writes unsynced.
     pub fn set_sync_fails(&mut self, fails: bool) {
         self.sync_fails = fails;
     }
 
-    /// Flips one bit, as failing hardware does.
+    /// Flips one bit, which simulates failing hardware.
     pub fn flip_bit(&mut self, file: &str, offset: usize) {
         let byte = self
             .files
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Number of syncs so far.
+    /// Returns the number of successful syncs.
     #[must_use]
     pub fn syncs(&self) -> u64 {
         self.syncs
     }
 
-    /// Bytes on the disk.
+    /// Returns the number of bytes on the disk.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.files.values().map(|file| file.content.len()).sum()
@@ -154,7 +154,7 @@
     fn replace(&mut self, file: &str, bytes: &[u8]) -> Result<(), StorageError> {
         self.check_space(file)?;
         if self.sync_fails {
-            // The old content stays, as a rename that never happened leaves it.
+            // The old content stays, as if the crash came before the rename.
             let source = Error::other("the machine stopped before the sync ended");
             return Err(IoSnafu {
                 action: "replace",
--- a/crates/storage/src/wal.rs
+++ b/crates/storage/src/wal.rs
@@ -1,4 +1,4 @@
-//! The segmented write-ahead log.
+//! Segmented write-ahead log.
 
 use crate::disk::Disk;
 use crate::errors::{BatchTooLargeSnafu, CorruptSnafu, GapSnafu, StorageError};
@@ -8,13 +8,14 @@
 const SEGMENT_PREFIX: &str = "wal-";
 const SEGMENT_SUFFIX: &str = ".log";
 
-/// Why a whole batch of another version is refused rather than cut off: it was acknowledged.
-const UNKNOWN_LAYOUT_REASON: &str = "the record has a layout that this build does not know";
+/// Reason for rejecting an intact batch of another version. The batch may have been acknowledged, so
+/// it must not be truncated as a torn tail.
+const UNKNOWN_LAYOUT_REASON: &str = "the batch has a layout that this build does not know";
 
-/// Limits of the log.
+/// Parameters of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WalConfig {
-    /// A segment at least this long is followed by a new one, in bytes.
+    /// Size at which a segment is full, in bytes.
     pub segment_bytes: u64,
 }
 
@@ -26,25 +27,25 @@
     }
 }
 
-/// A batch that was found at start.
+/// Batch that was read when the log was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredBatch {
-    /// The segment that holds it; see [`Wal::remove_segments_before`].
+    /// Number of the segment that holds the batch; see [`Wal::remove_segments_before`].
     pub segment: u64,
-    /// The bytes.
+    /// Content of the batch.
     pub payload: Vec<u8>,
 }
 
-/// What was found at start.
+/// Content of the log when it was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// Every intact batch, in order.
+    /// All intact batches, in order.
     pub batches: Vec<RecoveredBatch>,
-    /// Bytes of a torn last batch that were cut off. It was never acknowledged.
+    /// Number of bytes of a torn last batch that were truncated. That batch was never acknowledged.
     pub torn_bytes: u64,
 }
 
-/// The log, open for appending.
+/// Write-ahead log, open for appending.
 #[derive(Debug)]
 pub struct Wal {
     config: WalConfig,
@@ -55,10 +56,10 @@
 }
 
 impl Wal {
-    /// Opens the log on `disk` and gives back what it holds.
+    /// Opens the log on `disk` and returns its content. Truncates a torn last batch.
     ///
     /// # Errors
-    /// The disk fails, or the log is damaged anywhere but in a torn last batch.
+    /// The disk fails, or the log has damage other than a torn last batch.
     pub fn open(
         disk: &mut impl Disk,
         config: WalConfig,
@@ -79,11 +80,12 @@
         Ok((wal, recovered))
     }
 
-    /// Appends a batch and syncs it. Returns the segment that holds it. When this returns, the
-    /// batch survives a crash.
+    /// Appends a batch, syncs it and returns the number of its segment. The batch then survives a
+    /// crash.
     ///
     /// # Errors
-    /// The disk fails; the log must not be used again.
+    /// The batch is too large, or the disk fails. After a disk failure the log must not be used
+    /// again.
     pub fn append(&mut self, disk: &mut impl Disk, payload: &[u8]) -> Result<u64, StorageError> {
         ensure!(
             payload.len() <= MAX_PAYLOAD_BYTES,
@@ -104,32 +106,33 @@
         Ok(self.segment)
     }
 
-    /// Whether the current segment is long enough for [`Wal::start_segment`].
+    /// Returns true if the current segment has reached its size limit. The caller should then call
+    /// [`Wal::start_segment`].
     #[must_use]
     pub fn segment_is_full(&self) -> bool {
         self.segment_bytes >= self.config.segment_bytes
     }
 
-    /// Makes the next batch the first of a new segment. The caller should begin it with
-    /// whatever it needs to forget older segments later.
+    /// Starts a new segment with the next batch. The caller should first write the state that allows
+    /// it to remove older segments later.
     pub fn start_segment(&mut self) {
         self.segment += 1;
         self.segment_bytes = 0;
     }
 
-    /// The segment that takes the next batch.
+    /// Returns the number of the segment that receives the next batch.
     #[must_use]
     pub fn current_segment(&self) -> u64 {
         self.segment
     }
 
-    /// The oldest segment that is still there.
+    /// Returns the number of the oldest segment that has not been removed.
     #[must_use]
     pub fn oldest_segment(&self) -> u64 {
         self.oldest_segment
     }
 
-    /// Removes segments older than `segment`, the oldest first, so that a crash leaves no gap.
+    /// Removes all segments before `segment`, oldest first, so that a crash in between leaves no gap.
     ///
     /// # Errors
     /// The disk fails.
--- a/crates/storage/tests/wal.rs
+++ b/crates/storage/tests/wal.rs
@@ -1,4 +1,5 @@
-//! The log keeps what it synced, forgets what it did not, and refuses to start when damaged.
+//! Tests of the write-ahead log: it keeps synced batches, truncates torn ones and rejects damaged
+//! files.
 
 use luglink_storage::{CrashDamage, Disk, FileDisk, MemoryDisk, StorageError, Wal, WalConfig};
 use proptest::prelude::*;
@@ -33,14 +34,14 @@
         let mut disk = MemoryDisk::new();
         append_all(&mut disk, &batches);
         let last = disk.list().expect("list").pop().expect("a segment");
-        // An unsynced frame, as a crash in the middle of an append leaves it.
+        // Append an unsynced frame, which the crash then tears.
         let mut other = MemoryDisk::new();
         append_all(&mut other, std::slice::from_ref(&torn));
         let frame = other.read("wal-0000000000000000.log").expect("read");
         disk.append(&last, &frame).expect("append");
         disk.crash(CrashDamage::TearUnsynced { kept_per_mille });
         prop_assert_eq!(payloads(&mut disk), batches.clone());
-        // The cut is durable and the log goes on behind it.
+        // The truncation is durable, and new batches follow the intact ones.
         append_all(&mut disk, std::slice::from_ref(&torn));
         let mut expected = batches;
         expected.push(torn);
@@ -60,7 +61,7 @@
         match Wal::open(&mut disk, SMALL_SEGMENTS) {
             Err(StorageError::Corrupt { .. } | StorageError::Gap { .. }) => {}
             Err(other) => prop_assert!(false, "unexpected error {other}"),
-            // Damage in the very last batch looks like a torn tail: one batch less.
+            // Damage in the last batch is indistinguishable from a torn tail, so that batch is lost.
             Ok((_, recovered)) => prop_assert_eq!(recovered.batches.len(), batches.len() - 1),
         }
     }
@@ -137,7 +138,7 @@
     assert!(error.to_string().contains("data folder"), "{error}");
 }
 
-/// A frame whose payload has the version after today's, with a right checksum.
+/// Returns a frame with a valid checksum whose payload has the version after the current one.
 fn frame_with_newer_version(batches: usize) -> Vec<u8> {
     let mut disk = MemoryDisk::new();
     append_all(&mut disk, &vec![b"newer".to_vec(); batches + 1]);
--- a/crates/wire/src/errors.rs
+++ b/crates/wire/src/errors.rs
@@ -1,35 +1,36 @@
-//! Errors of this crate.
+//! Error types.
 
 use snafu::Snafu;
 
-/// Input that is not ours. The connection must be closed.
+/// Invalid input, or a value that cannot be encoded. If the input came from a connection, the
+/// connection must be closed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum WireError {
-    /// A frame is announced that is longer than any we send.
-    #[snafu(display("a frame of {length} bytes is over the limit of {limit}"))]
+    /// A frame exceeds the maximum length.
+    #[snafu(display("frame of {length} bytes exceeds the limit of {limit} bytes"))]
     TooLong {
-        /// What was announced.
+        /// Length of the frame.
         length: usize,
-        /// The limit.
+        /// Maximum length.
         limit: usize,
     },
-    /// A frame does not follow the layout.
+    /// A frame does not have the expected layout.
     #[snafu(display("malformed frame: {source}"))]
     Malformed {
-        /// Where it goes wrong.
+        /// Error of the frame codec.
         source: deku::DekuError,
     },
-    /// A frame has bytes behind its end.
-    #[snafu(display("{count} bytes follow the end of a frame's message"))]
+    /// A frame is longer than its message.
+    #[snafu(display("malformed frame: {count} bytes follow the message"))]
     Trailing {
-        /// How many.
+        /// Number of bytes after the message.
         count: usize,
     },
-    /// A body cannot be understood.
-    #[snafu(display("malformed body: {source}"))]
+    /// A body cannot be encoded or decoded.
+    #[snafu(display("cannot encode or decode a message body: {source}"))]
     Body {
-        /// Why.
+        /// Error of the body codec.
         source: postcard::Error,
     },
 }
--- a/crates/wire/src/extension.rs
+++ b/crates/wire/src/extension.rs
@@ -1,8 +1,8 @@
-//! Fields that newer builds add to a message.
+//! Message extensions: fields that newer builds add to a message.
 //!
-//! A message's first part never changes its layout, so that builds of different versions read it
-//! side by side. What is added later follows it as numbered parts. A build passes over the parts
-//! that it does not know, and a message without a part reads as one whose part is empty.
+//! The layout of a message never changes, so that builds of different versions can run together.
+//! New fields follow the message as numbered parts. A build ignores parts that it does not know, and
+//! a message from an older build has no parts.
 
 use crate::errors::{BodySnafu, WireError};
 use serde::de::DeserializeOwned;
@@ -10,16 +10,16 @@
 use snafu::ResultExt;
 use std::collections::BTreeMap;
 
-/// Numbers a part; a number is never used again for something else.
+/// Number of a part. A number is never reused for another meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PartNumber(pub u16);
 
-/// The parts that follow a message.
+/// Parts that follow a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Parts(BTreeMap<PartNumber, Vec<u8>>);
 
 impl Parts {
-    /// Adds a part.
+    /// Sets a part.
     ///
     /// # Errors
     /// The value cannot be encoded.
@@ -29,10 +29,10 @@
         Ok(())
     }
 
-    /// Reads a part; `None` when the message has none of that number.
+    /// Decodes a part. Returns `None` if the message does not have it.
     ///
     /// # Errors
-    /// The part cannot be read.
+    /// The part cannot be decoded.
     pub fn get<T: DeserializeOwned>(&self, number: PartNumber) -> Result<Option<T>, WireError> {
         let Some(bytes) = self.0.get(&number) else {
             return Ok(None);
@@ -40,7 +40,7 @@
         postcard::from_bytes(bytes).map(Some).context(BodySnafu)
     }
 
-    /// Whether there is none.
+    /// Returns true if there are no parts.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
@@ -59,10 +59,10 @@
     Ok(bytes)
 }
 
-/// Decodes a message and the parts that follow it, none for a message of an older build.
+/// Decodes a message and the parts that follow it. A message from an older build has no parts.
 ///
 /// # Errors
-/// The message or its parts cannot be read.
+/// The message or its parts cannot be decoded.
 pub fn decode_with_parts<T: DeserializeOwned>(bytes: &[u8]) -> Result<(T, Parts), WireError> {
     let (message, rest) = postcard::take_from_bytes(bytes).context(BodySnafu)?;
     if rest.is_empty() {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The frames and their decoder.
+//! Frames and the frame decoder.
 
 use crate::errors::{BodySnafu, MalformedSnafu, TooLongSnafu, TrailingSnafu, WireError};
 use bytes::{Buf, BytesMut};
@@ -6,28 +6,28 @@
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, ensure};
 
-/// Version of the layout; peers of another one are refused.
+/// Version of the frame layout. Peers with another version are rejected.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// Longest frame, in bytes.
+/// Maximum length of a frame, in bytes.
 pub const MAX_FRAME_BYTES: usize = 64 << 20;
 
 const LENGTH_BYTES: usize = 4;
 
-/// Who opens a connection.
+/// Role of the process that opens a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub enum ClientRole {
-    /// Another control member.
+    /// Control member.
     #[deku(id = "1")]
     Member,
-    /// A daemon.
+    /// Daemon.
     #[deku(id = "2")]
     Daemon,
-    /// A process that observes a control member.
+    /// Process that observes a control member.
     #[deku(id = "3")]
     Observer,
-    /// A client of a turn store.
+    /// Client of a turn store.
     #[deku(id = "4")]
     Writer,
 }
@@ -36,61 +36,61 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(endian = "endian", ctx = "endian: deku::ctx::Endian")]
 pub struct Hello {
-    /// See [`PROTOCOL_VERSION`].
+    /// Protocol version; see [`PROTOCOL_VERSION`].
     pub version: u16,
-    /// Who opens the connection.
+    /// Role of the sender.
     pub role: ClientRole,
-    /// Its number within the role.
+    /// Number of the sender, unique within its role.
     pub id: u32,
 }
 
-/// One message on the wire, integers big-endian.
+/// Message on the wire, with big-endian integers.
 #[derive(Clone, Debug, PartialEq, Eq, DekuRead, DekuWrite)]
 #[deku(id_type = "u8", endian = "big")]
 pub enum Frame {
     /// Opens a connection.
     #[deku(id = "1")]
     Hello(Hello),
-    /// A consensus message of one group.
+    /// Consensus message of one group.
     #[deku(id = "2")]
     Peer {
-        /// The group.
+        /// Number of the group.
         group: u32,
-        /// Bytes in `body`.
+        /// Length of `body` in bytes.
         #[deku(update = "body.len()")]
         length: u32,
-        /// The message.
+        /// Encoded message.
         #[deku(count = "length")]
         body: Vec<u8>,
     },
-    /// A request to a control member.
+    /// Request.
     #[deku(id = "3")]
     Request {
-        /// Given back with the response.
+        /// Identifier that the response repeats.
         correlation: u64,
-        /// Bytes in `body`.
+        /// Length of `body` in bytes.
         #[deku(update = "body.len()")]
         length: u32,
-        /// The request.
+        /// Encoded request.
         #[deku(count = "length")]
         body: Vec<u8>,
     },
-    /// The response to a request.
+    /// Response to a request.
     #[deku(id = "4")]
     Response {
-        /// The request's.
+        /// Identifier of the request.
         correlation: u64,
-        /// Bytes in `body`.
+        /// Length of `body` in bytes.
         #[deku(update = "body.len()")]
         length: u32,
-        /// The response.
+        /// Encoded response.
         #[deku(count = "length")]
         body: Vec<u8>,
     },
 }
 
 impl Frame {
-    /// A consensus message.
+    /// Creates a consensus message.
     #[must_use]
     pub fn peer(group: u32, body: Vec<u8>) -> Self {
         Self::Peer {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// A request.
+    /// Creates a request.
     #[must_use]
     pub fn request(correlation: u64, body: Vec<u8>) -> Self {
         Self::Request {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A response.
+    /// Creates a response.
     #[must_use]
     pub fn response(correlation: u64, body: Vec<u8>) -> Self {
         Self::Response {
@@ -125,10 +125,10 @@
     u32::try_from(body.len()).unwrap_or(u32::MAX)
 }
 
-/// A frame as it goes over the wire, its length first.
+/// Encodes a frame with its length prefix.
 ///
 /// # Errors
-/// The frame is too long.
+/// The frame is too long or cannot be encoded.
 pub fn encode_frame(frame: &Frame) -> Result<Vec<u8>, WireError> {
     let message = frame.to_bytes().context(MalformedSnafu)?;
     check_length(message.len())?;
@@ -139,22 +139,22 @@
     Ok(bytes)
 }
 
-/// Takes bytes as they arrive and gives out frames.
+/// Decoder that turns received bytes into frames.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
 }
 
 impl FrameDecoder {
-    /// Adds bytes that have arrived.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole frame, if there is one.
+    /// Returns the next complete frame, or `None` if more bytes are needed.
     ///
     /// # Errors
-    /// What arrived is not ours; the connection must be closed.
+    /// The bytes are not a valid frame. The connection must be closed.
     pub fn next_frame(&mut self) -> Result<Option<Frame>, WireError> {
         if self.buffer.len() < LENGTH_BYTES {
             return Ok(None);
@@ -185,18 +185,18 @@
     Ok(())
 }
 
-/// Encodes a body.
+/// Encodes a message body.
 ///
 /// # Errors
-/// The value cannot be serialized.
+/// The value cannot be encoded.
 pub fn encode_body<T: Serialize>(value: &T) -> Result<Vec<u8>, WireError> {
     postcard::to_stdvec(value).context(BodySnafu)
 }
 
-/// Decodes a body.
+/// Decodes a message body.
 ///
 /// # Errors
-/// The bytes are not such a value.
+/// The bytes do not encode a value of this type.
 pub fn decode_body<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, WireError> {
     postcard::from_bytes(bytes).context(BodySnafu)
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Frames between luglink processes: a length, then one `deku` message.
+//! Wire protocol between luglink processes: frames of a length prefix and one message.
 //!
-//! The frame's own fields are laid out by `deku`; bodies are the serialized requests, responses
-//! and consensus messages of the logic crates, so that the log on disk and the wire share one
-//! encoding. Lengths are checked before anything is allocated.
+//! `deku` defines the layout of a frame's own fields. Bodies are requests, responses and consensus
+//! messages serialized with `postcard`, the encoding that the log on disk also uses. Lengths are
+//! checked before memory is allocated.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/wire/tests/extension.rs
+++ b/crates/wire/tests/extension.rs
@@ -1,4 +1,4 @@
-//! Fields that newer builds add to a message.
+//! Tests of message extensions between builds of different versions.
 
 use luglink_wire::{
     PartNumber, Parts, decode_body, decode_with_parts, encode_body, encode_with_parts,
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_older_build_reads_the_message_and_passes_over_its_parts() {
+fn an_older_build_reads_the_message_and_ignores_its_parts() {
     let mut parts = Parts::default();
     parts.put(KNOWN, &"new").unwrap();
     let bytes = encode_with_parts(&message(), &parts).unwrap();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_part_that_is_not_known_is_passed_over() {
+fn an_unknown_part_is_ignored() {
     let mut parts = Parts::default();
     parts.put(UNKNOWN_PART, &(1_u64, 2_u64)).unwrap();
     parts.put(KNOWN, &5_u32).unwrap();
@@ -44,7 +44,7 @@
 
 proptest! {
     #[test]
-    fn bytes_that_are_no_message_are_refused_without_a_panic(bytes: Vec<u8>) {
+    fn invalid_bytes_never_cause_a_panic(bytes: Vec<u8>) {
         let _ = decode_with_parts::<Message>(&bytes);
     }
 }
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames survive any cutting into pieces; hostile bytes get an error and no memory.
+//! Tests of the frame decoder: input in chunks of any size, and invalid input.
 
 use luglink_wire::{
     ClientRole, Frame, FrameDecoder, Hello, MAX_FRAME_BYTES, PROTOCOL_VERSION, WireError,
@@ -26,9 +26,9 @@
 
 proptest! {
     #[test]
-    fn frames_survive_any_cutting(
+    fn frames_are_decoded_from_chunks_of_any_size(
         frames in prop::collection::vec(any_frame(), 1..8),
-        piece in 1_usize..50,
+        chunk_bytes in 1_usize..50,
     ) {
         let mut bytes = Vec::new();
         for frame in &frames {
@@ -36,8 +36,8 @@
         }
         let mut decoder = FrameDecoder::default();
         let mut found = Vec::new();
-        for part in bytes.chunks(piece) {
-            decoder.push(part);
+        for chunk in bytes.chunks(chunk_bytes) {
+            decoder.push(chunk);
             while let Some(frame) = decoder.next_frame().expect("decode") {
                 found.push(frame);
             }
@@ -46,7 +46,7 @@
     }
 
     #[test]
-    fn hostile_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn invalid_bytes_never_cause_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut decoder = FrameDecoder::default();
         decoder.push(&bytes);
         while let Ok(Some(_)) = decoder.next_frame() {}
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_impossible_length_is_refused_before_it_is_allocated() {
+fn an_excessive_length_is_rejected_before_memory_is_allocated() {
     let mut decoder = FrameDecoder::default();
     decoder.push(&u32::MAX.to_be_bytes());
     let error = decoder.next_frame().expect_err("too long");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn bytes_behind_a_message_are_refused() {
+fn bytes_after_a_message_are_rejected() {
     let mut bytes = encode_frame(&Frame::peer(1, vec![7])).expect("encode");
     bytes[3] += 1;
     bytes.push(0);
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Frames of an earlier build are read, and it reads today's.
+//! Checks that the frame layout stays compatible with earlier builds, in both directions.
 
 #[path = "support/golden.rs"]
 mod golden;
