--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers.
+//! HTTP bodies.
 
 use bytes::Bytes;
 use http_body_util::combinators::UnsyncBoxBody;
@@ -10,39 +10,39 @@
 use std::task::{Context, Poll};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 
-/// Parts of a streamed body that may wait for a slow caller.
+/// Maximum number of queued parts of a streamed body.
 const MAX_QUEUED_PARTS: usize = 64;
 
-/// Bytes of a streamed body that may wait for a slow caller; a single part may be longer. Callers
-/// that read are never so far behind.
+/// Maximum number of queued bytes of a streamed body; a single part may be longer. Callers that read
+/// continuously do not reach the limit.
 const MAX_QUEUED_BYTES: u32 = 64 << 10;
 
-/// The body cannot be completed: the connection must be broken off, so that nobody takes what
-/// was sent for the whole.
+/// The body cannot be completed. The connection must be aborted, so that the receiver does not take
+/// the truncated body as complete.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer was broken off: {reason}"))]
+#[snafu(display("the body was aborted: {reason}"))]
 pub struct BodyError {
-    /// Why.
+    /// Reason for the abort.
     pub reason: &'static str,
 }
 
-/// A body of an answer.
+/// Body of a request or a response.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body that is there as a whole.
+/// Creates a body from bytes that are available as a whole.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// No body.
+/// Creates an empty body.
 #[must_use]
 pub fn empty_body() -> Body {
     full_body(Bytes::new())
 }
 
-/// Feeds a streamed body. Dropping it without [`BodySender::finish`] breaks the answer off.
+/// Sender of a streamed body. Dropping it without [`BodySender::finish`] aborts the body.
 #[derive(Debug)]
 pub struct BodySender {
     parts: mpsc::Sender<Part>,
@@ -50,7 +50,7 @@
     finish: oneshot::Sender<()>,
 }
 
-/// A part that waits, and the room that it takes until it is read.
+/// Queued part. It holds its byte permits until it is read.
 #[derive(Debug)]
 struct Part {
     bytes: Bytes,
@@ -58,12 +58,13 @@
 }
 
 impl BodySender {
-    /// Sends a part, once there is room for it. Returns false when the caller has left.
+    /// Queues a part; waits until the queue has room for it. Returns false if the caller has
+    /// disconnected.
     pub async fn send(&self, bytes: Bytes) -> bool {
         let length = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
-        let wanted = length.min(MAX_QUEUED_BYTES);
+        let permits = length.min(MAX_QUEUED_BYTES);
         let byte_permits = Arc::clone(&self.byte_permits)
-            .acquire_many_owned(wanted)
+            .acquire_many_owned(permits)
             .await;
         let part = Part {
             bytes,
@@ -72,26 +73,27 @@
         self.parts.send(part).await.is_ok()
     }
 
-    /// Bytes that wait for the caller, a part longer than the room for them counted as that room.
+    /// Returns the number of queued bytes. A part that is longer than the queue's limit counts as
+    /// the limit.
     #[must_use]
     pub fn waiting_bytes(&self) -> u64 {
         let free = self.byte_permits.available_permits() as u64;
         u64::from(MAX_QUEUED_BYTES).saturating_sub(free)
     }
 
-    /// Waits until the caller has left.
+    /// Waits until the caller has disconnected.
     pub async fn gone(&self) {
         self.parts.closed().await;
     }
 
-    /// Ends the answer as complete.
+    /// Completes the body.
     pub fn finish(self) {
-        // A caller that has left needs no end.
+        // The caller may have disconnected.
         let _ = self.finish.send(());
     }
 }
 
-/// A body whose parts are sent one by one.
+/// Creates a body whose parts are sent one by one.
 #[must_use]
 pub fn stream_body() -> (BodySender, Body) {
     let (parts_sender, parts) = mpsc::channel(MAX_QUEUED_PARTS);
@@ -104,7 +106,7 @@
     (sender, StreamBody { parts, finish }.boxed_unsync())
 }
 
-/// A body whose parts come one by one.
+/// Streamed body.
 struct StreamBody {
     parts: mpsc::Receiver<Part>,
     finish: oneshot::Receiver<()>,
@@ -124,7 +126,7 @@
             Poll::Ready(None) => match self.finish.try_recv() {
                 Ok(()) => Poll::Ready(None),
                 Err(_) => Poll::Ready(Some(Err(BodyError {
-                    reason: "no more can be had of it",
+                    reason: "its sender was dropped before the end",
                 }))),
             },
         }
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! The connecting end: one connection, one request at a time.
+//! HTTP client connections, with one request at a time.
 
 use crate::body::Body;
 use hyper::body::Incoming;
@@ -11,51 +11,51 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A connection could not be made; nothing was sent.
+/// The connection could not be opened. No request was sent.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// The other end refused or is unreachable.
+    /// The server rejected the connection, is unreachable, or a socket option could not be set.
     #[snafu(display("cannot connect to {address}: {source}"))]
     Io {
-        /// The other end.
+        /// Address of the server.
         address: SocketAddr,
-        /// Why not.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The other end is silent.
-    #[snafu(display("no connection to {address} within {limit:?}"))]
+    /// The server did not answer in time.
+    #[snafu(display("cannot connect to {address} within {limit:?}"))]
     Timeout {
-        /// The other end.
+        /// Address of the server.
         address: SocketAddr,
-        /// What was waited.
+        /// Timeout of the attempt.
         limit: Duration,
     },
-    /// The library refuses.
-    #[snafu(display("cannot start HTTP: {source}"))]
+    /// The HTTP handshake failed.
+    #[snafu(display("HTTP handshake failed: {source}"))]
     Handshake {
-        /// Why not.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
 }
 
-/// A request did not get its answer.
+/// The request received no response.
 #[derive(Debug, Snafu)]
 pub enum SendError {
-    /// Nothing of it was sent; here it is again.
+    /// No part of the request was sent.
     #[snafu(display("the connection was closed before the request was sent"))]
     NotSent {
-        /// The request.
+        /// The unsent request, returned for a retry.
         request: Box<Request<Body>>,
     },
-    /// It may have been read.
-    #[snafu(display("the connection broke: {source}"))]
+    /// The connection failed. The server may have received the request.
+    #[snafu(display("the connection failed: {source}"))]
     Broken {
-        /// How.
+        /// Error of the HTTP library.
         source: hyper::Error,
     },
 }
 
-/// A connection. Dropping it closes it, whatever is under way.
+/// HTTP/1.1 client connection. Dropping it closes the connection, even during a request.
 #[derive(Debug)]
 pub struct ClientConnection {
     sender: SendRequest<Body>,
@@ -68,10 +68,10 @@
     }
 }
 
-/// Connects.
+/// Opens a connection to `address` within `limit`.
 ///
 /// # Errors
-/// There is no connection; nothing was sent.
+/// The connection could not be opened.
 pub async fn connect(
     address: SocketAddr,
     limit: Duration,
@@ -88,29 +88,29 @@
         .context(HandshakeSnafu)?;
     let task = actix_rt::spawn(async move {
         if let Err(error) = connection.await {
-            tracing::debug!(%error, "connection to a replica ended");
+            tracing::debug!(%error, "HTTP client connection failed");
         }
     });
     Ok(ClientConnection { sender, task })
 }
 
 impl ClientConnection {
-    /// Whether the other end has closed it, or sent what was not asked for.
+    /// Returns true if the server has closed the connection or sent unexpected data.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Whether the next request can be sent now.
+    /// Returns true if the next request can be sent now.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
-    /// Says whether the request may have been read.
+    /// The error tells whether the server may have received the request.
     pub async fn send(&mut self, request: Request<Body>) -> Result<Response<Incoming>, SendError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Waits until the connection is at rest after an answer was read.
+    /// Waits until the connection can take the next request. Returns false if it was closed.
     pub async fn rest(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,16 +1,16 @@
-//! HTTP/1.1 on the actix runtime's own thread, over hyper's connections.
+//! HTTP/1.1 servers and clients on the actix runtime, based on hyper's connection API.
 //!
-//! `actix-web` and `awc` hide what a gateway must decide: an `actix-web` handler is not told
-//! that its caller has left, and an `awc` client does not say whether a request that failed on a
-//! pooled connection was sent. hyper's connection level says both. The administration and daemon
-//! interfaces stay on the house libraries.
+//! `actix-web` and `awc` hide information that a gateway needs: an `actix-web` handler is not told
+//! that its caller has disconnected, and an `awc` client does not report whether a request that
+//! failed on a pooled connection was sent. hyper's connection API reports both. The administration
+//! and daemon interfaces use `actix-web` and `awc`.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
 mod body;
 mod client;
 mod server;
-mod unread;
+mod write_stall;
 
 pub use body::{Body, BodyError, BodySender, empty_body, full_body, stream_body};
 pub use client::{ClientConnection, ConnectError, SendError, connect};
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,7 +1,7 @@
-//! The accepting end.
+//! HTTP server.
 
 use crate::body::Body;
-use crate::unread::WriteStallStream;
+use crate::write_stall::WriteStallStream;
 use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper::{Request, Response};
@@ -16,79 +16,79 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Pause after the operating system refused to accept, as when files run out.
+/// Delay after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Smallest buffer that the library takes, in bytes.
+/// Minimum buffer size that hyper accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8_192;
 
-/// Bytes that the operating system holds of an answer whose caller may stop to read: the answers
-/// of most requests whole, and at a round trip of some milliseconds no limit to the others' speed.
+/// Send buffer of a connection with a write stall timeout, in bytes. It holds most responses as a
+/// whole, and at a round trip of some milliseconds it does not limit the throughput of longer ones.
 const SEND_BUFFER_BYTES: usize = 128 << 10;
 
 /// Limits of a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeOptions {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Longest time without a whole head, rest between requests included.
+    /// Maximum time until a complete request head is received, including the idle time between
+    /// requests.
     pub idle: Duration,
-    /// Longest time for which the other end may take nothing of what is written to it; `None` for
-    /// ever.
+    /// Maximum time for which a pending write may make no progress; `None` for no limit.
     pub unread: Option<Duration>,
 }
 
-/// The handler wants the connection broken off without an answer.
+/// Returned by a handler to close the connection without a response.
 #[derive(Debug, Snafu)]
-#[snafu(display("the connection is broken off"))]
+#[snafu(display("the handler aborted the connection"))]
 pub struct Abort;
 
-/// Tells servers to stop.
+/// Handle that tells servers to stop.
 #[derive(Clone, Debug)]
 pub struct Stopper(Rc<watch::Sender<bool>>);
 
-/// Hears when to stop.
+/// Receiver of the stop signal, shared by the connections of a server.
 #[derive(Clone, Debug)]
 pub struct StopSignal {
-    stop: watch::Receiver<bool>,
-    open: Rc<Cell<usize>>,
+    stopped: watch::Receiver<bool>,
+    open_connections: Rc<Cell<usize>>,
 }
 
-/// A stopper and its signal.
+/// Creates a stop handle and its signal.
 #[must_use]
 pub fn stopper() -> (Stopper, StopSignal) {
-    let (sender, stop) = watch::channel(false);
+    let (sender, stopped) = watch::channel(false);
     let signal = StopSignal {
-        stop,
-        open: Rc::default(),
+        stopped,
+        open_connections: Rc::default(),
     };
     (Stopper(Rc::new(sender)), signal)
 }
 
 impl Stopper {
-    /// Closes connections that rest at once and the others after their answers.
+    /// Closes idle connections immediately and the others after their current response.
     pub fn stop(&self) {
-        // Nobody listening means that nothing is open.
+        // Without receivers there are no open connections.
         let _ = self.0.send(true);
     }
 }
 
 impl StopSignal {
-    /// Connections that are open.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open_connections(&self) -> usize {
-        self.open.get()
+        self.open_connections.get()
     }
 
     async fn wait(&mut self) {
-        if self.stop.wait_for(|stop| *stop).await.is_err() {
+        if self.stopped.wait_for(|stopped| *stopped).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// Accepts connections for ever and has `handler` answer their requests. A request whose caller
-/// leaves is dropped, with the handler's future.
+/// Accepts connections indefinitely and answers their requests with `handler`. If a caller
+/// disconnects, the handler's future is dropped.
 pub async fn serve<Handler, ResponseFuture>(
     listener: TcpListener,
     options: impl Fn() -> ServeOptions,
@@ -106,7 +106,7 @@
                 actix_rt::spawn(connection);
             }
             Err(error) => {
-                tracing::warn!(%error, "cannot accept");
+                tracing::warn!(%error, "cannot accept a connection");
                 actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -122,14 +122,14 @@
     Handler: Fn(Request<Incoming>) -> ResponseFuture + 'static,
     ResponseFuture: Future<Output = Result<Response<Body>, Abort>> + 'static,
 {
-    // A connection without these options still serves.
+    // The connection also works without this option.
     let _ = stream.set_nodelay(true);
-    let open = Rc::clone(&signal.open);
-    open.set(open.get() + 1);
+    let open_connections = Rc::clone(&signal.open_connections);
+    open_connections.set(open_connections.get() + 1);
     if options.unread.is_some()
         && let Err(error) = set_send_buffer(&stream, SEND_BUFFER_BYTES)
     {
-        tracing::debug!(%error, "the send buffer stays as it is");
+        tracing::debug!(%error, "cannot set the send buffer size");
     }
     let stream = WriteStallStream::new(stream, options.unread);
     let service = service_fn(move |request| handler(request));
@@ -139,15 +139,15 @@
         .max_buf_size(options.header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         () = signal.wait() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
-        tracing::debug!(%error, "connection ended");
+    if let Err(error) = result {
+        tracing::debug!(%error, "connection failed");
     }
-    open.set(open.get() - 1);
+    open_connections.set(open_connections.get() - 1);
 }
--- a/crates/http/src/unread.rs
+++ b/crates/http/src/write_stall.rs
@@ -1,7 +1,7 @@
-//! The accepting end of a connection whose other end may stop to read.
+//! Server connection with a limit on stalled writes.
 //!
-//! What waits for it stays in memory until the operating system gives the connection up, which may
-//! take many minutes, or for ever when the other end is alive and only does not read.
+//! If the peer stops reading, unsent data stays in memory until the operating system closes the
+//! connection. That can take many minutes, and never happens if the peer is alive but does not read.
 
 use std::future::Future;
 use std::io::{Error, ErrorKind, Result};
@@ -12,38 +12,43 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// A connection that fails once nothing of what is written to it was taken for a while.
+/// Connection that fails if a pending write makes no progress for too long.
 pub(crate) struct WriteStallStream {
     stream: TcpStream,
-    /// The while; `None` to wait for ever.
-    limit: Option<Duration>,
-    /// Runs while nothing is taken.
+    /// Maximum time without progress; `None` for no limit.
+    timeout: Option<Duration>,
+    /// Timer that runs while a write is pending.
     timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl WriteStallStream {
-    pub(crate) fn new(stream: TcpStream, limit: Option<Duration>) -> Self {
+    pub(crate) fn new(stream: TcpStream, timeout: Option<Duration>) -> Self {
         Self {
             stream,
-            limit,
+            timeout,
             timer: None,
         }
     }
 
-    fn watch<T>(&mut self, written: Poll<Result<T>>, context: &mut Context<'_>) -> Poll<Result<T>> {
+    /// Fails a write that has been pending for longer than the limit.
+    fn check_progress<T>(
+        &mut self,
+        written: Poll<Result<T>>,
+        context: &mut Context<'_>,
+    ) -> Poll<Result<T>> {
         if written.is_ready() {
             self.timer = None;
             return written;
         }
-        let Some(limit) = self.limit else {
+        let Some(timeout) = self.timeout else {
             return Poll::Pending;
         };
-        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(limit)));
+        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(timeout)));
         match timer.as_mut().poll(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(()) => Poll::Ready(Err(Error::new(
                 ErrorKind::TimedOut,
-                "the other end does not read",
+                "the peer does not read",
             ))),
         }
     }
@@ -66,7 +71,7 @@
         bytes: &[u8],
     ) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.watch(written, context)
+        self.check_progress(written, context)
     }
 
     fn poll_write_vectored(
@@ -75,7 +80,7 @@
         parts: &[std::io::IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.watch(written, context)
+        self.check_progress(written, context)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/http/tests/unread.rs
+++ b/crates/http/tests/unread.rs
@@ -1,4 +1,4 @@
-//! A caller that does not read its answer does not keep its connection for ever.
+//! Tests of the write stall timeout: a caller that does not read its response is disconnected.
 
 use bytes::Bytes;
 use http::{Request, Response};
@@ -14,11 +14,11 @@
 
 const PART_BYTES: usize = 16 << 10;
 
-/// More than the room of an answer and a part.
+/// Limit of the queue plus one part.
 const MAX_WAITING_BYTES: u64 = (64 << 10) + PART_BYTES as u64;
 
-/// Sends an answer without end to a caller that has asked for it. Returns its connection, the
-/// server's signal and whether the answer has ended.
+/// Starts a server whose responses never end and sends it a request. Returns the caller's
+/// connection, the server's stop signal and a flag that is set once the response was aborted.
 async fn start_endless_response(
     limit: Option<Duration>,
 ) -> (TcpStream, StopSignal, Rc<Cell<bool>>) {
@@ -55,7 +55,7 @@
 }
 
 #[actix_rt::test]
-async fn a_connection_that_is_not_read_is_broken_off() {
+async fn a_connection_that_is_not_read_is_closed() {
     let (_caller, signal, has_ended) = start_endless_response(Some(STALL_TIMEOUT)).await;
     for _ in 0..600 {
         if has_ended.get() && signal.open_connections() == 0 {
@@ -67,7 +67,7 @@
 }
 
 #[actix_rt::test]
-async fn one_that_is_read_goes_on() {
+async fn a_connection_that_is_read_stays_open() {
     let (mut caller, signal, has_ended) = start_endless_response(Some(STALL_TIMEOUT)).await;
     let mut buffer = vec![0; PART_BYTES];
     for _ in 0..20 {
@@ -79,7 +79,7 @@
 }
 
 #[actix_rt::test]
-async fn without_a_limit_it_stays_open() {
+async fn a_connection_without_a_timeout_stays_open() {
     let (_caller, signal, has_ended) = start_endless_response(None).await;
     actix_rt::time::sleep(STALL_TIMEOUT * 4).await;
     assert!(!has_ended.get());
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,4 +1,4 @@
-//! Reading and writing frames of one connection.
+//! Reading and writing the frames of one connection.
 
 use crate::errors::{ClosedSnafu, IoSnafu, NetError};
 use luglink_wire::{Frame, FrameDecoder, encode_frame};
@@ -7,35 +7,35 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::sync::mpsc;
 
-/// Frames that may wait for one connection.
+/// Maximum number of frames queued for one connection.
 const MAX_QUEUED_FRAMES: usize = 8_192;
 
-/// Bytes that are read at once.
+/// Maximum number of bytes read at once.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Bytes of waiting frames that are written at once.
+/// Size at which a batch of queued frames is written.
 const WRITE_BATCH_BYTES: usize = 256 << 10;
 
-/// Puts frames into a connection's queue.
+/// Sender half of a connection's frame queue.
 #[derive(Clone, Debug)]
 pub struct FrameSender(mpsc::Sender<Frame>);
 
 impl FrameSender {
-    /// Queues a frame. Returns false when the queue is full or the connection is closed; the
-    /// frame is dropped then.
+    /// Queues a frame. If the queue is full or the connection is closed, drops the frame and returns
+    /// false.
     pub fn send(&self, frame: Frame) -> bool {
         self.0.try_send(frame).is_ok()
     }
 }
 
-/// A bounded queue of frames.
+/// Creates a bounded frame queue.
 #[must_use]
 pub fn frame_channel() -> (FrameSender, mpsc::Receiver<Frame>) {
     let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
     (FrameSender(sender), receiver)
 }
 
-/// Reads frames one by one.
+/// Reads frames from a connection.
 pub(crate) struct FrameReader {
     half: OwnedReadHalf,
     decoder: FrameDecoder,
@@ -51,6 +51,7 @@
         }
     }
 
+    /// Waits for the next frame.
     pub(crate) async fn next(&mut self) -> Result<Frame, NetError> {
         loop {
             if let Some(frame) = self.decoder.next_frame()? {
@@ -67,8 +68,8 @@
     }
 }
 
-/// Writes queued frames until the connection breaks. Frames that wait together are written
-/// together. An end that has nothing to say drops its sender; the connection stays open.
+/// Writes queued frames, in batches, until the connection fails. If the sender is dropped, the
+/// connection stays open for reading.
 pub(crate) async fn write_frames(
     mut half: OwnedWriteHalf,
     mut frames: mpsc::Receiver<Frame>,
--- a/crates/net/src/errors.rs
+++ b/crates/net/src/errors.rs
@@ -1,39 +1,39 @@
-//! Errors of this crate.
+//! Error types.
 
 use luglink_wire::WireError;
 use snafu::Snafu;
 
-/// A connection ended.
+/// Failure of a connection or of a request on it.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum NetError {
-    /// The operating system refused.
+    /// An operation of the operating system failed.
     #[snafu(display("cannot {action}: {source}"))]
     Io {
-        /// What was tried.
+        /// Operation that failed.
         action: &'static str,
-        /// Why not.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The other end sent what is not ours.
-    #[snafu(display("protocol: {source}"), context(false))]
+    /// The peer sent invalid data, or a frame cannot be encoded.
+    #[snafu(display("protocol error: {source}"), context(false))]
     Wire {
-        /// What is wrong.
+        /// Protocol error.
         source: WireError,
     },
-    /// The first frame must be a hello of our version.
-    #[snafu(display("the connection did not start with a hello of version {version}"))]
+    /// The first frame is not a hello of the supported version, or did not arrive in time.
+    #[snafu(display("no hello of version {version} at the start of the connection"))]
     NoHello {
-        /// Our version.
+        /// Supported version.
         version: u16,
     },
-    /// There was no response in time.
+    /// The response did not arrive in time.
     #[snafu(display("no response within {limit:?}"))]
     Timeout {
-        /// What was waited.
+        /// Timeout of the request.
         limit: std::time::Duration,
     },
-    /// The other end closed the connection.
-    #[snafu(display("closed by the other end"))]
+    /// The connection is closed.
+    #[snafu(display("the connection is closed"))]
     Closed,
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
 //! Framed TCP connections between luglink processes, on the actix runtime.
 //!
-//! A [`Link`] is one end that connects and connects again; [`serve`] is the end that accepts.
-//! Queues are bounded: what does not fit is dropped, and the protocols above send again.
+//! A [`Link`] is a client connection that reconnects automatically; [`serve`] accepts connections.
+//! Queues are bounded: frames that do not fit are dropped, and the protocols above retry.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -1,4 +1,4 @@
-//! The connecting end.
+//! Client side of a framed connection.
 
 use crate::connection::{FrameReader, FrameSender, frame_channel, write_frames};
 use crate::errors::{IoSnafu, NetError};
@@ -12,26 +12,26 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Pause before a broken connection is tried again.
+/// Delay before a failed connection is opened again.
 const RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Time after which an attempt to connect is given up. A machine that is dark answers nothing, and
-/// its first packet is sent again only after a second: an attempt that begins while it is dark
-/// must not outlast its return by much. Ten times a round trip between near regions.
+/// Timeout of a connection attempt, ten times the round trip between nearby regions. TCP repeats an
+/// unanswered SYN only after one second, so an attempt that starts while the machine is unreachable
+/// would notice its return late if the timeout were longer.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// What a link tells its owner.
+/// Event of a link.
 #[derive(Debug)]
 pub enum LinkEvent {
-    /// A frame arrived.
+    /// A frame was received.
     Frame(Frame),
-    /// The connection is lost or could not be made; it is tried again.
+    /// The connection was lost or could not be opened. The link reconnects.
     Lost,
 }
 
-/// A connection that is made again whenever it breaks. Frames sent while it comes up wait for
-/// it; those sent between two tries, and those that wait for one that fails, are dropped.
-/// Dropping the link closes it.
+/// Connection that reconnects when it fails. Frames sent during a connection attempt are queued;
+/// frames sent between two attempts, and frames queued for an attempt that fails, are dropped.
+/// Dropping the link closes the connection.
 #[derive(Debug)]
 pub struct Link {
     current_sender: Rc<RefCell<Option<FrameSender>>>,
@@ -39,10 +39,10 @@
 }
 
 impl Link {
-    /// Starts to connect to `address`. `on_event` is called on the current actix thread.
+    /// Starts connecting to `address`. `on_event` is called on the current actix thread.
     pub fn open(address: SocketAddr, hello: Hello, on_event: impl Fn(LinkEvent) + 'static) -> Self {
-        // What is sent from now on goes with the first connection: the first message of a process
-        // that has just started must not be lost to its own link.
+        // The queue exists from the start, so that the first message of a process is not lost
+        // because its link has not connected yet.
         let (sender, frames) = queue_with_hello(hello);
         let current_sender = Rc::new(RefCell::new(Some(sender)));
         let task = actix_rt::spawn(run(
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Sends a frame. Returns false when the link is broken or its queue is full.
+    /// Queues a frame. Returns false if the link is disconnected or its queue is full.
     pub fn send(&self, frame: Frame) -> bool {
         self.current_sender
             .borrow()
@@ -73,13 +73,14 @@
     }
 }
 
-/// A queue for one connection that begins with the hello.
+/// Creates the queue of one connection, with the hello as its first frame.
 fn queue_with_hello(hello: Hello) -> (FrameSender, mpsc::Receiver<Frame>) {
     let (sender, frames) = frame_channel();
     sender.send(Frame::Hello(hello));
     (sender, frames)
 }
 
+/// Connects again and again until the link is dropped.
 async fn run(
     address: SocketAddr,
     hello: Hello,
@@ -88,10 +89,10 @@
     on_event: impl Fn(LinkEvent),
 ) {
     loop {
-        let ended = connect_once(address, frames, &on_event).await;
+        let result = connect_once(address, frames, &on_event).await;
         *current_sender.borrow_mut() = None;
-        if let Err(error) = ended {
-            tracing::debug!(%address, %error, "link lost");
+        if let Err(error) = result {
+            tracing::debug!(%address, %error, "link disconnected");
         }
         on_event(LinkEvent::Lost);
         actix_rt::time::sleep(RECONNECT_DELAY).await;
@@ -101,6 +102,7 @@
     }
 }
 
+/// Connects and transfers frames until the connection fails.
 async fn connect_once(
     address: SocketAddr,
     frames: mpsc::Receiver<Frame>,
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,4 +1,4 @@
-//! The accepting end.
+//! Server side of framed connections.
 
 use crate::connection::{FrameReader, FrameSender, frame_channel, write_frames};
 use crate::errors::{NetError, NoHelloSnafu};
@@ -8,39 +8,39 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time that a new connection has for its hello.
+/// Time within which a new connection must send its hello.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Pause after the operating system refused to accept, as when files run out.
+/// Delay after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What the accepting end is told.
+/// Event of an accepted connection.
 #[derive(Debug)]
 pub enum Accepted {
-    /// A connection said hello; frames for it go to the sender.
+    /// A connection sent its hello.
     Opened {
-        /// Number of the connection.
+        /// Identifier of the connection.
         connection: u64,
-        /// Who it is.
+        /// Identity of the peer.
         hello: Hello,
-        /// Its queue.
+        /// Queue for frames to the peer.
         sender: FrameSender,
     },
-    /// A frame arrived.
+    /// A frame was received.
     Frame {
-        /// Number of the connection.
+        /// Identifier of the connection.
         connection: u64,
-        /// The frame.
+        /// Received frame.
         frame: Frame,
     },
-    /// The connection is closed.
+    /// The connection was closed.
     Closed {
-        /// Number of the connection.
+        /// Identifier of the connection.
         connection: u64,
     },
 }
 
-/// Accepts connections for ever. `on_event` is called on the current actix thread.
+/// Accepts connections indefinitely. `on_event` is called on the current actix thread.
 pub async fn serve(listener: TcpListener, on_event: impl Fn(Accepted) + 'static) {
     let on_event = Rc::new(on_event);
     let mut next_connection = 1;
@@ -51,27 +51,28 @@
                 next_connection += 1;
                 let on_event = Rc::clone(&on_event);
                 actix_rt::spawn(async move {
-                    let ended = run(stream, connection, &*on_event).await;
-                    if let Err(error) = ended {
+                    let result = run(stream, connection, &*on_event).await;
+                    if let Err(error) = result {
                         tracing::debug!(%address, %error, "connection closed");
                     }
                     on_event(Accepted::Closed { connection });
                 });
             }
             Err(error) => {
-                tracing::warn!(%error, "cannot accept");
+                tracing::warn!(%error, "cannot accept a connection");
                 actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
+/// Serves one connection until it fails.
 async fn run(
     stream: TcpStream,
     connection: u64,
     on_event: &impl Fn(Accepted),
 ) -> Result<(), NetError> {
-    // A peer that is slow to read must not delay small answers.
+    // The connection also works without these options.
     let _ = set_tcp_options(&stream);
     let (read_half, write_half) = stream.into_split();
     let mut reader = FrameReader::new(read_half);
--- a/crates/net/src/request_client.rs
+++ b/crates/net/src/request_client.rs
@@ -1,4 +1,4 @@
-//! Requests with responses over a link.
+//! Request-response client over a link.
 
 use crate::errors::{ClosedSnafu, NetError, TimeoutSnafu};
 use crate::link::{Link, LinkEvent};
@@ -13,17 +13,17 @@
 
 type PendingResponses = Rc<RefCell<HashMap<u64, oneshot::Sender<Vec<u8>>>>>;
 
-/// Sends requests over a link and gives each its response. Requests that are under way when the
-/// link breaks fail at once.
+/// Sends requests over a link and matches responses to them. If the link disconnects, pending
+/// requests fail immediately.
 #[derive(Debug)]
 pub struct RequestClient {
     address: SocketAddr,
     link: Link,
     pending: PendingResponses,
-    next: Cell<u64>,
+    next_correlation: Cell<u64>,
 }
 
-/// Forgets a request whose asker has stopped to wait.
+/// Removes a pending request when its future completes or is dropped.
 struct PendingGuard<'client> {
     pending: &'client PendingResponses,
     correlation: u64,
@@ -36,7 +36,7 @@
 }
 
 impl RequestClient {
-    /// Starts to connect to `address`.
+    /// Starts connecting to `address`.
     #[must_use]
     pub fn open(address: SocketAddr, hello: Hello) -> Self {
         let pending: PendingResponses = Rc::default();
@@ -47,7 +47,7 @@
                     correlation, body, ..
                 }) => {
                     if let Some(response_sender) = pending.borrow_mut().remove(&correlation) {
-                        // An asker that has gone away needs no answer.
+                        // The requester may have stopped waiting.
                         let _ = response_sender.send(body);
                     }
                 }
@@ -59,31 +59,32 @@
             address,
             link,
             pending,
-            next: Cell::new(0),
+            next_correlation: Cell::new(0),
         }
     }
 
-    /// Where it connects to.
+    /// Returns the address of the server.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a request whose response nobody waits for. Returns false when the link is broken.
+    /// Sends a request and ignores its response. Returns false if the link is disconnected or its
+    /// queue is full.
     pub fn tell(&self, body: Vec<u8>) -> bool {
-        let correlation = self.next.get();
-        self.next.set(correlation + 1);
+        let correlation = self.next_correlation.get();
+        self.next_correlation.set(correlation + 1);
         self.link.send(Frame::request(correlation, body))
     }
 
     /// Sends a request and waits for its response.
     ///
     /// # Errors
-    /// The link is or gets broken, or there is no response in time. The request may have been
-    /// carried out all the same.
+    /// The link disconnects, its queue is full, or the response does not arrive within `limit`. The
+    /// request may have been executed.
     pub async fn request(&self, body: Vec<u8>, limit: Duration) -> Result<Vec<u8>, NetError> {
-        let correlation = self.next.get();
-        self.next.set(correlation + 1);
+        let correlation = self.next_correlation.get();
+        self.next_correlation.set(correlation + 1);
         let (sender, response) = oneshot::channel();
         self.pending.borrow_mut().insert(correlation, sender);
         let _guard = PendingGuard {
@@ -94,10 +95,10 @@
             self.link.send(Frame::request(correlation, body)),
             ClosedSnafu
         );
-        let answered = actix_rt::time::timeout(limit, response)
+        let result = actix_rt::time::timeout(limit, response)
             .await
             .ok()
             .context(TimeoutSnafu { limit })?;
-        answered.ok().context(ClosedSnafu)
+        result.ok().context(ClosedSnafu)
     }
 }
--- a/crates/net/tests/link.rs
+++ b/crates/net/tests/link.rs
@@ -1,4 +1,4 @@
-//! A link that comes up, breaks and comes up again.
+//! Tests of requests over a link.
 
 use luglink_net::{Accepted, RequestClient, serve};
 use luglink_wire::{ClientRole, Frame, Hello, PROTOCOL_VERSION};
@@ -15,7 +15,7 @@
     }
 }
 
-/// Answers each request with its own body.
+/// Starts a server that answers each request with the request's own body.
 async fn start_echo_server() -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -42,16 +42,16 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[actix_rt::test]
-async fn a_request_that_is_made_before_the_link_is_up_goes_with_it() {
+async fn a_request_sent_while_the_link_connects_is_answered() {
     let client = RequestClient::open(start_echo_server().await, hello());
-    // The link's own task must have begun to connect, not to have connected.
+    // Let the link's task start to connect, without waiting for the connection.
     tokio::task::yield_now().await;
     let answer = client.request(b"first".to_vec(), TIMEOUT).await;
     assert_eq!(answer.unwrap(), b"first");
 }
 
 #[actix_rt::test]
-async fn answers_find_their_requests_whatever_their_order() {
+async fn responses_are_matched_to_concurrent_requests() {
     let client = Rc::new(RequestClient::open(start_echo_server().await, hello()));
     tokio::task::yield_now().await;
     let requests: Vec<_> = (0..50_u8)
@@ -66,7 +66,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_to_a_dead_address_fails_without_waiting_for_its_limit() {
+async fn a_request_to_an_unreachable_address_fails_before_its_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -79,7 +79,7 @@
 }
 
 #[actix_rt::test]
-async fn what_is_sent_right_after_a_link_is_opened_goes_with_its_first_connection() {
+async fn a_request_sent_right_after_opening_the_link_is_answered() {
     let address = start_echo_server().await;
     let client = RequestClient::open(address, hello());
     let answer = client
