--- a/crates/raft/tests/cluster.rs
+++ b/crates/raft/tests/cluster.rs
@@ -269,7 +269,7 @@
                 return;
             }
         }
-        panic!("no entry was committed within {MAX_RECOVERY_ROUNDS} rounds");
+        panic!("no entry was committed after message loss ended");
     }
 }
 
--- a/crates/storage/tests/wal.rs
+++ b/crates/storage/tests/wal.rs
@@ -26,7 +26,7 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn synced_batches_survive_and_a_torn_batch_is_cut_off(
+    fn synced_batches_survive_and_a_torn_batch_is_truncated(
         batches in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 1..20),
         torn in prop::collection::vec(any::<u8>(), 1..80),
         kept_per_mille in 0_u16..1_000,
@@ -49,7 +49,7 @@
     }
 
     #[test]
-    fn a_flipped_bit_never_goes_unnoticed(
+    fn a_flipped_bit_is_always_detected(
         batches in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 2..10),
         position in any::<prop::sample::Index>(),
     ) {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn damage_in_the_middle_is_refused_with_file_and_offset() {
+fn damage_before_the_last_batch_is_rejected_with_file_and_offset() {
     let mut disk = MemoryDisk::new();
     append_all(&mut disk, &[vec![1; 30], vec![2; 30]]);
     disk.flip_bit("wal-0000000000000000.log", 25);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_missing_segment_is_refused() {
+fn a_missing_segment_is_rejected() {
     let mut disk = MemoryDisk::new();
     let batches: Vec<Vec<u8>> = (0..30).map(|byte| vec![byte; 50]).collect();
     append_all(&mut disk, &batches);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_folder_of_the_file_system_keeps_the_log() {
+fn the_log_persists_in_a_folder() {
     let folder = tempfile::tempdir().expect("folder");
     let mut disk = FileDisk::open(folder.path()).expect("open");
     let (mut wal, _) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("open");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_folder_within_folders_that_are_missing_is_made_and_found_again() {
+fn a_nested_folder_is_created_with_its_missing_parents() {
     let folder = tempfile::tempdir().expect("folder");
     let nested = folder.path().join("machine").join("member");
     let mut disk = FileDisk::open(&nested).expect("open");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_data_folder_that_is_a_file_is_refused_with_its_name() {
+fn a_data_folder_that_is_a_file_is_rejected_by_name() {
     let file = tempfile::NamedTempFile::new().expect("file");
     let error = FileDisk::open(file.path()).expect_err("not a folder");
     assert!(error.to_string().contains("data folder"), "{error}");
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_batch_of_a_newer_layout_is_refused_and_nothing_is_cut_off() {
+fn a_batch_of_a_newer_layout_is_rejected_and_not_truncated() {
     let file = "wal-0000000000000000.log";
     for batches in 0..3 {
         let mut disk = MemoryDisk::new();
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_torn_batch_of_a_newer_layout_is_cut_off_like_any_other() {
+fn a_torn_batch_of_a_newer_layout_is_truncated() {
     let file = "wal-0000000000000000.log";
     let mut disk = MemoryDisk::new();
     append_all(&mut disk, &[b"known".to_vec()]);
