--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -30,10 +30,10 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServeOptions {
     /// Maximum size of a request head, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Maximum time until a complete request head is received, including the idle time between
     /// requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Maximum time for which a pending write may make no progress; `None` for no limit.
     pub unread: Option<Duration>,
 }
@@ -45,7 +45,7 @@
 
 /// Handle that tells servers to stop.
 #[derive(Clone, Debug)]
-pub struct Stopper(Rc<watch::Sender<bool>>);
+pub struct StopHandle(Rc<watch::Sender<bool>>);
 
 /// Receiver of the stop signal, shared by the connections of a server.
 #[derive(Clone, Debug)]
@@ -56,16 +56,16 @@
 
 /// Creates a stop handle and its signal.
 #[must_use]
-pub fn stopper() -> (Stopper, StopSignal) {
+pub fn stopper() -> (StopHandle, StopSignal) {
     let (sender, stopped) = watch::channel(false);
     let signal = StopSignal {
         stopped,
         open_connections: Rc::default(),
     };
-    (Stopper(Rc::new(sender)), signal)
+    (StopHandle(Rc::new(sender)), signal)
 }
 
-impl Stopper {
+impl StopHandle {
     /// Closes idle connections immediately and the others after their current response.
     pub fn stop(&self) {
         // Without receivers there are no open connections.
@@ -135,8 +135,8 @@
     let service = service_fn(move |request| handler(request));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(options.idle)
-        .max_buf_size(options.header_bytes.max(MIN_BUFFER_BYTES))
+        .header_read_timeout(options.idle_timeout)
+        .max_buf_size(options.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let result = tokio::select! {
--- a/crates/http/tests/unread.rs
+++ b/crates/http/tests/unread.rs
@@ -26,8 +26,8 @@
     let address = listener.local_addr().unwrap();
     let (_, signal) = stopper();
     let options = move || ServeOptions {
-        header_bytes: 16 << 10,
-        idle: Duration::from_secs(30),
+        max_header_bytes: 16 << 10,
+        idle_timeout: Duration::from_secs(30),
         unread: limit,
     };
     let has_ended = Rc::new(Cell::new(false));
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -26,7 +26,7 @@
     /// A frame was received.
     Frame(Frame),
     /// The connection was lost or could not be opened. The link reconnects.
-    Lost,
+    Disconnected,
 }
 
 /// Connection that reconnects when it fails. Frames sent during a connection attempt are queued;
@@ -94,7 +94,7 @@
         if let Err(error) = result {
             tracing::debug!(%address, %error, "link disconnected");
         }
-        on_event(LinkEvent::Lost);
+        on_event(LinkEvent::Disconnected);
         actix_rt::time::sleep(RECONNECT_DELAY).await;
         let (sender, next) = queue_with_hello(hello);
         *current_sender.borrow_mut() = Some(sender);
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -16,7 +16,7 @@
 
 /// Event of an accepted connection.
 #[derive(Debug)]
-pub enum Accepted {
+pub enum ListenerEvent {
     /// A connection sent its hello.
     Opened {
         /// Identifier of the connection.
@@ -41,7 +41,7 @@
 }
 
 /// Accepts connections indefinitely. `on_event` is called on the current actix thread.
-pub async fn serve(listener: TcpListener, on_event: impl Fn(Accepted) + 'static) {
+pub async fn serve(listener: TcpListener, on_event: impl Fn(ListenerEvent) + 'static) {
     let on_event = Rc::new(on_event);
     let mut next_connection = 1;
     loop {
@@ -55,7 +55,7 @@
                     if let Err(error) = result {
                         tracing::debug!(%address, %error, "connection closed");
                     }
-                    on_event(Accepted::Closed { connection });
+                    on_event(ListenerEvent::Closed { connection });
                 });
             }
             Err(error) => {
@@ -70,7 +70,7 @@
 async fn run(
     stream: TcpStream,
     connection: u64,
-    on_event: &impl Fn(Accepted),
+    on_event: &impl Fn(ListenerEvent),
 ) -> Result<(), NetError> {
     // The connection also works without these options.
     let _ = set_tcp_options(&stream);
@@ -78,7 +78,7 @@
     let mut reader = FrameReader::new(read_half);
     let hello = read_hello(&mut reader).await?;
     let (sender, frames) = frame_channel();
-    on_event(Accepted::Opened {
+    on_event(ListenerEvent::Opened {
         connection,
         hello,
         sender,
@@ -86,7 +86,7 @@
     let reading = async {
         loop {
             let frame = reader.next().await?;
-            on_event(Accepted::Frame { connection, frame });
+            on_event(ListenerEvent::Frame { connection, frame });
         }
     };
     tokio::select! {
--- a/crates/net/src/request_client.rs
+++ b/crates/net/src/request_client.rs
@@ -52,7 +52,7 @@
                     }
                 }
                 LinkEvent::Frame(_) => {}
-                LinkEvent::Lost => pending.borrow_mut().clear(),
+                LinkEvent::Disconnected => pending.borrow_mut().clear(),
             }
         });
         Self {
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -50,7 +50,7 @@
 impl Membership {
     /// Creates a membership that has only voters.
     #[must_use]
-    pub fn of_voters(voters: impl IntoIterator<Item = Peer>) -> Self {
+    pub fn from_voters(voters: impl IntoIterator<Item = Peer>) -> Self {
         Self {
             voters: voters.into_iter().collect(),
             learners: BTreeSet::new(),
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -382,7 +382,7 @@
     /// Returns the time since this leader last heard from `peer`, or `None` if this node does not
     /// lead or `peer` is not one of its followers.
     #[must_use]
-    pub fn silence_of(&self, peer: Peer) -> Option<Duration> {
+    pub fn time_since_contact(&self, peer: Peer) -> Option<Duration> {
         let progress = self.progress.get(&peer)?;
         Some(self.now.since(progress.last_contact))
     }
@@ -394,7 +394,7 @@
         let voters = self.membership.voters.iter().copied();
         voters
             .filter(|peer| *peer != self.me() && is_eligible(*peer))
-            .filter_map(|peer| Some((self.silence_of(peer)?, peer)))
+            .filter_map(|peer| Some((self.time_since_contact(peer)?, peer)))
             .min()
             .map(|(_, peer)| peer)
     }
--- a/crates/raft/tests/cluster.rs
+++ b/crates/raft/tests/cluster.rs
@@ -51,7 +51,7 @@
 
 impl Cluster {
     fn new() -> Self {
-        let membership = Membership::of_voters((1..=VOTER_COUNT).map(peer));
+        let membership = Membership::from_voters((1..=VOTER_COUNT).map(peer));
         let stored = |member: u32| StoredState {
             snapshot: Snapshot {
                 membership: if member <= VOTER_COUNT {
