--- a/crates/control-server/src/joining.rs
+++ b/crates/control-server/src/joining.rs
@@ -1,7 +1,7 @@
-//! Asks the members of a running fleet to let this one in.
+//! Requests for admission to the configuration group of a running fleet.
 
 use crate::actor::ControlActor;
-use crate::looks::LookAtFleet;
+use crate::queries::GetFleetStatus;
 use actix::Addr;
 use luglink_control::{Request, Response};
 use luglink_net::RequestClient;
@@ -13,30 +13,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between rounds of questions.
-const INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between rounds of join requests.
+const JOIN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest wait for one member.
-const ANSWER_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout of a join request to one member.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Where to ask.
+/// Members to send join requests to.
 #[derive(Clone, Debug)]
 pub(crate) struct JoinConfig {
-    /// This member's own address, which is not asked.
+    /// Address of this member, to which no request is sent.
     pub(crate) own: SocketAddr,
-    /// Members that the settings name, now.
+    /// Members that the settings name, which may change at runtime.
     pub(crate) seeds: Rc<RefCell<Vec<SocketAddr>>>,
 }
 
-/// Asks whenever this member hears no leader. Members that are asked in vain name the one that
-/// leads, as far as they know.
-pub(crate) async fn ask_when_alone(control: Addr<ControlActor>, config: JoinConfig) {
+/// Sends join requests while this member has no contact with a leader. A member that does not lead
+/// responds with the leader it knows, which is then asked as well.
+pub(crate) async fn join_when_leaderless(control: Addr<ControlActor>, config: JoinConfig) {
     let mut links: BTreeMap<SocketAddr, RequestClient> = BTreeMap::new();
     let mut leader: Option<SocketAddr> = None;
     loop {
-        actix_rt::time::sleep(INTERVAL).await;
-        let look = control.send(LookAtFleet).await;
-        let Some(peer) = look.ok().and_then(|look| look.wants_to_join) else {
+        actix_rt::time::sleep(JOIN_INTERVAL).await;
+        let status = control.send(GetFleetStatus).await;
+        let Some(peer) = status.ok().and_then(|status| status.wants_to_join) else {
             links.clear();
             continue;
         };
@@ -46,8 +46,8 @@
             let link = links
                 .entry(target)
                 .or_insert_with(|| RequestClient::open(target, hello(peer)));
-            if let Some(named) = ask(link, peer).await {
-                leader = Some(SocketAddr::from((named, config.own.port())));
+            if let Some(leader_ip) = send_join_request(link, peer).await {
+                leader = Some(SocketAddr::from((leader_ip, config.own.port())));
             }
         }
     }
@@ -61,10 +61,10 @@
     }
 }
 
-/// Asks one member. Returns the leader that it names.
-async fn ask(link: &RequestClient, peer: Peer) -> Option<Ipv4Addr> {
+/// Sends a join request to one member. Returns the leader if the response names one.
+async fn send_join_request(link: &RequestClient, peer: Peer) -> Option<Ipv4Addr> {
     let body = encode_body(&Request::Join(peer)).ok()?;
-    let answer = link.request(body, ANSWER_LIMIT).await.ok()?;
+    let answer = link.request(body, REQUEST_TIMEOUT).await.ok()?;
     match decode_body(&answer).ok()? {
         Response::NotLeader { leader, .. } => leader.map(|leader| Ipv4Addr::from(leader.0)),
         _ => None,
--- a/crates/control/src/member_plan.rs
+++ b/crates/control/src/member_plan.rs
@@ -1,42 +1,42 @@
-//! Which members vote: the next step towards as many live voters as are wanted.
+//! Membership planning: the next step towards the target number of live voters.
 //!
-//! One step at a time, each safe by itself. A voter that is silent, or whose machine is to be
-//! taken away, is replaced before it is removed, so that the group never has fewer copies of what
-//! it has acknowledged than it was asked for.
+//! Steps are taken one at a time, and each is safe by itself. A voter that is silent or leaving is
+//! replaced before it is removed, so that acknowledged entries never have fewer copies than
+//! configured.
 
 use crate::config::ManagedConfig;
 use luglink_raft::{MembershipChange, Peer, RaftNode};
 use luglink_types::MemberId;
 use std::collections::BTreeSet;
 
-/// What the leader does next about the members.
+/// A step of the leader to repair the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum MemberStep {
-    /// Change who belongs to the group.
+pub(crate) enum MembershipStep {
+    /// Change the membership of the group.
     Change(MembershipChange),
-    /// Let another member lead, because the leader's own machine is to be taken away.
+    /// Transfer leadership to another voter, because the leader itself is to be removed.
     TransferLeadership(Peer),
 }
 
-/// What the leader knows about the members.
-pub(crate) struct MemberPlan<'leader> {
+/// State of the membership from which the leader plans the next step.
+pub(crate) struct MembershipPlanner<'leader> {
     pub(crate) raft: &'leader RaftNode,
-    /// Peers that ask to be let in.
+    /// Peers that ask for admission.
     pub(crate) candidates: &'leader [Peer],
-    /// Members whose machines are to be taken away.
+    /// Members whose machines are being taken out of service.
     pub(crate) leaving: &'leader BTreeSet<MemberId>,
     pub(crate) managed: &'leader ManagedConfig,
 }
 
-impl MemberPlan<'_> {
-    /// The next step; `None` when the group is as it should be.
-    pub(crate) fn next_step(&self) -> Option<MemberStep> {
+impl MembershipPlanner<'_> {
+    /// Returns the next step; `None` if there is none to take now.
+    pub(crate) fn next_step(&self) -> Option<MembershipStep> {
         let change = self.admission().or_else(|| self.leaving_learner());
         if let Some(change) = change {
-            return Some(MemberStep::Change(change));
+            return Some(MembershipStep::Change(change));
         }
-        self.step_of_voters()
-            .or_else(|| self.gone_learner().map(MemberStep::Change))
+        self.voter_step()
+            .or_else(|| self.expired_learner().map(MembershipStep::Change))
     }
 
     fn is_leaving(&self, peer: Peer) -> bool {
@@ -48,10 +48,11 @@
             && self
                 .raft
                 .time_since_contact(peer)
-                .is_none_or(|silence| silence >= self.managed.member_silence)
+                .is_none_or(|silence| silence >= self.managed.member_timeout)
     }
 
-    /// Lets all candidates in. An earlier incarnation of one never comes back, so that goes first.
+    /// Returns the addition of all candidates as learners. An earlier incarnation of a candidate
+    /// cannot return, so its removal comes first.
     fn admission(&self) -> Option<MembershipChange> {
         let membership = self.raft.membership();
         let wanted = self
@@ -80,50 +81,53 @@
             .map(MembershipChange::Remove)
     }
 
-    fn step_of_voters(&self) -> Option<MemberStep> {
+    /// Returns the next step towards the target number of voters that are neither silent nor
+    /// leaving.
+    fn voter_step(&self) -> Option<MembershipStep> {
         let membership = self.raft.membership();
         let mut voters = membership.voters.iter().copied();
         let outgoing = voters.find(|peer| self.is_silent(*peer) || self.is_leaving(*peer));
         let too_few = membership.voters.len() < self.managed.voters;
         let too_many = membership.voters.len() > self.managed.voters;
-        match (outgoing, self.spare()) {
-            (Some(voter), _) if too_many => self.dismissal(voter),
-            (_, Some(spare)) if too_few => {
-                Some(MemberStep::Change(MembershipChange::Promote(spare)))
+        match (outgoing, self.promotable_learner()) {
+            (Some(voter), _) if too_many => self.voter_removal(voter),
+            (_, Some(learner)) if too_few => {
+                Some(MembershipStep::Change(MembershipChange::Promote(learner)))
             }
-            (Some(_), Some(spare)) if !too_many => {
-                Some(MemberStep::Change(MembershipChange::Promote(spare)))
+            (Some(_), Some(learner)) if !too_many => {
+                Some(MembershipStep::Change(MembershipChange::Promote(learner)))
             }
             _ => None,
         }
     }
 
-    /// A learner that may become a voter.
-    fn spare(&self) -> Option<Peer> {
+    /// Returns a learner that is live, caught up and not leaving.
+    fn promotable_learner(&self) -> Option<Peer> {
         let mut learners = self.raft.membership().learners.iter().copied();
         learners.find(|peer| {
             !self.is_silent(*peer) && !self.is_leaving(*peer) && self.raft.has_caught_up(*peer)
         })
     }
 
-    /// Removes a voter that has been replaced. The leader does not remove itself: another voter
-    /// leads first.
-    fn dismissal(&self, voter: Peer) -> Option<MemberStep> {
+    /// Returns the removal of a voter that has been replaced. The leader does not remove itself: it
+    /// transfers leadership to another voter first.
+    fn voter_removal(&self, voter: Peer) -> Option<MembershipStep> {
         if voter != self.raft.me() {
-            return Some(MemberStep::Change(MembershipChange::Remove(voter)));
+            return Some(MembershipStep::Change(MembershipChange::Remove(voter)));
         }
         self.raft
             .successor(|peer| !self.is_leaving(peer) && !self.is_silent(peer))
-            .map(MemberStep::TransferLeadership)
+            .map(MembershipStep::TransferLeadership)
     }
 
-    fn gone_learner(&self) -> Option<MembershipChange> {
+    /// Returns the removal of a learner that has been silent for `forget_timeout`.
+    fn expired_learner(&self) -> Option<MembershipChange> {
         let mut learners = self.raft.membership().learners.iter().copied();
         learners
             .find(|peer| {
                 self.raft
                     .time_since_contact(*peer)
-                    .is_some_and(|silence| silence >= self.managed.forget_after)
+                    .is_some_and(|silence| silence >= self.managed.forget_timeout)
             })
             .map(MembershipChange::Remove)
     }
--- a/crates/control/src/parts.rs
+++ b/crates/control/src/parts.rs
@@ -1,102 +1,104 @@
-//! What newer builds add to requests and responses.
+//! Optional extensions of requests and responses, for compatibility between builds.
 //!
-//! It follows the message as numbered parts. A build passes over the parts that it does not know,
-//! and answers with a part only those who have shown with theirs that they read it.
+//! Extensions follow the message as numbered parts. A build ignores parts with unknown numbers, and
+//! adds a part to a response only if the request carried a part that shows that the client reads
+//! it.
 
 use luglink_fleet::{KnownIncarnations, MemberStats, ReplicaIncarnation, StatsReport, ZoneStats};
 use luglink_wire::{PartNumber, Parts, WireError};
 
-/// Behind an observation: the incarnations that the observer knows.
+/// Request part: sum over the replica incarnations that the observer knows.
 const KNOWN_INCARNATIONS: PartNumber = PartNumber(1);
 
-/// Behind news: incarnations that the observer lacks.
+/// Response part: replica incarnations that the observer lacks.
 const INCARNATIONS: PartNumber = PartNumber(2);
 
-/// Behind an observation: what the observing gateway sees of the replicas.
-const SIGHTS: PartNumber = PartNumber(3);
+/// Request part: statistics of the replicas that the observing gateway uses.
+const REPLICA_STATS: PartNumber = PartNumber(3);
 
-/// Behind news: what the gateways of the observer's zone see together.
-const ZONE_SIGHTS: PartNumber = PartNumber(4);
+/// Response part: statistics of the replicas, aggregated over the gateways of the observer's zone.
+const ZONE_STATS: PartNumber = PartNumber(4);
 
-/// Behind words of gateways: what those that the telling member counts see together.
-const MEMBER_SIGHTS: PartNumber = PartNumber(5);
+/// Request part: statistics of the replicas, aggregated over the gateways that the sending member
+/// counts.
+const MEMBER_STATS: PartNumber = PartNumber(5);
 
-/// What follows a request.
+/// Optional parts of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestParts {
-    /// What an observer knows of the incarnations of replicas, when it asks for newer ones.
+    /// Incarnations that the observer knows; set if it asks for newer ones.
     pub known_incarnations: Option<KnownIncarnations>,
-    /// What an observing gateway sees of the replicas, when it asks what others see.
+    /// Statistics of the observing gateway; set if it asks for those of its zone.
     pub replica_stats: Option<StatsReport>,
-    /// What the gateways see that a member of the same zone counts.
+    /// Statistics of the gateways that the sending member counts.
     pub member_stats: Option<MemberStats>,
 }
 
 impl RequestParts {
-    /// For the wire.
+    /// Encodes the parts for the wire.
     ///
     /// # Errors
-    /// A part cannot be encoded.
+    /// Fails if a part cannot be encoded.
     pub fn encode(&self) -> Result<Parts, WireError> {
         let mut parts = Parts::default();
         if let Some(known) = &self.known_incarnations {
             parts.put(KNOWN_INCARNATIONS, known)?;
         }
         if let Some(replica_stats) = &self.replica_stats {
-            parts.put(SIGHTS, replica_stats)?;
+            parts.put(REPLICA_STATS, replica_stats)?;
         }
-        if let Some(replica_stats) = &self.member_stats {
-            parts.put(MEMBER_SIGHTS, replica_stats)?;
+        if let Some(member_stats) = &self.member_stats {
+            parts.put(MEMBER_STATS, member_stats)?;
         }
         Ok(parts)
     }
 
-    /// From the wire.
+    /// Decodes the known parts from the wire.
     ///
     /// # Errors
-    /// A known part cannot be read.
+    /// Fails if a known part cannot be decoded.
     pub fn decode(parts: &Parts) -> Result<Self, WireError> {
         Ok(Self {
             known_incarnations: parts.get(KNOWN_INCARNATIONS)?,
-            replica_stats: parts.get(SIGHTS)?,
-            member_stats: parts.get(MEMBER_SIGHTS)?,
+            replica_stats: parts.get(REPLICA_STATS)?,
+            member_stats: parts.get(MEMBER_STATS)?,
         })
     }
 }
 
-/// What follows a response.
+/// Optional parts of a response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ResponseParts {
-    /// Incarnations that an observer lacks.
+    /// Replica incarnations that the observer lacks.
     pub incarnations: Vec<ReplicaIncarnation>,
-    /// What the gateways of an observer's zone see of the replicas.
+    /// Statistics of the replicas, aggregated over the gateways of the observer's zone.
     pub zone_stats: Option<ZoneStats>,
 }
 
 impl ResponseParts {
-    /// For the wire.
+    /// Encodes the parts for the wire.
     ///
     /// # Errors
-    /// A part cannot be encoded.
+    /// Fails if a part cannot be encoded.
     pub fn encode(&self) -> Result<Parts, WireError> {
         let mut parts = Parts::default();
         if !self.incarnations.is_empty() {
             parts.put(INCARNATIONS, &self.incarnations)?;
         }
-        if let Some(replica_stats) = &self.zone_stats {
-            parts.put(ZONE_SIGHTS, replica_stats)?;
+        if let Some(zone_stats) = &self.zone_stats {
+            parts.put(ZONE_STATS, zone_stats)?;
         }
         Ok(parts)
     }
 
-    /// From the wire.
+    /// Decodes the known parts from the wire.
     ///
     /// # Errors
-    /// A known part cannot be read.
+    /// Fails if a known part cannot be decoded.
     pub fn decode(parts: &Parts) -> Result<Self, WireError> {
         Ok(Self {
             incarnations: parts.get(INCARNATIONS)?.unwrap_or_default(),
-            zone_stats: parts.get(ZONE_SIGHTS)?,
+            zone_stats: parts.get(ZONE_STATS)?,
         })
     }
 }
--- a/crates/control/tests/golden/values.rs
+++ b/crates/control/tests/golden/values.rs
@@ -1,4 +1,5 @@
-//! A value of each message, whose labels come from matches that miss no variant.
+//! A value for each message. The labels come from exhaustive matches, so that a new variant does not
+//! compile without a label.
 
 mod responses;
 
@@ -234,7 +235,7 @@
     }
 }
 
-fn observation(role: Role) -> Request {
+fn observer_request(role: Role) -> Request {
     let known = KnownList {
         fingerprint: 300,
         age: Some(Duration::from_millis(1_500)),
@@ -296,10 +297,10 @@
         Request::TransferLeadership,
         Request::PutDocument(document()),
         Request::ReadDocument,
-        observation(gateway()),
-        observation(store()),
-        observation(Role::Member(MemberPresence { gateways: 68 })),
-        Request::HearGateways(vec![RelayedPresence {
+        observer_request(gateway()),
+        observer_request(store()),
+        observer_request(Role::Member(MemberPresence { gateways: 68 })),
+        Request::RelayGatewayPresences(vec![RelayedPresence {
             presence: presence(gateway()),
             silence: Duration::from_millis(40),
         }]),
@@ -335,12 +336,12 @@
         Request::TransferLeadership => "hand-over",
         Request::PutDocument(_) => "put-document",
         Request::ReadDocument => "read-document",
-        Request::Observe(observation) => match observation.presence.role {
+        Request::Observe(observer_request) => match observer_request.presence.role {
             Role::Gateway(_) => "observe-gateway",
             Role::Store(_) => "observe-store",
             Role::Member(_) => "observe-member",
         },
-        Request::HearGateways(_) => "hear-gateways",
+        Request::RelayGatewayPresences(_) => "hear-gateways",
         Request::Join(_) => "join",
         Request::Retire(_) => "retire",
         Request::ReadRetirement(_) => "read-retirement",
@@ -390,7 +391,7 @@
     Entry {
         index: 300,
         term: 2,
-        at: Timestamp::from_millis(5),
+        appended_at: Timestamp::from_millis(5),
         payload,
     }
 }
--- a/crates/gateway-server/src/list.rs
+++ b/crates/gateway-server/src/list.rs
@@ -1,4 +1,5 @@
-//! Reads the platform's list when the control members do not pass it on.
+//! Fallback reader of the platform's list of replicas, used when the control members do not relay
+//! it.
 
 use crate::gateway::Gateway;
 use luglink_fleet::{ListReadLimits, ListReadSchedule, ListReader};
@@ -6,16 +7,17 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time between looks at the list's age.
+/// Interval at which the age of the list is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Longest time for one reading.
-const READ_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of reading the whole list once.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Watches the age of the list, for ever. [`ListReadSchedule`] says when it is this gateway's turn.
+/// Watches the age of the list and reads it when it is stale; never returns. [`ListReadSchedule`]
+/// decides when it is this gateway's turn to read.
 pub(crate) async fn keep_current(gateway: Rc<Gateway>) {
     let mut client = ListClient::new(gateway.config.list_address);
-    let mut reading = ListReadSchedule::new(ListReadLimits {
+    let mut schedule = ListReadSchedule::new(ListReadLimits {
         calls_per_s: gateway.config.list_calls_per_s,
         min_interval: CHECK_INTERVAL,
         stale_after: gateway.config.list_stale_after,
@@ -27,33 +29,33 @@
         let is_stale = age.is_none_or(|age| age >= gateway.config.list_stale_after);
         if was_stale != is_stale {
             was_stale = is_stale;
-            tracing::info!(is_stale, ?age, "list of replicas from the control members");
+            tracing::info!(is_stale, ?age, "staleness of the list of replicas changed");
         }
         let reader = ListReader::Gateway(gateway.gateway_count.get());
-        reading.expect_replicas(gateway.list.borrow().list().len());
-        if reading.is_due(reader, age, gateway.now(), gateway.draw()) {
-            read(&gateway, &mut client, &mut reading).await;
+        schedule.expect_replicas(gateway.list.borrow().list().len());
+        if schedule.is_due(reader, age, gateway.now(), gateway.draw()) {
+            read(&gateway, &mut client, &mut schedule).await;
         }
     }
 }
 
-async fn read(gateway: &Gateway, client: &mut ListClient, reading: &mut ListReadSchedule) {
-    let began = gateway.now();
+async fn read(gateway: &Gateway, client: &mut ListClient, schedule: &mut ListReadSchedule) {
+    let started_at = gateway.now();
     gateway.metrics.list_reads.inc();
-    let fetched = client.fetch(&*gateway.dialect, READ_LIMIT, RateLimitPolicy::GiveUp);
+    let fetched = client.fetch(&*gateway.dialect, READ_TIMEOUT, RateLimitPolicy::GiveUp);
     match fetched.await {
         Ok(fetched) => {
-            reading.succeeded(fetched.pages, began, gateway.draw());
+            schedule.succeeded(fetched.pages, started_at, gateway.draw());
             let skipped_entries = u64::from(fetched.skipped_entries);
             gateway
                 .metrics
                 .list_entries_passed_over
                 .inc_by(skipped_entries);
-            gateway.take_list(fetched.list, began);
+            gateway.apply_list(fetched.list, started_at);
         }
         Err(error) => {
-            reading.failed(error.is_rate_limited(), began, gateway.draw());
-            tracing::warn!(%error, age = ?gateway.list_age(), "the list of replicas cannot be read");
+            schedule.failed(error.is_rate_limited(), started_at, gateway.draw());
+            tracing::warn!(%error, age = ?gateway.list_age(), "cannot read the list of replicas");
         }
     }
 }
--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -82,7 +82,7 @@
     }
 
     /// Waits until the caller has disconnected.
-    pub async fn gone(&self) {
+    pub async fn closed(&self) {
         self.parts.closed().await;
     }
 
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -35,7 +35,7 @@
     /// requests.
     pub idle_timeout: Duration,
     /// Maximum time for which a pending write may make no progress; `None` for no limit.
-    pub unread: Option<Duration>,
+    pub write_stall_timeout: Option<Duration>,
 }
 
 /// Returned by a handler to close the connection without a response.
@@ -56,7 +56,7 @@
 
 /// Creates a stop handle and its signal.
 #[must_use]
-pub fn stopper() -> (StopHandle, StopSignal) {
+pub fn stop_channel() -> (StopHandle, StopSignal) {
     let (sender, stopped) = watch::channel(false);
     let signal = StopSignal {
         stopped,
@@ -126,12 +126,12 @@
     let _ = stream.set_nodelay(true);
     let open_connections = Rc::clone(&signal.open_connections);
     open_connections.set(open_connections.get() + 1);
-    if options.unread.is_some()
+    if options.write_stall_timeout.is_some()
         && let Err(error) = set_send_buffer(&stream, SEND_BUFFER_BYTES)
     {
         tracing::debug!(%error, "cannot set the send buffer size");
     }
-    let stream = WriteStallStream::new(stream, options.unread);
+    let stream = WriteStallStream::new(stream, options.write_stall_timeout);
     let service = service_fn(move |request| handler(request));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/net/src/request_client.rs
+++ b/crates/net/src/request_client.rs
@@ -71,7 +71,7 @@
 
     /// Sends a request and ignores its response. Returns false if the link is disconnected or its
     /// queue is full.
-    pub fn tell(&self, body: Vec<u8>) -> bool {
+    pub fn send_one_way(&self, body: Vec<u8>) -> bool {
         let correlation = self.next_correlation.get();
         self.next_correlation.set(correlation + 1);
         self.link.send(Frame::request(correlation, body))
--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -42,7 +42,7 @@
     pub term: Term,
     /// Leader's time when it appended the entry. State machines use no other clock, so that all
     /// replicas compute the same result.
-    pub at: Timestamp,
+    pub appended_at: Timestamp,
     /// Content of the entry.
     pub payload: Payload,
 }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -384,7 +384,7 @@
         let entry = Entry {
             index: self.log.last_index() + 1,
             term: self.hard_state.term,
-            at: self.now,
+            appended_at: self.now,
             payload,
         };
         let index_and_term = (entry.index, entry.term);
--- a/crates/scheduling/src/load_view.rs
+++ b/crates/scheduling/src/load_view.rs
@@ -1,83 +1,84 @@
-//! What is known of the replicas' load beyond what this gateway sees itself.
+//! Load of the replicas as observed by all gateways of the zone.
 //!
-//! Answers the load of replicas that turn slow or silent for seconds, while each gateway has too
-//! few answers of each to notice.
+//! Replicas may turn slow or stall for seconds, while a single gateway gets too few answers from
+//! each of them to detect it.
 
 use luglink_fleet::{BackendId, ReplicaKey, ReplicaStats, StatsReport};
 use luglink_types::Timestamp;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Age from which a view says nothing of the present any more: a replica's trouble may be over.
+/// Age from which a view is stale: a replica's failure may be over.
 pub const VIEW_STALE_AFTER: Duration = Duration::from_secs(2);
 
-/// Time over which requests at a replica are averaged: that in which half of the pauses between
-/// events are forgotten, and the view's way.
-const AVERAGED_OVER: Duration = Duration::from_millis(700);
+/// Time constant of the average requests at a replica: the half-life of the pauses between events
+/// plus the delay of the view.
+const AVERAGING_TIME_CONSTANT: Duration = Duration::from_millis(700);
 
-/// A sight and its age.
+/// Statistics of a replica and their age.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AgedSight {
-    /// What was seen.
-    pub sight: ReplicaStats,
-    /// Time since the sum was taken.
+pub struct AgedStats {
+    /// Statistics of the replica.
+    pub stats: ReplicaStats,
+    /// Time since the view was taken.
     pub age: Duration,
 }
 
-/// What the gateways of the zone saw together, as a member told it last.
+/// Latest statistics from the zone's gateways, as reported by a member.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
     replica_stats: HashMap<ReplicaKey, ReplicaStats>,
     taken_at: Timestamp,
-    /// Requests at each replica, averaged over the time that its pauses are measured in.
-    usual_requests: HashMap<ReplicaKey, f64>,
+    /// Average requests at each replica over the time in which its pauses are measured.
+    average_requests: HashMap<ReplicaKey, f64>,
 }
 
 impl LoadView {
-    /// Takes a newer sum in place of the one before.
+    /// Replaces the view by a newer sum.
     pub fn take(&mut self, replica_stats: &StatsReport, now: Timestamp) {
-        let weight = self.weight_of_new(now);
-        let usual = replica_stats.0.iter().map(|sight| {
-            let requests = f64::from(sight.in_flight_tenths) / 10.0;
-            let before = self.usual_requests.get(&sight.replica);
-            let before = before.copied().unwrap_or(requests);
-            (sight.replica, before + weight * (requests - before))
+        let weight = self.new_view_weight(now);
+        let averages = replica_stats.0.iter().map(|stats| {
+            let requests = f64::from(stats.in_flight_tenths) / 10.0;
+            let previous = self.average_requests.get(&stats.replica);
+            let previous = previous.copied().unwrap_or(requests);
+            (stats.replica, previous + weight * (requests - previous))
         });
-        self.usual_requests = usual.collect();
-        let entries = replica_stats.0.iter().map(|sight| (sight.replica, *sight));
+        self.average_requests = averages.collect();
+        let entries = replica_stats.0.iter().map(|stats| (stats.replica, *stats));
         self.replica_stats = entries.collect();
         self.taken_at = now;
     }
 
-    /// Share that a new view has in the averages.
-    fn weight_of_new(&self, now: Timestamp) -> f64 {
-        let since = self.age(now).as_secs_f64() / AVERAGED_OVER.as_secs_f64();
-        1.0 - (-since).exp()
+    /// Returns the weight of a new view in the averages.
+    fn new_view_weight(&self, now: Timestamp) -> f64 {
+        let elapsed = self.age(now).as_secs_f64() / AVERAGING_TIME_CONSTANT.as_secs_f64();
+        1.0 - (-elapsed).exp()
     }
 
-    /// Whether the view says something of the present.
+    /// Returns true if the view is not stale.
     #[must_use]
     pub fn is_fresh(&self, now: Timestamp) -> bool {
         self.taken_at > Timestamp::ZERO && self.age(now) < VIEW_STALE_AFTER
     }
 
-    /// Requests that were at a replica over the time that its pauses were measured in.
+    /// Returns the average requests at a replica over the time in which its pauses are measured.
     #[must_use]
-    pub fn usual_requests(&self, id: &BackendId) -> Option<f64> {
-        self.usual_requests.get(&ReplicaKey::of(id)).copied()
+    pub fn average_requests(&self, id: &BackendId) -> Option<f64> {
+        self.average_requests.get(&ReplicaKey::of(id)).copied()
     }
 
-    /// Age of the view.
+    /// Returns the age of the view.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Duration {
         now.since(self.taken_at)
     }
 
-    /// What is known of a replica; `None` when nobody used it lately, or the view is too old.
+    /// Returns the statistics of a replica, or `None` if no gateway used it recently or the view is
+    /// stale.
     #[must_use]
-    pub fn sight(&self, id: &BackendId, now: Timestamp) -> Option<AgedSight> {
+    pub fn stats(&self, id: &BackendId, now: Timestamp) -> Option<AgedStats> {
         let age = self.age(now);
-        let sight = *self.replica_stats.get(&ReplicaKey::of(id))?;
-        (age < VIEW_STALE_AFTER).then_some(AgedSight { sight, age })
+        let stats = *self.replica_stats.get(&ReplicaKey::of(id))?;
+        (age < VIEW_STALE_AFTER).then_some(AgedStats { stats, age })
     }
 }
--- a/crates/scheduling/src/shares.rs
+++ b/crates/scheduling/src/shares.rs
@@ -1,32 +1,33 @@
-//! Fair shares of what is there while it is less than what is asked for.
+//! Max-min fair shares of a capacity that is less than the demand.
 //!
-//! Answers the load of one tenant that sends many times its usual: the others, who ask for no
-//! more than before, must get what they got before. Shares are max-min fair: nobody gets more
-//! than asked for, what one does not use is lent to the others, and nobody can get more except
-//! from somebody who has less for their weight.
+//! If one tenant sends many times its normal load, the others, who ask for no more than before,
+//! must get what they got before. With max-min fair shares, no tenant gets more than it asks for,
+//! unused shares are lent to others, and a tenant can get more only from one that has less relative
+//! to its weight.
 
 use luglink_types::{TenantName, Timestamp};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time in which what a tenant asked for is forgotten but for a third. A gateway of a large fleet
-/// gets a program of a tenant now and then only; a shorter time would see no difference between
+/// Time in which a recorded demand decays to about a third. A gateway of a large fleet gets a
+/// program of each tenant only now and then; a shorter time would show no difference between
 /// tenants.
-const MEMORY: Duration = Duration::from_secs(30);
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_secs(30);
 
-/// Most tenants that are remembered; beyond them those that asked for least are forgotten.
-const MOST_TENANTS: usize = 1_024;
+/// Maximum number of tracked tenants. At the maximum, the half with the smallest demands is
+/// removed.
+const MAX_TENANTS: usize = 1_024;
 
-/// What somebody asks for.
+/// Demand of one party.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Demand {
-    /// How much, in any unit.
+    /// Amount, in any unit.
     pub amount: f64,
-    /// How much one gets for another one's 1 while both ask for more.
+    /// Relative share while several parties ask for more.
     pub weight: f64,
 }
 
-/// The weighted max-min fair shares of a capacity, in the order of the demands.
+/// Returns the weighted max-min fair shares of a capacity, in the order of the demands.
 #[must_use]
 pub fn max_min_shares(demands: &[Demand], capacity: f64) -> Vec<f64> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
@@ -46,46 +47,47 @@
     shares
 }
 
-/// What a tenant asked for lately, as of a time.
+/// Recent demand of a tenant, as of a time.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct RecentDemand {
     amount: f64,
     at: Timestamp,
 }
 
-impl Asked {
+impl RecentDemand {
     fn at(self, now: Timestamp) -> f64 {
-        self.amount * (-now.since(self.at).as_secs_f64() / MEMORY.as_secs_f64()).exp()
+        self.amount * (-now.since(self.at).as_secs_f64() / DEMAND_TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
 
-/// What each tenant asked of this gateway lately.
+/// Recent demand of each tenant at this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct TenantDemands {
-    asked: HashMap<Option<TenantName>, Asked>,
+    demands: HashMap<Option<TenantName>, RecentDemand>,
 }
 
 impl TenantDemands {
-    /// Notes work that a tenant asks for, served or not.
+    /// Records work that a tenant asks for, served or not.
     pub fn note(&mut self, tenant: Option<&TenantName>, amount: f64, now: Timestamp) {
-        if self.asked.len() >= MOST_TENANTS {
-            self.forget_least(now);
+        if self.demands.len() >= MAX_TENANTS {
+            self.remove_smallest(now);
         }
-        let asked = self.asked.entry(tenant.cloned()).or_insert(Asked {
+        let demand = self.demands.entry(tenant.cloned()).or_insert(RecentDemand {
             amount: 0.0,
             at: now,
         });
-        asked.amount = asked.at(now) + amount;
-        asked.at = now;
+        demand.amount = demand.at(now) + amount;
+        demand.at = now;
     }
 
-    /// The share of its demand that a tenant gets when `served` of all that is asked for can be.
+    /// Returns the share of its demand that a tenant gets if the share `served` of the total demand
+    /// can be met.
     #[must_use]
     pub fn served_share(&self, tenant: Option<&TenantName>, served: f64, now: Timestamp) -> f64 {
         let (tenants, demands): (Vec<_>, Vec<_>) = self
-            .asked
+            .demands
             .iter()
-            .map(|(name, asked)| (name.as_ref(), equal(asked.at(now))))
+            .map(|(name, demand)| (name.as_ref(), equal_weight_demand(demand.at(now))))
             .unzip();
         let all: f64 = demands.iter().map(|demand| demand.amount).sum();
         let shares = max_min_shares(&demands, served * all);
@@ -96,28 +98,28 @@
         }
     }
 
-    /// Tenants that are remembered.
+    /// Returns the number of tracked tenants.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.asked.len()
+        self.demands.len()
     }
 
-    /// Whether none is.
+    /// Returns true if no tenant is tracked.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.asked.is_empty()
+        self.demands.is_empty()
     }
 
-    fn forget_least(&mut self, now: Timestamp) {
-        let mut amounts: Vec<f64> = self.asked.values().map(|asked| asked.at(now)).collect();
+    fn remove_smallest(&mut self, now: Timestamp) {
+        let mut amounts: Vec<f64> = self.demands.values().map(|demand| demand.at(now)).collect();
         amounts.sort_by(f64::total_cmp);
         let median = amounts.get(amounts.len() / 2).copied().unwrap_or(0.0);
-        self.asked.retain(|_, asked| asked.at(now) > median);
+        self.demands.retain(|_, demand| demand.at(now) > median);
     }
 }
 
-/// All tenants weigh the same.
-fn equal(amount: f64) -> Demand {
+/// Gives every tenant the same weight.
+fn equal_weight_demand(amount: f64) -> Demand {
     Demand {
         amount,
         weight: 1.0,
--- a/crates/scheduling/tests/program_table.rs
+++ b/crates/scheduling/tests/program_table.rs
@@ -1,4 +1,4 @@
-//! What programs under way need until they end, and what a zone has under way now.
+//! Memory that running programs need until they end, and requests that a zone has in flight.
 
 use luglink_edge::{Route, RouteKind, Target};
 use luglink_scheduling::{ProgramTable, TurnStarted, ZoneTrend};
@@ -31,11 +31,12 @@
     Timestamp::from_millis(ms)
 }
 
-/// Plays a program of five turns of 100 ms with pauses of as much, from 1,000 to 1,400 tokens.
-fn play(table: &mut ProgramTable, program: u64, from_ms: u64) -> u64 {
+/// Runs a program of five turns of 100 ms with pauses of the same length and prompts from 1,000 to
+/// 1,400 tokens.
+fn run_program(table: &mut ProgramTable, program: u64, from_ms: u64) -> u64 {
     let route = route();
     for turn in 0..5 {
-        let begins = from_ms + turn * 200;
+        let start_ms = from_ms + turn * 200;
         let turn = TurnStarted {
             program,
             route: &route,
@@ -43,20 +44,20 @@
             prompt_tokens: 1_000 + 100 * turn,
             is_first_turn: turn == 0,
         };
-        table.begin_turn(&turn, at(begins));
-        table.end_turn(program, Duration::from_millis(100), at(begins + 100));
+        table.begin_turn(&turn, at(start_ms));
+        table.end_turn(program, Duration::from_millis(100), at(start_ms + 100));
     }
     from_ms + 1_000
 }
 
 #[test]
-fn a_program_that_begins_needs_what_others_came_to_need() {
+fn a_new_program_is_projected_to_need_what_others_did() {
     let mut table = ProgramTable::default();
     let mut now = 0;
     for program in 0..20 {
-        now = play(&mut table, program, now);
+        now = run_program(&mut table, program, now);
     }
-    // All have ended.
+    // All programs have ended.
     now += 2_000;
     assert_eq!(table.demand("s", at(now)).peak(), 0.0);
     let route = route();
@@ -72,12 +73,12 @@
     assert_eq!((demand.programs, demand.requests), (1.0, 1.0));
     assert_eq!(demand.tokens[0], 1_000.0);
     assert!((1_200.0..1_500.0).contains(&demand.peak()), "{demand:?}");
-    // Nothing of it at another service.
+    // It does not count at another service.
     assert_eq!(table.demand("other", at(now)).programs, 0.0);
 }
 
 #[test]
-fn a_program_that_pauses_is_under_way_until_it_does_not_come_back() {
+fn a_paused_program_counts_until_it_expires() {
     let mut table = ProgramTable::default();
     let route = route();
     let first = TurnStarted {
@@ -98,20 +99,20 @@
 }
 
 #[test]
-fn a_sum_that_rises_is_taken_further_and_a_steady_one_as_it_is() {
+fn rising_sums_are_extrapolated_and_steady_ones_kept() {
     let mut steady = ZoneTrend::default();
     assert!(steady.now(at(0)).is_none());
     let mut rising = ZoneTrend::default();
-    for news in 0..8 {
-        steady.take(50.0, at(news * 250));
-        rising.take(50.0 + 10.0 * news as f64, at(news * 250));
+    for interval in 0..8 {
+        steady.take(50.0, at(interval * 250));
+        rising.take(50.0 + 10.0 * interval as f64, at(interval * 250));
     }
     let now = at(7 * 250);
     assert_eq!(steady.now(now).unwrap().requests, 50.0);
-    // It rises by 40 in a second, and is behind by about that.
+    // The sum rises by 40 per second and lags by about that.
     let ahead = rising.now(now).unwrap().requests - 120.0;
     assert!((30.0..=40.0).contains(&ahead), "{ahead}");
-    // A gap says nothing of the trend.
+    // A gap gives no information on the trend.
     rising.take(10.0, at(20_000));
     assert_eq!(rising.now(at(20_000)).unwrap().requests, 10.0);
 }
