--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -22,7 +22,7 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The server did not answer in time.
+    /// The connection was not established in time.
     #[snafu(display("cannot connect to {address} within {limit:?}"))]
     Timeout {
         /// Address of the server.
--- a/crates/net/tests/link.rs
+++ b/crates/net/tests/link.rs
@@ -46,8 +46,8 @@
     let client = RequestClient::open(start_echo_server().await, hello());
     // Let the link's task start to connect, without waiting for the connection.
     tokio::task::yield_now().await;
-    let answer = client.request(b"first".to_vec(), TIMEOUT).await;
-    assert_eq!(answer.unwrap(), b"first");
+    let response = client.request(b"first".to_vec(), TIMEOUT).await;
+    assert_eq!(response.unwrap(), b"first");
 }
 
 #[actix_rt::test]
@@ -72,18 +72,18 @@
     drop(listener);
     let client = RequestClient::open(address, hello());
     tokio::task::yield_now().await;
-    let answer = client
+    let response = client
         .request(b"x".to_vec(), Duration::from_secs(3_600))
         .await;
-    assert!(answer.is_err());
+    assert!(response.is_err());
 }
 
 #[actix_rt::test]
 async fn a_request_sent_right_after_opening_the_link_is_answered() {
     let address = start_echo_server().await;
     let client = RequestClient::open(address, hello());
-    let answer = client
+    let response = client
         .request(b"first".to_vec(), Duration::from_secs(20))
         .await;
-    assert_eq!(answer.unwrap(), b"first");
+    assert_eq!(response.unwrap(), b"first");
 }
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -16,7 +16,7 @@
             ..
         } = *envelope;
         match message {
-            // Pre-votes never change a term and are answered for any term.
+            // Pre-votes never change a term and get a reply for any term.
             Message::PreVote { .. } => return true,
             // A granted reply carries the term that this node would start; it does not change the
             // local term. A rejection with a later term shows that this node is behind.
--- a/crates/raft/src/entry.rs
+++ b/crates/raft/src/entry.rs
@@ -47,8 +47,8 @@
     pub payload: Payload,
 }
 
-/// State that a node must persist before it answers. A node that loses it can vote for two
-/// candidates in one term.
+/// State that a node must persist before it replies to a message. A node that loses it can vote for
+/// two candidates in one term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Latest term that the node has seen.
--- a/crates/raft/src/progress.rs
+++ b/crates/raft/src/progress.rs
@@ -10,7 +10,7 @@
     /// Index of the last entry that the follower is known to have stored.
     pub(crate) match_index: LogIndex,
     /// Index of the next entry to send.
-    pub(crate) next: LogIndex,
+    pub(crate) next_index: LogIndex,
     /// Number of append messages with entries that are not acknowledged yet.
     pub(crate) in_flight: usize,
     /// Time of the last reply from the follower in this term, initially the creation time.
@@ -22,10 +22,10 @@
 }
 
 impl Progress {
-    pub(crate) fn new(next: LogIndex, now: Timestamp) -> Self {
+    pub(crate) fn new(next_index: LogIndex, now: Timestamp) -> Self {
         Self {
             match_index: 0,
-            next,
+            next_index,
             in_flight: 0,
             last_contact: now,
             confirmed_read: ReadId::default(),
@@ -36,15 +36,15 @@
     /// Records that the follower stored the log up to `index`.
     pub(crate) fn on_accepted(&mut self, index: LogIndex) {
         self.match_index = self.match_index.max(index);
-        self.next = self.next.max(self.match_index + 1);
+        self.next_index = self.next_index.max(self.match_index + 1);
         self.in_flight = self.in_flight.saturating_sub(1);
         self.snapshot_sent_at = None;
     }
 
     /// Moves back to the index that the follower suggests, but not before the matched entries.
     pub(crate) fn on_rejected(&mut self, hint: LogIndex) {
-        self.next = hint
-            .min(self.next.saturating_sub(1))
+        self.next_index = hint
+            .min(self.next_index.saturating_sub(1))
             .max(self.match_index + 1);
         self.in_flight = 0;
         self.snapshot_sent_at = None;
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -65,7 +65,7 @@
             let Some(progress) = self.progress.get(&peer) else {
                 return;
             };
-            let next = progress.next;
+            let next = progress.next_index;
             let window_full = progress.in_flight >= self.config.append_window;
             if window_full || progress.snapshot_sent_at.is_some() || next > self.log.last_index() {
                 return;
@@ -82,7 +82,7 @@
             let sent = entries.len() as u64;
             self.send_append(peer, next, entries);
             if let Some(progress) = self.progress.get_mut(&peer) {
-                progress.next = next + sent;
+                progress.next_index = next + sent;
                 progress.in_flight += 1;
             }
         }
@@ -119,7 +119,7 @@
         let next = if progress.match_index >= snapshot_index {
             progress.match_index + 1
         } else {
-            progress.next.max(snapshot_index + 1)
+            progress.next_index.max(snapshot_index + 1)
         };
         self.send_append(peer, next, Vec::new());
     }
@@ -241,12 +241,12 @@
         progress.last_contact = now;
         progress.confirmed_read = progress.confirmed_read.max(read);
         if accepted {
-            let stalled = index <= progress.match_index && progress.next > index + 1;
+            let stalled = index <= progress.match_index && progress.next_index > index + 1;
             progress.on_accepted(index.min(last_index));
             if stalled && progress.in_flight == 0 {
                 // The follower has fewer entries than were sent, and no append is in flight: appends
                 // were lost.
-                progress.next = progress.match_index + 1;
+                progress.next_index = progress.match_index + 1;
             }
         } else {
             progress.on_rejected(index);
