--- a/crates/net/tests/link.rs
+++ b/crates/net/tests/link.rs
@@ -1,4 +1,4 @@
-//! A link that comes up, breaks and comes up again.
+//! Tests of requests over a link.
 
 use luglink_net::{ListenerEvent, RequestClient, serve};
 use luglink_wire::{ClientRole, Frame, Hello, PROTOCOL_VERSION};
@@ -15,8 +15,8 @@
     }
 }
 
-/// Answers each request with its own body.
-async fn echo() -> std::net::SocketAddr {
+/// Starts a server that answers each request with the request's own body.
+async fn start_echo_server() -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let senders = Rc::new(RefCell::new(std::collections::BTreeMap::new()));
@@ -39,51 +39,51 @@
     address
 }
 
-const LIMIT: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 #[actix_rt::test]
-async fn a_request_that_is_made_before_the_link_is_up_goes_with_it() {
-    let client = RequestClient::open(echo().await, hello());
-    // The link's own task must have begun to connect, not to have connected.
+async fn a_request_sent_while_the_link_connects_is_answered() {
+    let client = RequestClient::open(start_echo_server().await, hello());
+    // Let the link's task start to connect, without waiting for the connection.
     tokio::task::yield_now().await;
-    let answer = client.request(b"first".to_vec(), LIMIT).await;
-    assert_eq!(answer.unwrap(), b"first");
+    let response = client.request(b"first".to_vec(), TIMEOUT).await;
+    assert_eq!(response.unwrap(), b"first");
 }
 
 #[actix_rt::test]
-async fn answers_find_their_requests_whatever_their_order() {
-    let client = Rc::new(RequestClient::open(echo().await, hello()));
+async fn responses_are_matched_to_concurrent_requests() {
+    let client = Rc::new(RequestClient::open(start_echo_server().await, hello()));
     tokio::task::yield_now().await;
-    let asks: Vec<_> = (0..50_u8)
+    let requests: Vec<_> = (0..50_u8)
         .map(|number| {
             let client = Rc::clone(&client);
-            actix_rt::spawn(async move { client.request(vec![number], LIMIT).await.unwrap() })
+            actix_rt::spawn(async move { client.request(vec![number], TIMEOUT).await.unwrap() })
         })
         .collect();
-    for (number, ask) in asks.into_iter().enumerate() {
-        assert_eq!(ask.await.unwrap(), [u8::try_from(number).unwrap()]);
+    for (number, request) in requests.into_iter().enumerate() {
+        assert_eq!(request.await.unwrap(), [u8::try_from(number).unwrap()]);
     }
 }
 
 #[actix_rt::test]
-async fn a_request_to_a_dead_address_fails_without_waiting_for_its_limit() {
+async fn a_request_to_an_unreachable_address_fails_before_its_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
     let client = RequestClient::open(address, hello());
     tokio::task::yield_now().await;
-    let answer = client
+    let response = client
         .request(b"x".to_vec(), Duration::from_secs(3_600))
         .await;
-    assert!(answer.is_err());
+    assert!(response.is_err());
 }
 
 #[actix_rt::test]
-async fn what_is_sent_right_after_a_link_is_opened_goes_with_its_first_connection() {
-    let address = echo().await;
+async fn a_request_sent_right_after_opening_the_link_is_answered() {
+    let address = start_echo_server().await;
     let client = RequestClient::open(address, hello());
-    let answer = client
+    let response = client
         .request(b"first".to_vec(), Duration::from_secs(20))
         .await;
-    assert_eq!(answer.unwrap(), b"first");
+    assert_eq!(response.unwrap(), b"first");
 }
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -1,4 +1,4 @@
-//! Replication: appends, commits, snapshots and confirmation of reads.
+//! Log replication: appends, commits, snapshots and confirmation of reads.
 
 use crate::entry::{Entry, LogIndex, Snapshot, Term};
 use crate::membership::Peer;
@@ -8,8 +8,8 @@
 use crate::read::ReadId;
 use std::time::Duration;
 
-/// Wait before a snapshot that was not answered is offered again, in election timeouts.
-const SNAPSHOT_RESEND_TIMEOUTS: u32 = 8;
+/// Number of election timeouts after which an unacknowledged snapshot is sent again.
+const SNAPSHOT_RESEND_ELECTION_TIMEOUTS: u32 = 8;
 
 impl RaftNode {
     pub(crate) fn tick_leader(&mut self) {
@@ -19,12 +19,12 @@
         }
         if self
             .transfer
-            .is_some_and(|transfer| self.now >= transfer.until)
+            .is_some_and(|transfer| self.now >= transfer.deadline)
         {
             self.transfer = None;
         }
-        if self.now >= self.heartbeat_due {
-            self.heartbeat_due = self.now.plus(self.config.heartbeat_interval);
+        if self.now >= self.heartbeat_deadline {
+            self.heartbeat_deadline = self.now.plus(self.config.heartbeat_interval);
             for peer in self.followers() {
                 self.send_heartbeat(peer);
             }
@@ -35,7 +35,7 @@
         self.progress.keys().copied().collect()
     }
 
-    /// Keeps exactly one progress record for each other peer of the membership.
+    /// Adds and removes progress records so that each other peer of the membership has exactly one.
     pub(crate) fn refresh_progress(&mut self) {
         if !self.is_leader() {
             return;
@@ -59,19 +59,19 @@
         self.advance_commit();
     }
 
-    /// Sends what the follower lacks, within the window.
+    /// Sends missing entries to the follower, within the append window, or a snapshot.
     fn replicate(&mut self, peer: Peer) {
         loop {
             let Some(progress) = self.progress.get(&peer) else {
                 return;
             };
-            let next = progress.next;
+            let next = progress.next_index;
             let window_full = progress.in_flight >= self.config.append_window;
             if window_full || progress.snapshot_sent_at.is_some() || next > self.log.last_index() {
                 return;
             }
             if next <= self.log.snapshot_index() {
-                self.request_snapshot_for(peer);
+                self.send_snapshot(peer);
                 return;
             }
             let entries = self.log.batch(
@@ -82,7 +82,7 @@
             let sent = entries.len() as u64;
             self.send_append(peer, next, entries);
             if let Some(progress) = self.progress.get_mut(&peer) {
-                progress.next = next + sent;
+                progress.next_index = next + sent;
                 progress.in_flight += 1;
             }
         }
@@ -103,10 +103,10 @@
         self.send(peer, message);
     }
 
-    /// A heartbeat probes at the last matched entry, so that lost appends are noticed: the
-    /// window is reopened and sending goes on from what the follower really has.
+    /// Sends a heartbeat. It refers to the last matched entry, so that the reply reveals lost
+    /// appends and replication resumes from the entries that the follower really has.
     fn send_heartbeat(&mut self, peer: Peer) {
-        let resend_after = self.config.election_timeout * SNAPSHOT_RESEND_TIMEOUTS;
+        let resend_after = self.config.election_timeout * SNAPSHOT_RESEND_ELECTION_TIMEOUTS;
         let now = self.now;
         let snapshot_index = self.log.snapshot_index();
         let Some(progress) = self.progress.get_mut(&peer) else {
@@ -116,20 +116,20 @@
         if progress.snapshot_sent_at.is_some_and(timed_out) {
             progress.snapshot_sent_at = None;
         }
-        let probe = if progress.matched >= snapshot_index {
-            progress.matched + 1
+        let next = if progress.match_index >= snapshot_index {
+            progress.match_index + 1
         } else {
-            progress.next.max(snapshot_index + 1)
+            progress.next_index.max(snapshot_index + 1)
         };
-        self.send_append(peer, probe, Vec::new());
+        self.send_append(peer, next, Vec::new());
     }
 
-    fn request_snapshot_for(&mut self, peer: Peer) {
+    fn send_snapshot(&mut self, peer: Peer) {
         let now = self.now;
         if let Some(progress) = self.progress.get_mut(&peer) {
             progress.snapshot_sent_at = Some(now);
         }
-        // The state itself is the driver's: it fills in the bytes before it sends.
+        // The driver fills in the state bytes before it sends the message.
         let snapshot = Snapshot {
             index: self.log.snapshot_index(),
             term: self.log.term_at(self.log.snapshot_index()).unwrap_or(0),
@@ -148,8 +148,8 @@
         commit: LogIndex,
         read: ReadId,
     ) {
-        self.follow(from);
-        if !self.matches(previous_index, previous_term) {
+        self.follow_leader(from);
+        if !self.has_entry(previous_index, previous_term) {
             let index = self.conflict_hint(previous_index);
             let reply = Message::AppendReply {
                 accepted: false,
@@ -161,9 +161,9 @@
         }
         let last_matched = previous_index + entries.len() as u64;
         for entry in entries {
-            self.append_received(entry);
+            self.append_from_leader(entry);
         }
-        // Only entries that this append vouched for are known to be the leader's.
+        // Only the entries that this append covers are known to match the leader's log.
         self.commit = self.commit.max(commit.min(last_matched));
         let term = self.hard_state.term;
         let reply = Message::AppendReply {
@@ -174,38 +174,41 @@
         self.send_after_sync(from, term, reply);
     }
 
-    fn follow(&mut self, leader: Peer) {
+    /// Records contact with the leader of the current term and becomes its follower.
+    fn follow_leader(&mut self, leader: Peer) {
         self.role = Role::Follower;
         self.leader = Some(leader);
-        self.leader_heard_at = self.now;
+        self.last_leader_contact = self.now;
         self.votes.clear();
         self.reset_election_deadline();
     }
 
-    fn matches(&self, index: LogIndex, term: Term) -> bool {
-        // What the snapshot covers is committed, hence equal everywhere.
+    /// Returns true if the log has an entry with this index and term.
+    fn has_entry(&self, index: LogIndex, term: Term) -> bool {
+        // Entries covered by the snapshot are committed and therefore identical on all nodes.
         index < self.log.snapshot_index() || self.log.term_at(index) == Some(term)
     }
 
-    /// The next index a leader should try: before this node's end, or before the whole
-    /// conflicting term.
+    /// Returns the next index that the leader should send: the end of this log if the log is too
+    /// short, otherwise the first entry of the conflicting term.
     fn conflict_hint(&self, index: LogIndex) -> LogIndex {
         if index > self.log.last_index() {
             return self.log.last_index() + 1;
         }
-        let Some(conflicting) = self.log.term_at(index) else {
+        let Some(conflicting_term) = self.log.term_at(index) else {
             return index;
         };
         let mut first = index;
         while first > self.log.snapshot_index() + 1
-            && self.log.term_at(first - 1) == Some(conflicting)
+            && self.log.term_at(first - 1) == Some(conflicting_term)
         {
             first -= 1;
         }
         first
     }
 
-    fn append_received(&mut self, entry: Entry) {
+    /// Appends an entry unless the log already has it. Removes conflicting entries first.
+    fn append_from_leader(&mut self, entry: Entry) {
         if entry.index <= self.log.snapshot_index() {
             return;
         }
@@ -235,58 +238,64 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.heard_at = now;
+        progress.last_contact = now;
         progress.confirmed_read = progress.confirmed_read.max(read);
         if accepted {
-            let stalled = index <= progress.matched && progress.next > index + 1;
-            progress.accepted(index.min(last_index));
+            let stalled = index <= progress.match_index && progress.next_index > index + 1;
+            progress.on_accepted(index.min(last_index));
             if stalled && progress.in_flight == 0 {
-                // A heartbeat was answered with nothing on the way: appends were lost.
-                progress.next = progress.matched + 1;
+                // The follower has fewer entries than were sent, and no append is in flight: appends
+                // were lost.
+                progress.next_index = progress.match_index + 1;
             }
         } else {
-            progress.rejected(index);
+            progress.on_rejected(index);
         }
         self.advance_commit();
         self.replicate(from);
         self.continue_transfer();
     }
 
-    /// Commits what a quorum has stored, if the entry is of this term: entries of earlier terms
-    /// could otherwise be committed and overwritten (figure 8 of the paper).
+    /// Advances the commit index to the last entry that a quorum has stored, if that entry is of the
+    /// current term. An entry of an earlier term could still be overwritten after a quorum has
+    /// stored it (figure 8 of the Raft paper).
     pub(crate) fn advance_commit(&mut self) {
         if !self.is_leader() {
             return;
         }
-        let mut stored: Vec<LogIndex> = self
+        let mut durable_indexes: Vec<LogIndex> = self
             .membership
             .voters
             .iter()
-            .map(|peer| self.stored_by(*peer))
+            .map(|peer| self.durable_index_of(*peer))
             .collect();
-        stored.sort_unstable_by(|left, right| right.cmp(left));
-        let Some(candidate) = stored.get(self.membership.quorum() - 1).copied() else {
+        durable_indexes.sort_unstable_by(|left, right| right.cmp(left));
+        let Some(quorum_index) = durable_indexes.get(self.membership.quorum() - 1).copied() else {
             return;
         };
-        if candidate > self.commit && self.log.term_at(candidate) == Some(self.hard_state.term) {
-            self.commit = candidate;
+        if quorum_index > self.commit
+            && self.log.term_at(quorum_index) == Some(self.hard_state.term)
+        {
+            self.commit = quorum_index;
             self.step_down_if_removed();
         }
     }
 
-    fn stored_by(&self, peer: Peer) -> LogIndex {
+    /// Returns the index of the last entry that the peer is known to have persisted.
+    fn durable_index_of(&self, peer: Peer) -> LogIndex {
         if peer == self.me {
             return self.persisted;
         }
         self.progress
             .get(&peer)
-            .map_or(0, |progress| progress.matched)
+            .map_or(0, |progress| progress.match_index)
     }
 
     fn step_down_if_removed(&mut self) {
         let removed = !self.membership.contains(self.me) && self.membership_index <= self.commit;
         if removed {
-            // The others learn of the commit first, so that none of them has to find out alone.
+            // The heartbeats carry the new commit index, so that the remaining nodes learn that the
+            // removal is committed before this node stops leading.
             for peer in self.followers() {
                 self.send_heartbeat(peer);
             }
@@ -294,8 +303,8 @@
         }
     }
 
-    pub(crate) fn on_snapshot(&mut self, from: Peer, snapshot: Snapshot) {
-        self.follow(from);
+    pub(crate) fn on_install_snapshot(&mut self, from: Peer, snapshot: Snapshot) {
+        self.follow_leader(from);
         let index = snapshot.index;
         let term = self.hard_state.term;
         if index > self.commit {
@@ -317,6 +326,7 @@
         self.send_after_sync(from, term, reply);
     }
 
+    /// Tells the target of a leadership transfer to start its election once its log is complete.
     pub(crate) fn continue_transfer(&mut self) {
         let last_index = self.log.last_index();
         let Some(transfer) = self.transfer.as_mut() else {
@@ -325,21 +335,21 @@
         let caught_up = self
             .progress
             .get(&transfer.to)
-            .is_some_and(|progress| progress.matched == last_index);
-        if caught_up && !transfer.asked {
-            transfer.asked = true;
+            .is_some_and(|progress| progress.match_index == last_index);
+        if caught_up && !transfer.timeout_now_sent {
+            transfer.timeout_now_sent = true;
             let to = transfer.to;
             self.send(to, Message::TimeoutNow);
         }
     }
 
-    /// Latest read that a quorum has confirmed by answering a later append.
+    /// Returns the latest read for which a quorum has confirmed the leadership.
     pub(crate) fn confirmed_read(&self) -> ReadId {
         let mut confirmed: Vec<ReadId> = self
             .membership
             .voters
             .iter()
-            .map(|peer| self.read_confirmed_by(*peer))
+            .map(|peer| self.read_confirmed_of(*peer))
             .collect();
         confirmed.sort_unstable_by(|left, right| right.cmp(left));
         confirmed
@@ -348,7 +358,8 @@
             .unwrap_or_default()
     }
 
-    fn read_confirmed_by(&self, peer: Peer) -> ReadId {
+    /// Returns the latest read for which the peer has confirmed the leadership.
+    fn read_confirmed_of(&self, peer: Peer) -> ReadId {
         if peer == self.me {
             return self.reads.last();
         }
@@ -357,29 +368,32 @@
             .map_or(ReadId::default(), |progress| progress.confirmed_read)
     }
 
-    pub(crate) fn confirm_reads(&mut self) {
+    /// Sends heartbeats to confirm the leadership for pending reads.
+    pub(crate) fn send_read_heartbeats(&mut self) {
         if self.reads.is_empty() {
             return;
         }
-        self.heartbeat_due = self.now.plus(self.config.heartbeat_interval);
+        self.heartbeat_deadline = self.now.plus(self.config.heartbeat_interval);
         for peer in self.followers() {
             self.send_heartbeat(peer);
         }
     }
 
-    /// How long the leader has gone without hearing from `peer`.
+    /// Returns the time since this leader last heard from `peer`, or `None` if this node does not
+    /// lead or `peer` is not one of its followers.
     #[must_use]
     pub fn time_since_contact(&self, peer: Peer) -> Option<Duration> {
         let progress = self.progress.get(&peer)?;
-        Some(self.now.since(progress.heard_at))
+        Some(self.now.since(progress.last_contact))
     }
 
-    /// The other voter that the leader heard from last, among those that `fits` accepts.
+    /// Returns the voter that this leader heard from most recently, excluding itself, among those
+    /// that `is_eligible` accepts.
     #[must_use]
-    pub fn successor(&self, fits: impl Fn(Peer) -> bool) -> Option<Peer> {
+    pub fn successor(&self, is_eligible: impl Fn(Peer) -> bool) -> Option<Peer> {
         let voters = self.membership.voters.iter().copied();
         voters
-            .filter(|peer| *peer != self.me() && fits(*peer))
+            .filter(|peer| *peer != self.me() && is_eligible(*peer))
             .filter_map(|peer| Some((self.time_since_contact(peer)?, peer)))
             .min()
             .map(|(_, peer)| peer)
--- a/crates/storage/tests/wal.rs
+++ b/crates/storage/tests/wal.rs
@@ -1,12 +1,13 @@
-//! The log keeps what it synced, forgets what it did not, and refuses to start when damaged.
+//! Tests of the write-ahead log: it keeps synced batches, truncates torn ones and rejects damaged
+//! files.
 
 use luglink_storage::{CrashDamage, Disk, FileDisk, MemoryDisk, StorageError, Wal, WalConfig};
 use proptest::prelude::*;
 
-const SMALL: WalConfig = WalConfig { segment_bytes: 200 };
+const SMALL_SEGMENTS: WalConfig = WalConfig { segment_bytes: 200 };
 
 fn append_all(disk: &mut MemoryDisk, batches: &[Vec<u8>]) {
-    let (mut wal, _) = Wal::open(disk, SMALL).expect("open");
+    let (mut wal, _) = Wal::open(disk, SMALL_SEGMENTS).expect("open");
     for batch in batches {
         if wal.segment_is_full() {
             wal.start_segment();
@@ -16,7 +17,7 @@
 }
 
 fn payloads(disk: &mut MemoryDisk) -> Vec<Vec<u8>> {
-    let (_, recovered) = Wal::open(disk, SMALL).expect("open");
+    let (_, recovered) = Wal::open(disk, SMALL_SEGMENTS).expect("open");
     let batches = recovered.batches.into_iter();
     batches.map(|batch| batch.payload).collect()
 }
@@ -25,7 +26,7 @@
     #![proptest_config(ProptestConfig::with_cases(64))]
 
     #[test]
-    fn synced_batches_survive_and_a_torn_batch_is_cut_off(
+    fn synced_batches_survive_and_a_torn_batch_is_truncated(
         batches in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 1..20),
         torn in prop::collection::vec(any::<u8>(), 1..80),
         kept_per_mille in 0_u16..1_000,
@@ -33,14 +34,14 @@
         let mut disk = MemoryDisk::new();
         append_all(&mut disk, &batches);
         let last = disk.list().expect("list").pop().expect("a segment");
-        // An unsynced frame, as a crash in the middle of an append leaves it.
+        // Append an unsynced frame, which the crash then tears.
         let mut other = MemoryDisk::new();
         append_all(&mut other, std::slice::from_ref(&torn));
         let frame = other.read("wal-0000000000000000.log").expect("read");
         disk.append(&last, &frame).expect("append");
         disk.crash(CrashDamage::TearUnsynced { kept_per_mille });
         prop_assert_eq!(payloads(&mut disk), batches.clone());
-        // The cut is durable and the log goes on behind it.
+        // The truncation is durable, and new batches follow the intact ones.
         append_all(&mut disk, std::slice::from_ref(&torn));
         let mut expected = batches;
         expected.push(torn);
@@ -48,7 +49,7 @@
     }
 
     #[test]
-    fn a_flipped_bit_never_goes_unnoticed(
+    fn a_flipped_bit_is_always_detected(
         batches in prop::collection::vec(prop::collection::vec(any::<u8>(), 1..40), 2..10),
         position in any::<prop::sample::Index>(),
     ) {
@@ -57,40 +58,40 @@
         let first = "wal-0000000000000000.log";
         let length = disk.read(first).expect("read").len();
         disk.flip_bit(first, position.index(length));
-        match Wal::open(&mut disk, SMALL) {
+        match Wal::open(&mut disk, SMALL_SEGMENTS) {
             Err(StorageError::Corrupt { .. } | StorageError::Gap { .. }) => {}
             Err(other) => prop_assert!(false, "unexpected error {other}"),
-            // Damage in the very last batch looks like a torn tail: one batch less.
+            // Damage in the last batch is indistinguishable from a torn tail, so that batch is lost.
             Ok((_, recovered)) => prop_assert_eq!(recovered.batches.len(), batches.len() - 1),
         }
     }
 }
 
 #[test]
-fn damage_in_the_middle_is_refused_with_file_and_offset() {
+fn damage_before_the_last_batch_is_rejected_with_file_and_offset() {
     let mut disk = MemoryDisk::new();
     append_all(&mut disk, &[vec![1; 30], vec![2; 30]]);
     disk.flip_bit("wal-0000000000000000.log", 25);
-    let error = Wal::open(&mut disk, SMALL).expect_err("damaged");
+    let error = Wal::open(&mut disk, SMALL_SEGMENTS).expect_err("damaged");
     let text = error.to_string();
     assert!(text.contains("wal-0000000000000000.log"), "{text}");
     assert!(text.contains("byte 0"), "{text}");
 }
 
 #[test]
-fn a_missing_segment_is_refused() {
+fn a_missing_segment_is_rejected() {
     let mut disk = MemoryDisk::new();
     let batches: Vec<Vec<u8>> = (0..30).map(|byte| vec![byte; 50]).collect();
     append_all(&mut disk, &batches);
     disk.remove("wal-0000000000000001.log").expect("remove");
-    let error = Wal::open(&mut disk, SMALL).expect_err("gap");
+    let error = Wal::open(&mut disk, SMALL_SEGMENTS).expect_err("gap");
     assert!(matches!(error, StorageError::Gap { .. }), "{error}");
 }
 
 #[test]
 fn a_full_disk_is_an_error_and_not_an_acknowledgement() {
     let mut disk = MemoryDisk::new();
-    let (mut wal, _) = Wal::open(&mut disk, SMALL).expect("open");
+    let (mut wal, _) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("open");
     disk.set_full(true);
     assert!(wal.append(&mut disk, b"lost").is_err());
     disk.set_full(false);
@@ -98,16 +99,16 @@
 }
 
 #[test]
-fn a_folder_of_the_file_system_keeps_the_log() {
+fn the_log_persists_in_a_folder() {
     let folder = tempfile::tempdir().expect("folder");
     let mut disk = FileDisk::open(folder.path()).expect("open");
-    let (mut wal, _) = Wal::open(&mut disk, SMALL).expect("open");
+    let (mut wal, _) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("open");
     wal.append(&mut disk, b"first").expect("append");
     wal.start_segment();
     wal.append(&mut disk, b"second").expect("append");
     wal.remove_segments_before(&mut disk, 1).expect("remove");
     let mut disk = FileDisk::open(folder.path()).expect("open again");
-    let (_, recovered) = Wal::open(&mut disk, SMALL).expect("recover");
+    let (_, recovered) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("recover");
     let found: Vec<&[u8]> = recovered
         .batches
         .iter()
@@ -117,28 +118,28 @@
 }
 
 #[test]
-fn a_folder_within_folders_that_are_missing_is_made_and_found_again() {
+fn a_nested_folder_is_created_with_its_missing_parents() {
     let folder = tempfile::tempdir().expect("folder");
     let nested = folder.path().join("machine").join("member");
     let mut disk = FileDisk::open(&nested).expect("open");
-    let (mut wal, _) = Wal::open(&mut disk, SMALL).expect("open");
+    let (mut wal, _) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("open");
     wal.append(&mut disk, b"first").expect("append");
     let beside = FileDisk::open(folder.path().join("machine").join("store")).expect("beside");
     assert!(beside.list().expect("list").is_empty());
     let mut disk = FileDisk::open(&nested).expect("open again");
-    let (_, recovered) = Wal::open(&mut disk, SMALL).expect("recover");
+    let (_, recovered) = Wal::open(&mut disk, SMALL_SEGMENTS).expect("recover");
     assert_eq!(recovered.batches.len(), 1);
 }
 
 #[test]
-fn a_data_folder_that_is_a_file_is_refused_with_its_name() {
+fn a_data_folder_that_is_a_file_is_rejected_by_name() {
     let file = tempfile::NamedTempFile::new().expect("file");
     let error = FileDisk::open(file.path()).expect_err("not a folder");
     assert!(error.to_string().contains("data folder"), "{error}");
 }
 
-/// A frame whose payload has the version after today's, with a right checksum.
-fn frame_of_a_newer_build(batches: usize) -> Vec<u8> {
+/// Returns a frame with a valid checksum whose payload has the version after the current one.
+fn frame_with_newer_version(batches: usize) -> Vec<u8> {
     let mut disk = MemoryDisk::new();
     append_all(&mut disk, &vec![b"newer".to_vec(); batches + 1]);
     let log = disk.read("wal-0000000000000000.log").expect("read");
@@ -150,27 +151,27 @@
 }
 
 #[test]
-fn a_batch_of_a_newer_layout_is_refused_and_nothing_is_cut_off() {
+fn a_batch_of_a_newer_layout_is_rejected_and_not_truncated() {
     let file = "wal-0000000000000000.log";
     for batches in 0..3 {
         let mut disk = MemoryDisk::new();
         append_all(&mut disk, &vec![b"known".to_vec(); batches]);
-        disk.append(file, &frame_of_a_newer_build(batches))
+        disk.append(file, &frame_with_newer_version(batches))
             .expect("append");
         disk.sync(file).expect("sync");
         let before = disk.read(file).expect("read");
-        let error = Wal::open(&mut disk, SMALL).expect_err("a newer layout");
+        let error = Wal::open(&mut disk, SMALL_SEGMENTS).expect_err("a newer layout");
         assert!(error.to_string().contains("does not know"), "{error}");
         assert_eq!(disk.read(file).expect("read"), before);
     }
 }
 
 #[test]
-fn a_torn_batch_of_a_newer_layout_is_cut_off_like_any_other() {
+fn a_torn_batch_of_a_newer_layout_is_truncated() {
     let file = "wal-0000000000000000.log";
     let mut disk = MemoryDisk::new();
     append_all(&mut disk, &[b"known".to_vec()]);
-    let frame = frame_of_a_newer_build(1);
+    let frame = frame_with_newer_version(1);
     disk.append(file, &frame[..frame.len() - 1])
         .expect("append");
     assert_eq!(payloads(&mut disk), [b"known".to_vec()]);
