--- a/crates/settings/src/control.rs
+++ b/crates/settings/src/control.rs
@@ -9,31 +9,31 @@
 /// Settings of a control member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlSettings {
-    /// Number of the member.
+    /// Identifier of the member.
     pub id: u32,
-    /// Internal address, for members and daemons.
+    /// Internal address for other members and daemons.
     pub listen: SocketAddr,
     /// Address of the administration API.
     pub admin_listen: SocketAddr,
-    /// Folder of everything durable.
+    /// Directory of the persistent data.
     pub data_folder: PathBuf,
-    /// All members, this one included.
+    /// All control members, including this one.
     pub members: Vec<MemberAddress>,
-    /// Whether an empty data folder may start a new cluster.
+    /// Permission to start a new cluster if the data directory is empty.
     pub bootstrap: bool,
-    /// Program groups; never changes after the first start.
+    /// Number of program groups. It must not change after the first start.
     pub program_groups: u32,
-    /// Voters of a program group.
+    /// Number of voters of a program group.
     pub replication: usize,
-    /// Voters of the configuration group.
+    /// Number of voters of the configuration group.
     pub configuration_voters: usize,
-    /// Time between heartbeats, in milliseconds.
+    /// Interval between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Shortest silence before an election, in milliseconds.
+    /// Minimum election timeout, in milliseconds.
     pub election_timeout_ms: u64,
-    /// Entries after which a snapshot is written.
+    /// Number of log entries after which a snapshot is written.
     pub snapshot_entries: usize,
-    /// Whether unused reservations are given back.
+    /// Refunds unused reservations to the budget.
     pub refund_unused: bool,
 }
 
@@ -44,7 +44,7 @@
         let admin_listen = reader.required("control.admin_listen");
         let data_folder: Option<PathBuf> = reader.required("control.data_folder");
         let members: Option<Vec<MemberAddress>> = reader.required("control.members");
-        let complete = id.is_some()
+        let is_complete = id.is_some()
             && listen.is_some()
             && admin_listen.is_some()
             && data_folder.is_some()
@@ -64,16 +64,16 @@
             snapshot_entries: reader.optional("control.snapshot_entries", 20_000),
             refund_unused: reader.optional("control.refund_unused", true),
         };
-        if complete {
+        if is_complete {
             settings.check(reader);
         }
-        complete.then_some(settings)
+        is_complete.then_some(settings)
     }
 
     fn check(&self, reader: &mut Reader<'_>) {
         check_members(reader, "control.members", &self.members);
-        let own = self.members.iter().any(|member| member.id == self.id);
-        reader.check("control.id", own, "must be one of control.members");
+        let is_listed = self.members.iter().any(|member| member.id == self.id);
+        reader.check("control.id", is_listed, "must be one of control.members");
         let above_zero = [
             ("control.program_groups", u64::from(self.program_groups)),
             ("control.replication", self.replication as u64),
--- a/crates/settings/src/daemon.rs
+++ b/crates/settings/src/daemon.rs
@@ -7,31 +7,31 @@
 /// Settings of a daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DaemonSettings {
-    /// Number of the daemon, unique in the fleet.
+    /// Identifier of the daemon, unique in the fleet.
     pub id: u32,
     /// Zone.
     pub zone: String,
     /// Address for callers.
     pub listen: SocketAddr,
-    /// The control members.
+    /// Control members.
     pub members: Vec<MemberAddress>,
-    /// Program groups; must equal the members'.
+    /// Number of program groups. It must equal the setting of the control members.
     pub program_groups: u32,
-    /// The platform's list of machines; none when not set.
+    /// Address of the platform's list of machines, if any.
     pub platform: Option<SocketAddr>,
-    /// Replicas of one pool that this daemon talks to.
+    /// Number of replicas of a pool that this daemon uses.
     pub subset_size: usize,
-    /// Calls that may wait here.
+    /// Maximum number of calls that wait at this daemon.
     pub max_queued_calls: usize,
-    /// Requests that one replica gets from this daemon at the most.
+    /// Maximum number of concurrent requests from this daemon to one replica.
     pub max_requests_per_replica: usize,
-    /// Bytes of history kept for idle programs.
+    /// Maximum size of the history cache of idle programs, in bytes.
     pub history_cache_bytes: usize,
-    /// Longest request body of a caller, in bytes.
+    /// Maximum size of a caller's request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time between two looks at a replica's events, in milliseconds.
+    /// Interval between reads of a replica's events, in milliseconds.
     pub engine_poll_ms: u64,
-    /// Longest time that a planned stop waits for requests in flight, in milliseconds.
+    /// Maximum time that a planned stop waits for requests in flight, in milliseconds.
     pub drain_timeout_ms: u64,
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Stands in for an address that could not be read; it is never used.
+/// Returns a placeholder for an address that could not be read. It is never used.
 pub(crate) fn unspecified() -> SocketAddr {
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
--- a/crates/settings/src/errors.rs
+++ b/crates/settings/src/errors.rs
@@ -1,54 +1,58 @@
-//! Errors of this crate.
+//! Errors of loading settings.
 
 use snafu::Snafu;
 use std::fmt;
 
-/// One fault and its place.
+/// Invalid setting and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// File and line, environment variable or flag.
-    pub place: String,
-    /// The key.
+    /// File and line, environment variable or flag that sets it.
+    pub location: String,
+    /// Key of the setting.
     pub key: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub problem: String,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "{}: {}: {}", self.place, self.key, self.problem)
+        write!(
+            formatter,
+            "{}: {}: {}",
+            self.location, self.key, self.problem
+        )
     }
 }
 
-/// Settings that cannot be used.
+/// Error of loading settings.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SettingsError {
     /// The file cannot be read.
     #[snafu(display("cannot read `{path}`: {source}"))]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The file is not TOML.
-    #[snafu(display("`{path}` is not TOML: {source}"))]
+    /// The file is not valid TOML.
+    #[snafu(display("cannot parse `{path}` as TOML: {source}"))]
     Syntax {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Where and why.
+        /// Location and cause.
         source: toml_edit::TomlError,
     },
-    /// Values are missing, unknown or wrong.
-    #[snafu(display("{}", lines(faults)))]
+    /// Settings are missing, unknown or invalid.
+    #[snafu(display("{}", join_lines(faults)))]
     Faults {
-        /// All of them.
+        /// All faults.
         faults: Vec<Fault>,
     },
 }
 
-fn lines(faults: &[Fault]) -> String {
+fn join_lines(faults: &[Fault]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Settings of the processes of a managed fleet, whose members come and go by themselves.
+//! Settings of the processes of a managed fleet, in which the set of processes changes at run time.
 
 use crate::daemon::unspecified;
 use crate::reader::Reader;
@@ -7,70 +7,70 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Internal ports that a fleet needs: one for control members, one for stores, one for metrics.
-const NEEDED_PORTS: usize = 3;
+/// Number of internal ports that a fleet needs: for control members, for stores and for metrics.
+const MIN_PORTS: usize = 3;
 
-/// Share of its limit by which a tenant may pass it where the settings do not say: about what half
-/// a second of its rate comes to in a window of 5 s.
-const DEFAULT_QUOTA_OVERAGE: f64 = 0.1;
+/// Default fraction by which a tenant may exceed its limit: with a window of 5 s, about half a second
+/// of its rate.
+const DEFAULT_QUOTA_OVERAGE_RATIO: f64 = 0.1;
 
-/// Requests by which a tenant may pass its limit where the settings do not say: enough for each of
-/// a few stores to hold some.
-const DEFAULT_QUOTA_SLACK: f64 = 20.0;
+/// Default number of requests by which a tenant may exceed its limit in addition. It lets each of a
+/// few stores hold some of them.
+const DEFAULT_QUOTA_SLACK_REQUESTS: f64 = 20.0;
 
-/// Fullness from which a replica takes no new programs where the settings do not say. Programs
-/// that pause for tools are not in it and come back: at 1 the caches of 44 replicas thrashed for
-/// longer after a burst than at 0.8 (worth of a day with bursts: 0.565 in the mean of two plays at 1,
-/// 0.604 of six at 0.8, over three seeds; two plays of one seed differ by up to 0.06).
-const DEFAULT_FULL_AT: f64 = 0.8;
+/// Default utilization from which a replica receives no new programs. Utilization does not include
+/// programs that pause for tools and return later. At 1 instead of 0.8, the caches of 44 replicas
+/// thrash for longer after a burst (mean score of a day with bursts: 0.565 over two runs at 1, 0.604
+/// over six runs at 0.8, with three seeds; runs with the same seed differ by up to 0.06).
+const DEFAULT_FULL_AT_RATIO: f64 = 0.8;
 
-/// Condition of a deployment whose callers compete for too little room at times.
-const PRESSURE: &str = "pressure";
+/// Condition of a deployment whose callers at times compete for insufficient capacity.
+const PRESSURE_CONDITION: &str = "pressure";
 
-/// What every process of a managed fleet is told.
+/// Settings that all processes of a managed fleet share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
     /// Name of the machine.
     pub name: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Its address; internal ports are bound on it.
+    /// Address of the machine, on which the process binds its internal ports.
     pub ip: std::net::Ipv4Addr,
-    /// First and last internal port, the same on all machines.
+    /// First and last internal port. They are the same on all machines.
     pub ports: Vec<u16>,
-    /// Addresses of some control members. Only their IP numbers count.
+    /// Addresses of some control members. Only the IP addresses are used, not the ports.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole fleet starts for the first time, with empty disks.
+    /// True if the whole fleet starts for the first time, with empty disks.
     pub first_start: bool,
-    /// Disks that may be lost at once.
+    /// Number of disks that may be lost at the same time.
     pub tolerated_losses: usize,
-    /// The platform's list of replicas.
+    /// Address of the platform's list of replicas.
     pub list_address: SocketAddr,
-    /// Calls that the list takes from all processes together, per second.
+    /// Requests per second that the list accepts from all processes together.
     pub list_calls_per_s: f64,
-    /// Time after which a leaving replica must get no new work, in milliseconds.
+    /// Time after which a leaving replica must not receive new work, in milliseconds.
     pub drain_ms: u64,
-    /// Time after which a change must be in force everywhere, in milliseconds.
+    /// Time after which a configuration change must be active in all processes, in milliseconds.
     pub change_ms: u64,
-    /// Time for a planned stop, in seconds.
+    /// Timeout of a planned stop, in seconds.
     pub stop_s: f64,
-    /// Longest time that callers may rely on an answer where to go, in seconds.
+    /// Maximum time for which callers may use a resolution response, in seconds.
     pub resolution_s: f64,
-    /// Memory that the process may use, in mebibytes.
+    /// Memory limit of the process, in mebibytes.
     pub memory_mb: u64,
-    /// Span of time in which requests are held against a tenant's limit, in seconds.
+    /// Length of the window in which requests count against a tenant's limit, in seconds.
     pub quota_window_s: f64,
-    /// Share of its limit by which a tenant may pass it in such a span.
+    /// Fraction by which a tenant may exceed its limit in a window.
     pub quota_overage: f64,
-    /// Requests by which a tenant may pass its limit in such a span besides.
+    /// Additional number of requests by which a tenant may exceed its limit in a window.
     pub quota_slack: f64,
-    /// Whether a gateway that hears no control member stops serving callers with keys: they may
-    /// have been taken away meanwhile.
+    /// Makes a gateway without contact to a control member stop serving callers with keys, because
+    /// the keys may have been revoked in the meantime.
     pub fail_closed: bool,
-    /// Time without word after which it does, in milliseconds.
+    /// Time without contact after which the gateway stops serving them, in milliseconds.
     pub revoke_ms: u64,
-    /// Conditions that the deployment expects. [`FleetSettings::expects_pressure`] reads them; those
-    /// that this product does not know change nothing.
+    /// Expected conditions of the deployment, which [`FleetSettings::expects_pressure`] evaluates.
+    /// Unknown conditions have no effect.
     pub conditions: Vec<String>,
 }
 
@@ -104,8 +104,8 @@
             resolution_s: reader.optional("fleet.resolution_s", 5.0),
             memory_mb: reader.optional("fleet.memory_mb", 256),
             quota_window_s: reader.optional("fleet.quota_window_s", 5.0),
-            quota_overage: reader.optional("fleet.quota_overage", DEFAULT_QUOTA_OVERAGE),
-            quota_slack: reader.optional("fleet.quota_slack", DEFAULT_QUOTA_SLACK),
+            quota_overage: reader.optional("fleet.quota_overage", DEFAULT_QUOTA_OVERAGE_RATIO),
+            quota_slack: reader.optional("fleet.quota_slack", DEFAULT_QUOTA_SLACK_REQUESTS),
             fail_closed: reader.optional("fleet.fail_closed", false),
             revoke_ms: reader.optional("fleet.revoke_ms", 5_000),
             conditions: reader.optional("fleet.conditions", Vec::new()),
@@ -118,12 +118,12 @@
 
     fn check(&self, reader: &mut Reader<'_>) {
         reader.check("fleet.name", !self.name.is_empty(), "must not be empty");
-        let enough = match self.ports.as_slice() {
-            [first, last] => usize::from(last.saturating_sub(*first)) + 1 >= NEEDED_PORTS,
+        let has_enough_ports = match self.ports.as_slice() {
+            [first, last] => usize::from(last.saturating_sub(*first)) + 1 >= MIN_PORTS,
             _ => false,
         };
         let rule = "must be the first and the last of at least three ports";
-        reader.check("fleet.ports", enough, rule);
+        reader.check("fleet.ports", has_enough_ports, rule);
         let above_zero = [
             ("fleet.drain_ms", self.drain_ms > 0),
             ("fleet.change_ms", self.change_ms > 0),
@@ -134,49 +134,51 @@
             ("fleet.revoke_ms", self.revoke_ms > 0),
             ("fleet.quota_window_s", self.quota_window_s > 0.0),
         ];
-        for (key, holds) in above_zero {
-            reader.check(key, holds, "must be above 0");
+        for (key, is_above_zero) in above_zero {
+            reader.check(key, is_above_zero, "must be above 0");
         }
         let tolerances = [
             ("fleet.quota_overage", self.quota_overage),
             ("fleet.quota_slack", self.quota_slack),
         ];
         for (key, value) in tolerances {
-            let is_bearable = value.is_finite() && value >= 0.0;
-            reader.check(key, is_bearable, "must not be below 0");
+            let is_valid = value.is_finite() && value >= 0.0;
+            reader.check(key, is_valid, "must not be below 0");
         }
     }
 
-    /// Age from which a gateway reads the list of replicas itself: half of the time in which a
-    /// leaving replica must get no more work, so that the other half is left for reading.
+    /// Returns the age from which the list is stale, so that a gateway reads it itself: half of the
+    /// time after which a leaving replica must not receive work. The other half remains for reading.
     #[must_use]
     pub fn list_stale_after(&self) -> Duration {
         Duration::from_millis(self.drain_ms / 2)
     }
 
-    /// Whether more work is to be expected than the replicas can do.
+    /// Returns true if the deployment expects more work than its replicas can process.
     #[must_use]
     pub fn expects_pressure(&self) -> bool {
-        self.conditions.iter().any(|known| known == PRESSURE)
+        self.conditions
+            .iter()
+            .any(|condition| condition == PRESSURE_CONDITION)
     }
 
     fn port(&self, offset: u16) -> u16 {
         self.ports.first().copied().unwrap_or_default() + offset
     }
 
-    /// Internal port of control members.
+    /// Returns the internal port of control members.
     #[must_use]
     pub fn member_port(&self) -> u16 {
         self.port(0)
     }
 
-    /// Internal port of turn stores.
+    /// Returns the internal port of turn stores.
     #[must_use]
     pub fn store_port(&self) -> u16 {
         self.port(1)
     }
 
-    /// Internal addresses of the control members that are named.
+    /// Returns the internal addresses of the control members in `seeds`.
     #[must_use]
     pub fn member_seeds(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.iter();
@@ -191,14 +193,14 @@
 pub struct GatewaySettings {
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address for the platform's checks.
+    /// Address for the readiness checks of the platform.
     pub ready_listen: SocketAddr,
-    /// Address of the metrics.
+    /// Address of the metrics endpoint, if any.
     pub metrics_listen: Option<SocketAddr>,
-    /// Fullness of a replica, in shares of its slots or memory, from which it takes no new
-    /// programs; 0 to look at none before programs begin.
+    /// Utilization of a replica, as a fraction of its slots or memory, from which it receives no new
+    /// programs. 0 disables this check.
     pub full_at: f64,
-    /// Decisions under load that are taken.
+    /// Modes of the features that affect scheduling under load.
     pub scheduling: Switches,
 }
 
@@ -207,9 +209,9 @@
         let listen = reader.required("gateway.listen");
         let ready_listen = reader.required("gateway.ready_listen");
         let metrics_listen = reader.optional("gateway.metrics_listen", None);
-        let full_at: f64 = reader.optional("gateway.full_at", DEFAULT_FULL_AT);
-        let is_fullness = full_at.is_finite() && full_at >= 0.0;
-        reader.check("gateway.full_at", is_fullness, "must not be below 0");
+        let full_at: f64 = reader.optional("gateway.full_at", DEFAULT_FULL_AT_RATIO);
+        let is_valid = full_at.is_finite() && full_at >= 0.0;
+        reader.check("gateway.full_at", is_valid, "must not be below 0");
         let scheduling = read_switches(reader);
         Some(Self {
             metrics_listen,
@@ -235,11 +237,11 @@
 /// Settings of a turn store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSettings {
-    /// Folder of everything durable.
+    /// Directory of the persistent data.
     pub data_folder: PathBuf,
-    /// Longest segment of the journal, in bytes.
+    /// Maximum size of a journal segment, in bytes.
     pub segment_bytes: u64,
-    /// Address of the metrics, when they are wanted.
+    /// Address of the metrics endpoint, if any.
     pub metrics_listen: Option<SocketAddr>,
 }
 
@@ -262,19 +264,19 @@
 pub struct ManagedSettings {
     /// Address for operators.
     pub operator_listen: SocketAddr,
-    /// Address for callers that ask where to go.
+    /// Address at which callers resolve gateways.
     pub resolution_listen: SocketAddr,
-    /// Folder of everything durable.
+    /// Directory of the persistent data.
     pub data_folder: PathBuf,
-    /// Time between looks at the platform's list, in milliseconds.
+    /// Interval between reads of the platform's list, in milliseconds.
     pub list_interval_ms: u64,
-    /// Time between heartbeats, in milliseconds.
+    /// Interval between heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Shortest silence before an election, in milliseconds.
+    /// Minimum election timeout, in milliseconds.
     pub election_timeout_ms: u64,
-    /// Entries after which a snapshot is written.
+    /// Number of log entries after which a snapshot is written.
     pub snapshot_entries: usize,
-    /// Address of the metrics, when they are wanted.
+    /// Address of the metrics endpoint, if any.
     pub metrics_listen: Option<SocketAddr>,
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Settings of a luglink process: a TOML file, overridden by environment variables, overridden
-//! by flags. Every fault is reported at once, each with its place.
+//! Settings of a luglink process, from a TOML file, environment variables and flags, in ascending
+//! order of precedence. All faults are reported together, each with its location.
 //!
-//! Environment variables are `LUGLINK_` and the key, with `__` between its parts, as in
-//! `LUGLINK_DAEMON__LISTEN`. `LUGLINK_SETTINGS` names the settings file of a process that is told of
-//! none.
+//! The environment variable of a setting is `LUGLINK_` and the key, with `__` between the parts, as
+//! in `LUGLINK_DAEMON__LISTEN`. `LUGLINK_SETTINGS` is the path of the settings file if no option
+//! gives one.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads values one by one and collects what is wrong with them.
+//! Reader that collects the faults of all settings.
 
 use crate::errors::Fault;
 use figment::Figment;
@@ -7,16 +7,16 @@
 use std::collections::BTreeSet;
 use toml_edit::Document;
 
-/// Reads values of one set of sources.
+/// Reads settings from the merged sources and collects their faults.
 pub(crate) struct Reader<'a> {
     figment: &'a Figment,
     file: Option<(&'a str, &'a str, &'a Document<String>)>,
-    known: BTreeSet<String>,
+    known_keys: BTreeSet<String>,
     faults: Vec<Fault>,
 }
 
 impl<'a> Reader<'a> {
-    /// `file` is the path, the text and the parsed text of the settings file.
+    /// Creates a reader. `file` is the path, the text and the parsed document of the settings file.
     pub(crate) fn new(
         figment: &'a Figment,
         file: Option<(&'a str, &'a str, &'a Document<String>)>,
@@ -24,12 +24,12 @@
         Self {
             figment,
             file,
-            known: BTreeSet::new(),
+            known_keys: BTreeSet::new(),
             faults: Vec::new(),
         }
     }
 
-    /// A value that must be there.
+    /// Reads a required setting.
     pub(crate) fn required<T: DeserializeOwned>(&mut self, key: &str) -> Option<T> {
         let value = self.read(key);
         if value.is_none() && self.figment.find_value(key).is_err() {
@@ -38,12 +38,12 @@
         value
     }
 
-    /// A value that may be left out.
+    /// Reads an optional setting.
     pub(crate) fn optional<T: DeserializeOwned>(&mut self, key: &str, default: T) -> T {
         self.read(key).unwrap_or(default)
     }
 
-    /// A value that must keep a rule.
+    /// Reports a fault with the text `rule` unless `holds` is true.
     pub(crate) fn check(&mut self, key: &str, holds: bool, rule: &str) {
         if !holds {
             self.fault(key, rule);
@@ -51,7 +51,7 @@
     }
 
     fn read<T: DeserializeOwned>(&mut self, key: &str) -> Option<T> {
-        self.known.insert(key.to_owned());
+        self.known_keys.insert(key.to_owned());
         let value = self.figment.find_value(key).ok()?;
         match value.deserialize() {
             Ok(value) => Some(value),
@@ -62,46 +62,49 @@
         }
     }
 
-    /// Learns the keys of a section that this process does not use. The file may be shared with
-    /// processes that do, and they give the rest of it by flags.
-    pub(crate) fn note_keys<T>(&mut self, read: impl FnOnce(&mut Self) -> Option<T>) -> Option<T> {
+    /// Registers the keys of a section that this process does not use, and drops its faults. The file
+    /// may be shared with processes that use the section and override it with flags.
+    pub(crate) fn register_keys<T>(
+        &mut self,
+        read: impl FnOnce(&mut Self) -> Option<T>,
+    ) -> Option<T> {
         let faults = self.faults.len();
         let value = read(self);
         self.faults.truncate(faults);
         value
     }
 
-    /// Reports every key that nothing has asked for.
-    pub(crate) fn refuse_unknown(&mut self) {
-        let everything = self.figment.extract::<Dict>().unwrap_or_default();
-        let mut keys = Vec::new();
-        collect_leaves("", &everything, &self.known, &mut keys);
-        for key in keys {
+    /// Reports a fault for every key that has not been read.
+    pub(crate) fn report_unknown_keys(&mut self) {
+        let all_values = self.figment.extract::<Dict>().unwrap_or_default();
+        let mut unknown_keys = Vec::new();
+        collect_unknown_keys("", &all_values, &self.known_keys, &mut unknown_keys);
+        for key in unknown_keys {
             self.fault(&key, "is not a known setting");
         }
     }
 
-    /// Number of faults so far.
+    /// Returns the number of faults so far.
     pub(crate) fn fault_count(&self) -> usize {
         self.faults.len()
     }
 
-    /// All faults.
+    /// Returns all faults.
     pub(crate) fn into_faults(self) -> Vec<Fault> {
         self.faults
     }
 
     fn fault(&mut self, key: &str, problem: &str) {
-        let place = self.place(key);
+        let location = self.location_of(key);
         self.faults.push(Fault {
-            place,
+            location,
             key: key.to_owned(),
             problem: problem.to_owned(),
         });
     }
 
-    /// Where the value comes from, or where it would be looked for.
-    fn place(&self, key: &str) -> String {
+    /// Returns the location of a value, or the location at which it is expected.
+    fn location_of(&self, key: &str) -> String {
         let metadata = self.figment.find_metadata(key);
         let source = metadata.map(|metadata| metadata.name.to_string());
         match (source, self.file) {
@@ -119,27 +122,32 @@
     }
 }
 
-/// Name of the source that flags are read from.
+/// Name of the metadata of settings that flags override.
 pub(crate) const FLAGS_SOURCE: &str = "flags";
 
-fn collect_leaves(prefix: &str, dict: &Dict, known: &BTreeSet<String>, keys: &mut Vec<String>) {
+fn collect_unknown_keys(
+    prefix: &str,
+    dict: &Dict,
+    known_keys: &BTreeSet<String>,
+    unknown_keys: &mut Vec<String>,
+) {
     for (name, value) in dict {
         let key = if prefix.is_empty() {
             name.clone()
         } else {
             format!("{prefix}.{name}")
         };
-        if known.contains(&key) {
+        if known_keys.contains(&key) {
             continue;
         }
         match value {
-            Value::Dict(_, inner) => collect_leaves(&key, inner, known, keys),
-            _ => keys.push(key),
+            Value::Dict(_, inner) => collect_unknown_keys(&key, inner, known_keys, unknown_keys),
+            _ => unknown_keys.push(key),
         }
     }
 }
 
-/// The line of a key, or of the deepest table on the way to it.
+/// Returns the line of a key, or of the innermost existing table that would contain it.
 fn line_of(key: &str, text: &str, document: &Document<String>) -> Option<usize> {
     let mut item = document.as_item();
     let mut offset = None;
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -1,4 +1,4 @@
-//! The sources of settings and how they are layered.
+//! Sources of settings and their precedence.
 
 use crate::control::ControlSettings;
 use crate::daemon::DaemonSettings;
@@ -15,23 +15,23 @@
 use std::path::{Path, PathBuf};
 use toml_edit::Document;
 
-/// Environment variable that names the settings file of a process that is told of none.
+/// Environment variable with the path of the settings file, used if no option gives one.
 pub const SETTINGS_VARIABLE: &str = "LUGLINK_SETTINGS";
 
-/// What a process is to be.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Beside a caller.
+    /// Daemon that runs next to a caller.
     Daemon,
-    /// A control member.
+    /// Control member.
     Control,
-    /// A gateway of a managed fleet.
+    /// Gateway of a managed fleet.
     Gateway,
-    /// A turn store of a managed fleet.
+    /// Turn store of a managed fleet.
     Store,
-    /// A control member of a managed fleet.
+    /// Control member of a managed fleet.
     Member,
-    /// Whatever the file has a section for; for `check-config`.
+    /// All roles that the file has sections for, for `check-config`.
     Any,
 }
 
@@ -39,32 +39,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberAddress {
-    /// The member.
+    /// Identifier of the member.
     pub id: u32,
-    /// Its internal address: an IP number and a port.
+    /// Internal address of the member: an IP address and a port.
     pub address: SocketAddr,
 }
 
-/// Checked settings.
+/// Validated settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Filter of the logs.
+    /// Log filter.
     pub log_filter: String,
-    /// Of a daemon.
+    /// Settings of a daemon.
     pub daemon: Option<DaemonSettings>,
-    /// Of a control member.
+    /// Settings of a control member.
     pub control: Option<ControlSettings>,
-    /// Of every process of a managed fleet.
+    /// Settings that all processes of a managed fleet share.
     pub fleet: Option<FleetSettings>,
-    /// Of a gateway.
+    /// Settings of a gateway.
     pub gateway: Option<GatewaySettings>,
-    /// Of a turn store.
+    /// Settings of a turn store.
     pub store: Option<StoreSettings>,
-    /// Of a control member of a managed fleet.
+    /// Settings of a control member of a managed fleet.
     pub member: Option<ManagedSettings>,
 }
 
-/// One value that a flag overrides: its key and the value as text.
+/// Settings that flags override: keys and values as text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Flags(Vec<(String, String)>);
 
@@ -76,7 +76,7 @@
     fn data(&self) -> Result<Map<Profile, Dict>, figment::Error> {
         let mut figment = Figment::new();
         for (key, value) in &self.0 {
-            // Numbers, booleans and lists are read as such, anything else as text.
+            // Numbers, booleans and lists are parsed; any other value is text.
             let value: Value = value.parse().unwrap_or_else(|_| Value::from(value.clone()));
             figment = figment.merge(Serialized::default(key, value));
         }
@@ -84,18 +84,18 @@
     }
 }
 
-/// The settings file of a process that was told of `file` or of none.
+/// Returns `file`, or else the path in [`SETTINGS_VARIABLE`], if any.
 #[must_use]
 pub fn settings_file(file: Option<PathBuf>) -> Option<PathBuf> {
     file.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from))
 }
 
-/// Reads settings for `role` from a file, the environment and flags, in this order of rising
-/// precedence. `flags` are pairs of a key, as in `daemon.listen`, and its value.
+/// Loads the settings for `role` from a file, the environment and flags, in ascending order of
+/// precedence. `flags` are pairs of a key, such as `daemon.listen`, and a value.
 ///
 /// # Errors
-/// The file cannot be read or parsed, or values are missing, unknown or wrong; then every fault
-/// is reported.
+/// Returns an error if the file cannot be read or parsed, or if settings are missing, unknown or
+/// invalid. In the latter case, the error contains all faults.
 pub fn load(
     file: Option<&Path>,
     flags: Vec<(String, String)>,
@@ -117,10 +117,10 @@
         .merge(Toml::string(&text))
         .merge(Env::prefixed("LUGLINK_").ignore(&["settings"]).split("__"))
         .merge(Flags(flags));
-    let place = path.as_deref().map(|path| (path, text.as_str(), &document));
-    let mut reader = Reader::new(&figment, place);
+    let file_parts = path.as_deref().map(|path| (path, text.as_str(), &document));
+    let mut reader = Reader::new(&figment, file_parts);
     let settings = read(&mut reader, &figment, role);
-    reader.refuse_unknown();
+    reader.report_unknown_keys();
     let faults = reader.into_faults();
     ensure!(faults.is_empty(), FaultsSnafu { faults });
     settings.map_or_else(|| FaultsSnafu { faults: Vec::new() }.fail(), Ok)
@@ -128,44 +128,50 @@
 
 fn read(reader: &mut Reader<'_>, figment: &Figment, role: Role) -> Option<Settings> {
     let log_filter = reader.optional("log.filter", "info".to_owned());
-    let is_there = |section: &str| figment.find_value(section).is_ok();
-    let wanted = |section: &str, own: Role| role == own || (role == Role::Any && is_there(section));
-    let managed = matches!(role, Role::Gateway | Role::Store | Role::Member);
+    let has_section = |section: &str| figment.find_value(section).is_ok();
+    let is_used = |section: &str, own_role: Role| {
+        role == own_role || (role == Role::Any && has_section(section))
+    };
+    let is_managed = matches!(role, Role::Gateway | Role::Store | Role::Member);
     let sections = ["daemon", "control", "fleet"];
-    if role == Role::Any && !sections.into_iter().any(is_there) {
+    if role == Role::Any && !sections.into_iter().any(has_section) {
         reader.check(
             "daemon",
             false,
-            "a section [daemon], [control] or [fleet] must be there",
+            "must have a section [daemon], [control] or [fleet]",
         );
     }
-    let with_fleet = managed || (role == Role::Any && is_there("fleet"));
-    let faults = reader.fault_count();
+    let uses_fleet = is_managed || (role == Role::Any && has_section("fleet"));
+    let earlier_faults = reader.fault_count();
     let settings = Settings {
         log_filter,
-        daemon: section(reader, wanted("daemon", Role::Daemon), DaemonSettings::read),
+        daemon: section(
+            reader,
+            is_used("daemon", Role::Daemon),
+            DaemonSettings::read,
+        ),
         control: section(
             reader,
-            wanted("control", Role::Control),
+            is_used("control", Role::Control),
             ControlSettings::read,
         ),
-        fleet: section(reader, with_fleet, FleetSettings::read),
+        fleet: section(reader, uses_fleet, FleetSettings::read),
         gateway: section(
             reader,
-            wanted("gateway", Role::Gateway),
+            is_used("gateway", Role::Gateway),
             GatewaySettings::read,
         ),
-        store: section(reader, wanted("store", Role::Store), StoreSettings::read),
+        store: section(reader, is_used("store", Role::Store), StoreSettings::read),
         member: section(
             reader,
-            wanted("member", Role::Member),
+            is_used("member", Role::Member),
             ManagedSettings::read,
         ),
     };
-    (reader.fault_count() == faults).then_some(settings)
+    (reader.fault_count() == earlier_faults).then_some(settings)
 }
 
-/// Reads a section that this process uses; of others only the keys are learned.
+/// Reads a section that this process uses. Of any other section, it only registers the keys.
 fn section<T>(
     reader: &mut Reader<'_>,
     is_used: bool,
@@ -174,11 +180,11 @@
     if is_used {
         return read(reader);
     }
-    reader.note_keys(read);
+    reader.register_keys(read);
     None
 }
 
-/// Checks that a list of members names each once.
+/// Checks that a list of members is not empty and names each member once.
 pub(crate) fn check_members(reader: &mut Reader<'_>, key: &str, members: &[MemberAddress]) {
     reader.check(key, !members.is_empty(), "must name at least one member");
     let mut ids: Vec<u32> = members.iter().map(|member| member.id).collect();
--- a/crates/settings/tests/files.rs
+++ b/crates/settings/tests/files.rs
@@ -1,4 +1,4 @@
-//! Settings files: the template, the layers, and the faults.
+//! Tests of the templates, the precedence of the sources and the reported faults.
 
 use luglink_settings::{Role, Settings, SettingsError, load};
 use std::path::{Path, PathBuf};
@@ -37,7 +37,7 @@
 fn the_template_is_valid_and_its_comments_are_the_defaults() {
     let as_shipped = loaded(&template());
     let text = std::fs::read_to_string(template()).unwrap();
-    // A commented setting is `# key = value`; prose has no `=` after its first word.
+    // A default is a comment `# key = value`. Other comments have no `=` after the first word.
     let uncommented: Vec<String> = text
         .lines()
         .map(|line| {
@@ -54,14 +54,14 @@
     let daemon = all.daemon.as_mut().unwrap();
     assert!(
         daemon.platform.is_some(),
-        "the platform is shown by an example"
+        "the template shows an example of the platform"
     );
     daemon.platform = None;
     assert_eq!(all, as_shipped);
 }
 
-/// Every setting that is read must be shown, commented or not.
-fn assert_every_setting_is_shown(file: &Path) {
+/// Checks that the file contains every setting, possibly in a comment.
+fn assert_contains_every_setting(file: &Path) {
     let text = std::fs::read_to_string(file).unwrap();
     let settings = format!("{:?}", loaded(file));
     let fields = settings
@@ -78,13 +78,16 @@
         "log_filter",
     ];
     for field in fields.filter(|field| !sections.contains(field)) {
-        assert!(text.contains(&format!("{field} =")), "{field} is not shown");
+        assert!(
+            text.contains(&format!("{field} =")),
+            "the file does not contain {field}"
+        );
     }
 }
 
 #[test]
 fn every_setting_is_in_the_template() {
-    assert_every_setting_is_shown(&template());
+    assert_contains_every_setting(&template());
 }
 
 #[test]
@@ -93,11 +96,11 @@
     let settings = loaded(&file);
     assert!(settings.fleet.is_some() && settings.gateway.is_some());
     assert!(settings.store.is_some() && settings.member.is_some());
-    assert_every_setting_is_shown(&file);
+    assert_contains_every_setting(&file);
 }
 
 #[test]
-fn a_fleet_needs_three_internal_ports_and_its_role() {
+fn a_fleet_needs_three_internal_ports_and_the_section_of_its_role() {
     let fleet = "[fleet]\nname = \"a\"\nzone = \"z\"\nip = \"127.0.0.1\"\n\
                  ports = [7000, 7001]\nseeds = []\nlist_address = \"127.0.0.1:1\"\n";
     assert_eq!(
@@ -111,7 +114,7 @@
 }
 
 #[test]
-fn every_fault_is_reported_at_once() {
+fn all_faults_are_reported_together() {
     let faults = faults_of(
         "[daemon]\nid = 1\nzone = \"\"\nmembers = []\nsubset_size = 0\ntypo = 3\n\
          [control]\nid = \"x\"\n",
@@ -133,7 +136,7 @@
 }
 
 #[test]
-fn flags_go_before_the_file() {
+fn flags_override_the_file() {
     let flags = vec![
         ("daemon.zone".to_owned(), "isando-b".to_owned()),
         ("daemon.subset_size".to_owned(), "7".to_owned()),
@@ -145,9 +148,9 @@
     assert_eq!(daemon.id, 1);
 }
 
-/// A file that is shared by all roles leaves some settings to flags; a process judges its own.
+/// Processes of several roles may share a file and set the rest of their own section with flags.
 #[test]
-fn the_other_roles_section_may_be_incomplete_but_not_misspelt() {
+fn an_unused_section_may_be_incomplete_but_may_not_contain_unknown_keys() {
     let folder = tempfile::tempdir().unwrap();
     let shared = std::fs::read_to_string(template())
         .unwrap()
@@ -160,7 +163,7 @@
 }
 
 #[test]
-fn broken_files_name_the_file() {
+fn errors_of_unreadable_and_malformed_files_name_the_file() {
     let folder = tempfile::tempdir().unwrap();
     let file = write(&folder, "[daemon\n");
     let error = load(Some(&file), Vec::new(), Role::Any).unwrap_err();
@@ -178,9 +181,9 @@
         ..proptest::prelude::ProptestConfig::default()
     })]
 
-    /// Whatever is in the file, the answer is settings or an error, never a panic.
+    /// Loading any file returns settings or an error and does not panic.
     #[test]
-    fn no_file_makes_it_panic(text in "(\\[(daemon|control|log)\\]\n)?([a-z_.]{1,9} = ([0-9]{1,20}|\"[a-z]*\"|\\[\\]|true)\n){0,6}") {
+    fn loading_any_file_does_not_panic(text in "(\\[(daemon|control|log)\\]\n)?([a-z_.]{1,9} = ([0-9]{1,20}|\"[a-z]*\"|\\[\\]|true)\n){0,6}") {
         let folder = tempfile::tempdir().unwrap();
         let file = write(&folder, &text);
         for role in [Role::Daemon, Role::Control, Role::Any] {
@@ -190,7 +193,7 @@
 }
 
 #[test]
-fn decisions_under_load_can_be_switched_and_conditions_that_are_not_known_are_passed_over() {
+fn feature_modes_are_read_and_unknown_conditions_are_ignored() {
     let folder = tempfile::tempdir().unwrap();
     let template = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../etc/fleet.toml");
     let text = std::fs::read_to_string(template).unwrap();
--- a/crates/types/src/budget.rs
+++ b/crates/types/src/budget.rs
@@ -1,13 +1,13 @@
-//! Budgets and what is charged against them.
+//! Budgets and the charges against them.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A ceiling that is never reached.
+/// Limit of a dimension that is not limited.
 pub const UNLIMITED: u64 = u64::MAX;
 
-/// What a program may spend in its whole life. Tokens count new prompt tokens and generated
-/// tokens; history that is sent again is not charged again.
+/// Limits on the resources that a program uses during its lifetime. Tokens are new prompt tokens
+/// and generated tokens; history that is sent again is not charged again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Budget {
@@ -19,7 +19,7 @@
     pub cost_micros: u64,
     /// Attempts beyond the first of each call.
     pub retries: u64,
-    /// Time from the program's creation to its last answer.
+    /// Time from the program's creation to its last response, in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -36,7 +36,7 @@
 }
 
 impl Budget {
-    /// The stricter of two budgets in each dimension.
+    /// Returns the smaller limit of the two budgets in each dimension.
     #[must_use]
     pub fn intersect(&self, other: &Budget) -> Budget {
         Budget {
@@ -48,13 +48,13 @@
         }
     }
 
-    /// The deadline as a duration; `None` when there is none.
+    /// Returns the deadline as a duration, or `None` if it is unlimited.
     #[must_use]
     pub fn deadline(&self) -> Option<Duration> {
         (self.deadline_ms != UNLIMITED).then(|| Duration::from_millis(self.deadline_ms))
     }
 
-    /// The first dimension in which `spent` and `more` together pass this budget.
+    /// Returns the first dimension in which `spent` plus `more` exceeds this budget.
     #[must_use]
     pub fn exceeded_by(&self, spent: &Charge, more: &Charge) -> Option<BudgetDimension> {
         let total = spent.plus(more);
@@ -88,7 +88,7 @@
 }
 
 impl BudgetDimension {
-    /// Name of the budget's field.
+    /// Returns the name of the budget's field.
     #[must_use]
     pub const fn field(self) -> &'static str {
         match self {
@@ -100,7 +100,7 @@
     }
 }
 
-/// An amount in every dimension that is spent, used for reservations and for what was spent.
+/// Amounts reserved or spent, one in each dimension that adds up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Charge {
     /// Model calls.
@@ -114,7 +114,7 @@
 }
 
 impl Charge {
-    /// The sum, saturating in each dimension.
+    /// Returns the sum, saturating in each dimension.
     #[must_use]
     pub fn plus(&self, other: &Charge) -> Charge {
         Charge {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// The difference, at least zero in each dimension.
+    /// Returns the difference, saturating at zero in each dimension.
     #[must_use]
     pub fn minus(&self, other: &Charge) -> Charge {
         Charge {
--- a/crates/types/src/identifier.rs
+++ b/crates/types/src/identifier.rs
@@ -1,4 +1,4 @@
-//! Identifiers, one type for each thing they name.
+//! Identifiers, with a separate type for each kind of object.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -16,7 +16,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// The identifier that follows this one, saturating.
+            /// Returns the next identifier, saturating at the maximum.
             #[must_use]
             pub const fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
@@ -41,7 +41,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -63,35 +63,35 @@
 }
 
 number_identifier!(
-    /// A daemon: the luglink process beside a caller.
+    /// Identifies a daemon, the luglink process that runs next to a caller.
     DaemonId(u32)
 );
 number_identifier!(
-    /// One replica of a model engine or of a plain service.
+    /// Identifies one replica of a model engine or of a plain service.
     EngineId(u32)
 );
 number_identifier!(
-    /// A control machine.
+    /// Identifies a control member.
     MemberId(u32)
 );
 number_identifier!(
-    /// A replication group. Group 0 holds configuration, the others hold programs.
+    /// Identifies a replication group. Group 0 holds the configuration, the others hold programs.
     GroupId(u32)
 );
 number_identifier!(
-    /// Fencing number: whoever holds a lower one has been superseded.
+    /// Fencing token: an owner with a lower epoch has been superseded.
     Epoch(u64)
 );
 number_identifier!(
-    /// Place of a call in its program, from 0.
+    /// Index of a call in its program, from 0.
     Sequence(u64)
 );
 number_identifier!(
-    /// Place of an attempt in its call, from 0.
+    /// Index of an attempt in its call, from 0.
     AttemptNumber(u32)
 );
 number_identifier!(
-    /// Version of the whole configuration; each accepted change adds one.
+    /// Version of the whole configuration; each accepted change increments it.
     Revision(u64)
 );
 
@@ -116,38 +116,39 @@
     ZoneName
 );
 text_identifier!(
-    /// An operator's name for one change, unique for ever.
+    /// Identifier that an operator chooses for a change. It is never used again for another change.
     ChangeId
 );
 text_identifier!(
-    /// A caller's name for one request, unique within its program.
+    /// Key that a caller chooses for a request, unique within its program.
     IdempotencyKey
 );
 
-/// Identifies a program. Sub-programs share the `family` of their root, and the family alone
-/// decides the replication group, so one group holds a whole tree of budget accounts.
+/// Identifies a program. Subprograms share the `family` of their root. The family alone determines
+/// the replication group, so that one group holds all budget accounts of a tree of programs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProgramId {
-    /// Shared by a root program and all its descendants.
+    /// Number that a root program and all its descendants share.
     pub family: u64,
-    /// Distinguishes the programs of one family.
+    /// Number that distinguishes the programs of a family.
     pub member: u64,
 }
 
-/// The text is not a program identifier.
+/// Error for text that is not a program identifier.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-#[snafu(display("a program id is `prg_` and 32 hexadecimal digits, not `{text}`"))]
+#[snafu(display("invalid program id `{text}`: expected `prg_` and 32 hexadecimal digits"))]
 pub struct ProgramIdError {
-    /// What was given, cut to a bounded length.
+    /// Rejected text, truncated to a bounded length.
     pub text: String,
 }
 
 const PROGRAM_PREFIX: &str = "prg_";
 const HALF_DIGITS: usize = 16;
-const REPORTED_TEXT_LIMIT: usize = 64;
+const MAX_REPORTED_CHARS: usize = 64;
 
 impl ProgramId {
-    /// The identifier of the program that a caller names by its own key, the same at every daemon.
+    /// Derives the identifier of a program from the key that its caller chose. All daemons derive the
+    /// same identifier.
     #[must_use]
     pub fn derived(scope: &str, key: &str) -> Self {
         let mut hasher = Sha256::new();
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The program group that holds this program when there are `program_groups` of them.
+    /// Returns the group that holds this program if there are `program_groups` groups.
     #[must_use]
     pub fn group(self, program_groups: u32) -> GroupId {
         let count = u64::from(program_groups.max(1));
@@ -189,16 +190,16 @@
     type Err = ProgramIdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let refused = || ProgramIdError {
-            text: text.chars().take(REPORTED_TEXT_LIMIT).collect(),
+        let invalid = || ProgramIdError {
+            text: text.chars().take(MAX_REPORTED_CHARS).collect(),
         };
-        let digits = text.strip_prefix(PROGRAM_PREFIX).ok_or_else(refused)?;
+        let digits = text.strip_prefix(PROGRAM_PREFIX).ok_or_else(invalid)?;
         let well_formed =
             digits.len() == 2 * HALF_DIGITS && digits.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !well_formed {
-            return Err(refused());
+            return Err(invalid());
         }
-        let half = |part: &str| u64::from_str_radix(part, 16).map_err(|_| refused());
+        let half = |part: &str| u64::from_str_radix(part, 16).map_err(|_| invalid());
         Ok(Self {
             family: half(&digits[..HALF_DIGITS])?,
             member: half(&digits[HALF_DIGITS..])?,
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
-//! Shared vocabulary of luglink: identifiers, time, budgets, refusals, outcomes and messages.
+//! Types that all crates share: identifiers, time, budgets, refusals, outcomes and messages.
 //!
-//! Everything here is plain data. No I/O, no clock, no randomness.
+//! All types are plain data. This crate does no I/O, reads no clock and uses no randomness.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/types/src/message.rs
+++ b/crates/types/src/message.rs
@@ -1,50 +1,50 @@
-//! Conversation messages and their size in tokens.
+//! Messages of a conversation and their size in tokens.
 
 use serde::{Deserialize, Serialize};
 
-/// Who wrote a message. The names are those of the OpenAI chat protocol.
+/// Author of a message. The names are those of the OpenAI chat protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Instructions to the model.
+    /// Author of the instructions to the model.
     System,
-    /// The caller.
+    /// Caller.
     User,
-    /// The model.
+    /// Model.
     Assistant,
-    /// The result of a tool.
+    /// Tool whose result the message contains.
     Tool,
 }
 
-/// One message of a program's history.
+/// Message in the history of a program.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who wrote it.
+    /// Author.
     pub role: Role,
-    /// The text.
+    /// Text.
     pub content: String,
 }
 
-/// Tokens that an engine reports for one call.
+/// Token counts that an engine reports for a call.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenUsage {
-    /// Tokens of the whole prompt, history included.
+    /// Tokens of the whole prompt, including the history.
     pub prompt_tokens: u64,
     /// Generated tokens.
     pub completion_tokens: u64,
-    /// Tokens of the prompt that the engine found in its prefix cache.
+    /// Prompt tokens that the engine found in its prefix cache.
     pub cached_tokens: u64,
 }
 
-/// Longest stretch of text without white space that counts as one token, in bytes.
-const BYTES_PER_TOKEN: usize = 16;
+/// Longest word that counts as one token, in bytes.
+const MAX_BYTES_PER_TOKEN: usize = 16;
 
-/// Number of tokens of `text`: one for each word, more for words longer than
-/// [`BYTES_PER_TOKEN`] bytes. Engines are asked to count the same way; the engine's own limit
-/// on generated tokens is exact in any case.
+/// Returns the number of tokens of `text`: one for each word, and more for words longer than
+/// [`MAX_BYTES_PER_TOKEN`] bytes. Engines are expected to count in the same way. The engine enforces
+/// the limit on generated tokens exactly in any case.
 #[must_use]
 pub fn count_tokens(text: &str) -> u64 {
     text.split_ascii_whitespace()
-        .map(|word| word.len().div_ceil(BYTES_PER_TOKEN) as u64)
+        .map(|word| word.len().div_ceil(MAX_BYTES_PER_TOKEN) as u64)
         .sum()
 }
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,26 +1,25 @@
-//! What is known of an attempt once it is over.
+//! Outcomes of attempts.
 
 use serde::{Deserialize, Serialize};
 
-/// Closed classification of an attempt's end. It alone decides whether the attempt may be
-/// repeated. The classes follow "Model Budget Policy v1 (issue #179)".
+/// Class of an attempt's outcome. It alone determines whether the call may be attempted again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeClass {
-    /// The request never left the daemon.
+    /// The daemon did not send the request.
     NotDispatched,
-    /// The engine refused the request before working on it.
+    /// The engine rejected the request before processing it.
     RejectedBeforeProcessing,
-    /// The engine says that the request failed and may be sent again.
+    /// The engine reported that the request failed and may be sent again.
     EngineRetryable,
-    /// The engine answered in full.
+    /// The engine sent a complete response.
     Completed,
-    /// Nobody can tell whether the request ran.
+    /// It is unknown whether the request ran.
     Uncertain,
 }
 
 impl OutcomeClass {
-    /// Whether another attempt can never make the request run twice.
+    /// Returns true if another attempt cannot make the request run twice.
     #[must_use]
     pub const fn retry_is_safe(self) -> bool {
         match self {
@@ -29,7 +28,7 @@
         }
     }
 
-    /// Whether the engine certainly spent nothing on the attempt.
+    /// Returns true if the engine certainly did no work for the attempt.
     #[must_use]
     pub const fn spent_nothing(self) -> bool {
         matches!(self, Self::NotDispatched | Self::RejectedBeforeProcessing)
--- a/crates/types/src/priority.rs
+++ b/crates/types/src/priority.rs
@@ -2,18 +2,18 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How urgent a program is. Later variants go first.
+/// Priority of a program. Later variants have precedence.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Nobody waits for the answer.
+    /// No person waits for the response.
     Background,
-    /// The default.
+    /// Default.
     #[default]
     Normal,
-    /// A person waits for the answer.
+    /// A person waits for the response.
     Interactive,
 }
 
@@ -21,11 +21,11 @@
     /// Number of priorities.
     pub const COUNT: usize = 3;
 
-    /// Every priority, the most urgent first.
+    /// All priorities in descending order.
     pub const MOST_URGENT_FIRST: [Priority; Self::COUNT] =
         [Self::Interactive, Self::Normal, Self::Background];
 
-    /// The priority as a small number, higher is more urgent.
+    /// Returns the priority as a number; a higher number is more urgent.
     #[must_use]
     pub const fn rank(self) -> u8 {
         match self {
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -1,14 +1,14 @@
-//! Refusals: the closed list of reasons for which luglink does not answer a request.
+//! Refusals: the reasons for which luglink does not serve a request.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
 
-/// Whether a refused request ran.
+/// Execution state of a refused request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Executed {
-    /// A promise: nothing ran and nothing will.
+    /// The request has not run and will not run.
     No,
     /// The request may have run.
     Unknown,
@@ -16,7 +16,7 @@
 
 macro_rules! refusal_codes {
     ($($(#[$doc:meta])* $name:ident => $code:literal, $status:literal;)*) => {
-        /// Why a request was refused. Codes are stable: clients may depend on them.
+        /// Reason for a refusal. The codes are stable, because clients may depend on them.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum RefusalCode {
@@ -24,16 +24,16 @@
         }
 
         impl RefusalCode {
-            /// Every code.
+            /// All codes.
             pub const ALL: &'static [RefusalCode] = &[$(Self::$name,)*];
 
-            /// The stable text of the code.
+            /// Returns the stable name of the code.
             #[must_use]
             pub const fn as_str(self) -> &'static str {
                 match self { $(Self::$name => $code,)* }
             }
 
-            /// The HTTP status that goes with the code.
+            /// Returns the HTTP status of the code.
             #[must_use]
             pub const fn http_status(self) -> u16 {
                 match self { $(Self::$name => $status,)* }
@@ -45,35 +45,35 @@
 refusal_codes! {
     /// The request is malformed; the detail names the field.
     InvalidRequest => "invalid_request", 400;
-    /// No such program, or it is past its retention.
+    /// The program does not exist, or its retention period is over.
     UnknownProgram => "unknown_program", 404;
-    /// No such model, adapter, tenant, class or service in the configuration.
+    /// The configuration has no such model, adapter, tenant, class or service.
     UnknownResource => "unknown_resource", 404;
-    /// The program has ended, been abandoned, or reached its lease.
+    /// The program has ended, was abandoned, or its lease has expired.
     ProgramEnded => "program_ended", 410;
-    /// The call's sequence is not the program's next.
+    /// The sequence number of the call is not the program's next one.
     OutOfOrder => "out_of_order", 409;
     /// The same request is still running.
     CallInProgress => "call_in_progress", 409;
     /// The idempotency key was used for a different request.
     KeyReused => "key_reused", 422;
-    /// The program's budget, its parent's, or its class's has no room.
+    /// The call exceeds the budget of the program, its parent or its class.
     BudgetExhausted => "budget_exhausted", 402;
     /// The program's deadline has passed or cannot be met.
     DeadlineExceeded => "deadline_exceeded", 504;
-    /// Queues are full, or the tenant is over its share.
+    /// The queues are full, or the tenant exceeds its share.
     Overloaded => "overloaded", 429;
-    /// Another daemon has taken the program over.
+    /// Another daemon has taken over the program.
     StaleOwner => "stale_owner", 409;
-    /// No engine can serve the model now.
+    /// No engine can currently serve the model.
     NoEngine => "no_engine", 503;
-    /// The engine failed and the retry budget is spent, or a retry is not safe.
+    /// The engine failed, and the retry budget is exhausted or a retry is not safe.
     EngineFailed => "engine_failed", 502;
-    /// The control members cannot be reached or have no quorum.
+    /// The control members are unreachable or have no quorum.
     ControlUnavailable => "control_unavailable", 503;
-    /// The daemon is stopping.
+    /// The daemon is shutting down.
     Draining => "draining", 503;
-    /// Nobody can tell whether the request ran, and it must not run twice.
+    /// It is unknown whether the request ran, and it must not run twice.
     OutcomeUnknown => "outcome_unknown", 502;
 }
 
@@ -83,21 +83,21 @@
     }
 }
 
-/// One refusal, as callers get it.
+/// Refusal of a request, as the caller receives it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason.
     pub code: RefusalCode,
-    /// Whether the request ran.
+    /// Execution state of the request.
     pub executed: Executed,
-    /// For people: names the field, limit or state that led to the refusal.
+    /// Explanation for people: the field, limit or state that caused the refusal.
     pub detail: String,
-    /// When trying again may help.
+    /// Delay after which a retry may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal that promises nothing ran.
+    /// Creates a refusal of a request that has not run.
     #[must_use]
     pub fn not_run(code: RefusalCode, detail: impl Into<String>) -> Self {
         Self {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// A refusal of a request that may have run.
+    /// Creates a refusal of a request that may have run.
     #[must_use]
     pub fn uncertain(code: RefusalCode, detail: impl Into<String>) -> Self {
         Self {
@@ -117,10 +117,10 @@
         }
     }
 
-    /// The same refusal with a hint when to try again.
+    /// Sets the delay after which a retry may succeed.
     #[must_use]
-    pub fn retry_after(mut self, wait: Duration) -> Self {
-        self.retry_after = Some(wait);
+    pub fn retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 }
--- a/crates/types/src/switches.rs
+++ b/crates/types/src/switches.rs
@@ -1,22 +1,22 @@
-//! Which decisions under load are taken, as settings say.
+//! Features that settings turn on or off.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a decision is taken.
+/// Mode of a feature.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Switch {
-    /// Where the configuration in force, or what the deployment expects, calls for it.
+    /// On if the active configuration or the expected conditions of the deployment need it.
     #[default]
     Auto,
-    /// Always.
+    /// Always on.
     On,
-    /// Never.
+    /// Always off.
     Off,
 }
 
 impl Switch {
-    /// Whether the decision is taken, when `called_for` says whether anything calls for it.
+    /// Returns true if the feature is on. `called_for` is the result for the mode `Auto`.
     #[must_use]
     pub fn holds(self, called_for: bool) -> bool {
         match self {
@@ -27,19 +27,19 @@
     }
 }
 
-/// The decisions under load that can be switched.
+/// Modes of the features that affect scheduling under load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Switches {
-    /// Gateways of a zone tell each other what they see of the replicas.
+    /// The gateways of a zone share their observations of the replicas.
     pub load_view: Switch,
-    /// Replicas are chosen by when the request is expected to be finished.
+    /// Replicas are chosen by the expected finish time of the request.
     pub expected_finish: Switch,
-    /// Requests that wait at a slow replica go to another one.
+    /// Requests that wait at a slow replica move to another replica.
     pub moves: Switch,
-    /// Programs are let in by the memory that those under way need until they end.
+    /// Programs are admitted by the memory that active programs need until they end.
     pub working_set: Switch,
-    /// Tenants and kinds of request get fair shares while room is short.
+    /// Tenants and request kinds receive fair shares while capacity is scarce.
     pub fair_shares: Switch,
-    /// Bytes held for slow readers are bounded.
+    /// The bytes buffered for slow readers are limited.
     pub held_bytes: Switch,
 }
