--- a/crates/resources/src/change.rs
+++ b/crates/resources/src/change.rs
@@ -1,20 +1,20 @@
-//! Changes of the configuration and the answers to them.
+//! Changes to the configuration and the responses to them.
 
 use crate::errors::Violation;
 use crate::resource::{Resource, ResourceKey};
 use luglink_types::{ChangeId, Revision};
 use serde::{Deserialize, Serialize};
 
-/// The revision that a change was made against.
+/// Condition on the current revision under which a change applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Expected {
-    /// Whatever is current; the last writer wins.
+    /// Any current revision; the last writer wins.
     Current,
-    /// Exactly this one.
+    /// Exactly this revision.
     Exactly(Revision),
 }
 
-/// One step of a change.
+/// Operation of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Operation {
     /// Creates or replaces a resource.
@@ -24,7 +24,7 @@
 }
 
 impl Operation {
-    /// The resource it is about.
+    /// Returns the key of the resource that the operation affects.
     #[must_use]
     pub fn key(&self) -> ResourceKey {
         match self {
@@ -34,48 +34,48 @@
     }
 }
 
-/// A change: all of its operations take effect at one revision, or none.
+/// Change whose operations take effect atomically, at one revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The operator's name for it, unique for ever.
+    /// Identifier that the operator chose. It is never used again for another change.
     pub change_id: ChangeId,
-    /// Who asks.
+    /// Operator that requests the change.
     pub operator: String,
-    /// The revision it was made against.
+    /// Condition on the current revision.
     pub expected: Expected,
-    /// What to do.
+    /// Operations in the order in which they apply.
     pub operations: Vec<Operation>,
 }
 
-/// The answer to a change.
+/// Response to a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeAnswer {
-    /// It is in force from this revision on and never reverts.
+    /// The change was applied and is never reverted.
     Accepted {
-        /// The revision.
+        /// Revision at which the change took effect.
         revision: Revision,
     },
-    /// Another change came first; nothing changed.
+    /// The expected revision is not the current one; nothing changed.
     Stale {
-        /// The revision that was expected.
+        /// Expected revision.
         expected: Revision,
-        /// The current one.
+        /// Current revision.
         current: Revision,
     },
-    /// The change breaks rules; nothing changed.
+    /// The change violates validation rules; nothing changed.
     Invalid {
-        /// Every rule it breaks.
+        /// All violations.
         violations: Vec<Violation>,
     },
-    /// The change id was used for a different change; nothing changed.
+    /// The change id was already used for a different change; nothing changed.
     ChangeIdReused,
 }
 
-/// What one revision changed.
+/// Difference between a revision and the preceding one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The revision.
+    /// Revision that the operations lead to.
     pub revision: Revision,
-    /// What it did.
+    /// Operations in the order in which they apply.
     pub operations: Vec<Operation>,
 }
--- a/crates/resources/src/errors.rs
+++ b/crates/resources/src/errors.rs
@@ -1,16 +1,16 @@
-//! Errors of this crate.
+//! Errors of validation.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// One rule that a change breaks.
+/// Violation of a validation rule by a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Snafu)]
-#[snafu(display("{field}: `{value}` breaks the rule: {rule}"))]
+#[snafu(display("{field}: value `{value}` violates the rule: {rule}"))]
 pub struct Violation {
-    /// The field, with the resource it belongs to.
+    /// Field, with the key of its resource.
     pub field: String,
-    /// The value that was given.
+    /// Rejected value.
     pub value: String,
-    /// The rule.
+    /// Rule that the value violates.
     pub rule: String,
 }
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated configuration: operators' resources under one rising revision.
+//! Replicated configuration: the operators' resources, under one increasing revision.
 //!
-//! [`ResourceStore`] is a deterministic state machine like the program store. Every accepted
-//! change raises the revision by one; a change names the revision it was made against and is
-//! refused when another change came first; a change that is sent again gets its first answer.
+//! [`ResourceStore`] is a deterministic state machine. Each accepted change increments the revision.
+//! A change may require a revision, and is rejected if that is not the current one. A change that
+//! is sent again gets the first response again.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -1,4 +1,4 @@
-//! The resources that operators create.
+//! Resources that operators create.
 
 use luglink_types::{
     Budget, ClassName, EngineId, ModelName, Priority, ServiceName, TenantName, ZoneName,
@@ -6,128 +6,128 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Who pays for programs.
+/// Customer to whom programs are charged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     /// Name.
     pub name: TenantName,
-    /// Share of the engines under contention, relative to other tenants.
+    /// Weight of the tenant's share of the engines under contention, relative to other tenants.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Calls in flight in the whole fleet; 0 for no limit.
+    /// Maximum number of concurrent calls in the whole fleet; 0 for no limit.
     #[serde(default)]
     pub max_concurrent_calls: u32,
-    /// Tokens per second in the whole fleet; 0 for no limit.
+    /// Maximum token rate in the whole fleet; 0 for no limit.
     #[serde(default)]
     pub tokens_per_second: u64,
 }
 
-/// Defaults and limits of programs of one kind.
+/// Defaults and limits of a class of programs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProgramClass {
     /// Name.
     pub name: ClassName,
-    /// Priority of programs that state none.
+    /// Default priority.
     #[serde(default)]
     pub priority: Priority,
-    /// Name of the budget that caps each program of the class; empty for none.
+    /// Name of the budget that limits each program of the class; empty for no limit.
     #[serde(default)]
     pub budget: String,
-    /// Longest pause between two calls before a program counts as abandoned, in milliseconds.
+    /// Maximum pause between two calls, in milliseconds. After it, a program counts as abandoned.
     #[serde(default = "default_idle_timeout_ms")]
     pub idle_timeout_ms: u64,
-    /// Calls that may wait at one daemon; more are refused as overloaded.
+    /// Maximum number of calls that wait at one daemon. Further calls are refused as overloaded.
     #[serde(default = "default_max_queued_calls")]
     pub max_queued_calls: u32,
 }
 
-/// One replica of a pool or service.
+/// Replica of a pool or service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replica {
     /// Identifier, unique in the whole configuration.
     pub engine: EngineId,
-    /// Address: an IP number and a port.
+    /// IP address and port.
     pub address: String,
     /// Zone.
     pub zone: ZoneName,
 }
 
-/// The engines that serve one model.
+/// Pool of engines that serve one model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelPool {
     /// Name of the model.
     pub name: ModelName,
-    /// Version to serve.
+    /// Version of the model to serve.
     pub version: String,
-    /// Price of one token in millionths of the currency unit.
+    /// Cost of a token, in millionths of the operator's currency unit.
     #[serde(default)]
     pub cost_per_token_micros: u64,
-    /// Ceiling of generated tokens of calls that state none.
+    /// Default limit on the generated tokens of a call.
     #[serde(default = "default_max_output_tokens")]
     pub max_output_tokens: u64,
-    /// Replicas that a rollout must leave serving.
+    /// Minimum number of replicas that must keep serving during a rollout.
     #[serde(default)]
     pub minimum_serving: u32,
-    /// The replicas.
+    /// Replicas.
     pub replicas: Vec<Replica>,
 }
 
-/// A fine-tuned adapter of a model.
+/// Fine-tuned adapter of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
     /// Name.
     pub name: String,
-    /// The model it belongs to.
+    /// Model that the adapter belongs to.
     pub model: ModelName,
-    /// Version to serve.
+    /// Version of the model to serve.
     pub version: String,
 }
 
-/// What a priority means for queues.
+/// Queueing parameters of a priority.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PriorityLevel {
-    /// The priority.
+    /// Priority.
     pub name: Priority,
-    /// After waiting this long a call counts as one priority higher, in milliseconds.
+    /// Waiting time after which a call counts as one priority higher, in milliseconds.
     pub aging_ms: u64,
 }
 
-/// A named budget that caps programs of the classes that refer to it.
+/// Named budget that limits the programs of the classes that refer to it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BudgetPolicy {
     /// Name.
     pub name: String,
-    /// The ceilings.
+    /// Limits.
     pub budget: Budget,
 }
 
-/// A plain service, reached by HTTP lookups.
+/// Plain service, which callers reach with HTTP lookups.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
     /// Name.
     pub name: ServiceName,
-    /// The replicas.
+    /// Replicas.
     pub replicas: Vec<Replica>,
 }
 
-/// Weight of tenants that state none.
+/// Default weight of a tenant.
 const DEFAULT_WEIGHT: u32 = 1;
 
-/// Longest pause of programs whose class states none: fifteen minutes.
+/// Default idle timeout of programs: 15 minutes.
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 900_000;
 
-/// Calls that may wait at one daemon when the class states nothing.
+/// Default maximum number of calls of a class that wait at one daemon.
 const DEFAULT_MAX_QUEUED_CALLS: u32 = 512;
 
-/// Ceiling of generated tokens when the pool states none.
+/// Default limit on the generated tokens of a call.
 const DEFAULT_MAX_OUTPUT_TOKENS: u64 = 4_096;
 
 const fn default_weight() -> u32 {
@@ -148,7 +148,7 @@
 
 macro_rules! resource_kinds {
     ($($(#[$doc:meta])* $kind:ident($type:ty) => $text:literal, |$resource:ident| $name:expr;)*) => {
-        /// The kind of a resource.
+        /// Kind of a resource.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum ResourceKind {
@@ -156,17 +156,17 @@
         }
 
         impl ResourceKind {
-            /// Every kind.
+            /// All kinds.
             pub const ALL: &'static [ResourceKind] = &[$(Self::$kind,)*];
 
-            /// The kind as operators write it.
+            /// Returns the name of the kind, as operators write it.
             #[must_use]
             pub const fn as_str(self) -> &'static str {
                 match self { $(Self::$kind => $text,)* }
             }
         }
 
-        /// One resource.
+        /// Resource of any kind.
         #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum Resource {
@@ -174,7 +174,7 @@
         }
 
         impl Resource {
-            /// The key under which the resource is kept.
+            /// Returns the key of the resource.
             #[must_use]
             pub fn key(&self) -> ResourceKey {
                 match self {
@@ -211,7 +211,7 @@
     }
 }
 
-/// Names a resource.
+/// Key of a resource.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ResourceKey {
     /// Kind.
--- a/crates/resources/src/store.rs
+++ b/crates/resources/src/store.rs
@@ -1,4 +1,4 @@
-//! The state machine of the configuration group.
+//! State machine of the configuration group.
 
 use crate::change::{Change, ChangeAnswer, Delta, Expected};
 use crate::resource::{Resource, ResourceKey};
@@ -7,24 +7,25 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Deltas that are kept for catching up; whoever is further behind gets a snapshot.
-const RETAINED_DELTAS: usize = 256;
+/// Number of deltas kept for readers. A reader that is further behind gets a snapshot.
+const MAX_RETAINED_DELTAS: usize = 256;
 
-/// Answers that are kept for changes sent again: eight days at 480 changes a day.
-const RETAINED_ANSWERS: usize = 4_096;
+/// Number of responses kept for changes that are sent again: those of eight days at 480 changes per
+/// day.
+const MAX_RETAINED_RESPONSES: usize = 4_096;
 
-/// What a reader that knows some revision needs to reach the current one.
+/// Update that takes a reader from its revision to the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatchUp {
-    /// It is current.
+    /// The reader has the current revision.
     Current,
-    /// The changes it lacks, in order.
+    /// The missing deltas, in order.
     Deltas(Vec<Delta>),
-    /// Everything, because the changes it lacks are no longer kept one by one.
+    /// The whole configuration, because the missing deltas are no longer retained.
     Snapshot {
-        /// The current revision.
+        /// Current revision.
         revision: Revision,
-        /// Every resource.
+        /// All resources.
         resources: Vec<Resource>,
     },
 }
@@ -32,59 +33,60 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct AnsweredChange {
     change: Change,
-    answer: ChangeAnswer,
+    response: ChangeAnswer,
 }
 
-/// All resources and the recent history of changes.
+/// All resources and the recent changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResourceStore {
     revision: Revision,
     resources: BTreeMap<ResourceKey, Resource>,
     deltas: VecDeque<Delta>,
-    answers: BTreeMap<ChangeId, AnsweredChange>,
-    answer_order: VecDeque<ChangeId>,
+    answered: BTreeMap<ChangeId, AnsweredChange>,
+    answered_order: VecDeque<ChangeId>,
 }
 
 impl ResourceStore {
-    /// The current revision.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Every resource.
+    /// Returns all resources.
     #[must_use]
     pub fn resources(&self) -> &BTreeMap<ResourceKey, Resource> {
         &self.resources
     }
 
-    /// Applies a change, or says why not. A change id that was answered before gets the same
-    /// answer again, whatever has happened since.
+    /// Applies a change, or returns the reason for rejecting it. A change that is sent again gets the
+    /// first response, also if the state has changed since.
     pub fn apply(&mut self, change: &Change) -> ChangeAnswer {
-        if let Some(answered) = self.answers.get(&change.change_id) {
+        if let Some(answered) = self.answered.get(&change.change_id) {
             return if answered.change == *change {
-                answered.answer.clone()
+                answered.response.clone()
             } else {
                 ChangeAnswer::ChangeIdReused
             };
         }
-        let answer = self.decide(change);
+        let answer = self.validate(change);
         if let ChangeAnswer::Accepted { revision } = answer {
             self.commit(change, revision);
         }
-        self.remember(change, &answer);
+        self.record_response(change, &answer);
         answer
     }
 
-    /// What a reader at `known` needs.
+    /// Returns the update for a reader that has the revision `known`.
     #[must_use]
     pub fn catch_up(&self, known: Revision) -> CatchUp {
         if known == self.revision {
             return CatchUp::Current;
         }
         let oldest = self.deltas.front().map(|delta| delta.revision);
-        let kept = known < self.revision && oldest.is_some_and(|oldest| oldest <= known.next());
-        if kept {
+        let has_deltas =
+            known < self.revision && oldest.is_some_and(|oldest| oldest <= known.next());
+        if has_deltas {
             let missing = self.deltas.iter().filter(|delta| delta.revision > known);
             return CatchUp::Deltas(missing.cloned().collect());
         }
@@ -94,7 +96,7 @@
         }
     }
 
-    fn decide(&self, change: &Change) -> ChangeAnswer {
+    fn validate(&self, change: &Change) -> ChangeAnswer {
         if let Expected::Exactly(expected) = change.expected
             && expected != self.revision
         {
@@ -121,24 +123,24 @@
             revision,
             operations: change.operations.clone(),
         });
-        if self.deltas.len() > RETAINED_DELTAS {
+        if self.deltas.len() > MAX_RETAINED_DELTAS {
             self.deltas.pop_front();
         }
     }
 
-    fn remember(&mut self, change: &Change, answer: &ChangeAnswer) {
-        self.answers.insert(
+    fn record_response(&mut self, change: &Change, answer: &ChangeAnswer) {
+        self.answered.insert(
             change.change_id.clone(),
             AnsweredChange {
                 change: change.clone(),
-                answer: answer.clone(),
+                response: answer.clone(),
             },
         );
-        self.answer_order.push_back(change.change_id.clone());
-        if self.answer_order.len() > RETAINED_ANSWERS
-            && let Some(oldest) = self.answer_order.pop_front()
+        self.answered_order.push_back(change.change_id.clone());
+        if self.answered_order.len() > MAX_RETAINED_RESPONSES
+            && let Some(oldest) = self.answered_order.pop_front()
         {
-            self.answers.remove(&oldest);
+            self.answered.remove(&oldest);
         }
     }
 }
--- a/crates/resources/src/validate.rs
+++ b/crates/resources/src/validate.rs
@@ -1,4 +1,4 @@
-//! The rules that resources must keep.
+//! Validation of changes.
 
 use crate::change::{Change, Operation};
 use crate::errors::Violation;
@@ -15,7 +15,7 @@
 const MAX_REPLICAS: usize = 4_096;
 const MAX_TEXT_BYTES: usize = 200;
 
-/// Checks a change against the resources it would apply to. Returns every rule it breaks.
+/// Validates a change against the current resources and returns all violations.
 #[must_use]
 pub fn validate_change(
     current: &BTreeMap<ResourceKey, Resource>,
@@ -116,11 +116,13 @@
     }
 
     fn check_name(&mut self, key: &ResourceKey) {
-        let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+        let is_allowed =
+            |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
         let name = &key.name;
-        let valid = !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(allowed);
+        let is_valid =
+            !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(is_allowed);
         self.require(
-            valid,
+            is_valid,
             format!("{}.name", key.kind),
             name,
             format!("1 to {MAX_NAME_BYTES} letters, digits, `-`, `_` or `.`"),
--- a/crates/resources/src/view.rs
+++ b/crates/resources/src/view.rs
@@ -1,4 +1,4 @@
-//! The configuration as a daemon holds it.
+//! Copy of the configuration in a daemon.
 
 use crate::change::Delta;
 use crate::resource::{
@@ -10,7 +10,7 @@
 use luglink_types::{Budget, ModelName, Priority, Revision, ServiceName};
 use std::collections::BTreeMap;
 
-/// A copy of the configuration that only moves forward.
+/// Copy of the configuration whose revision never decreases.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConfigurationView {
     revision: Revision,
@@ -18,33 +18,33 @@
 }
 
 impl ConfigurationView {
-    /// The revision of this copy.
+    /// Returns the revision of this copy.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Number of resources.
+    /// Returns the number of resources.
     #[must_use]
     pub fn len(&self) -> usize {
         self.resources.len()
     }
 
-    /// Whether there are no resources.
+    /// Returns true if there are no resources.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.resources.is_empty()
     }
 
-    /// Moves forward by what a control member sent. Whatever would move back is ignored, so
-    /// that a late answer never reverts a revision. Returns whether anything changed.
+    /// Applies an update from a control member. Updates to earlier revisions are ignored, so that a
+    /// delayed response does not revert the copy. Returns true if the copy changed.
     pub fn advance(&mut self, catch_up: CatchUp) -> bool {
         match catch_up {
             CatchUp::Current => false,
             CatchUp::Deltas(deltas) => {
                 let before = self.revision;
                 for delta in deltas {
-                    self.advance_by(&delta);
+                    self.apply_delta(&delta);
                 }
                 self.revision > before
             }
@@ -65,7 +65,7 @@
         }
     }
 
-    fn advance_by(&mut self, delta: &Delta) {
+    fn apply_delta(&mut self, delta: &Delta) {
         if delta.revision != self.revision.next() {
             return;
         }
@@ -75,7 +75,7 @@
         self.revision = delta.revision;
     }
 
-    /// Every resource.
+    /// Returns all resources.
     pub fn resources(&self) -> impl Iterator<Item = &Resource> {
         self.resources.values()
     }
@@ -87,7 +87,7 @@
         })
     }
 
-    /// A tenant by name.
+    /// Returns the tenant with this name.
     #[must_use]
     pub fn tenant(&self, name: &str) -> Option<&Tenant> {
         match self.get(ResourceKind::Tenant, name)? {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A program class by name.
+    /// Returns the program class with this name.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<&ProgramClass> {
         match self.get(ResourceKind::Class, name)? {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// A model pool by the model's name.
+    /// Returns the pool that serves this model.
     #[must_use]
     pub fn pool(&self, model: &ModelName) -> Option<&ModelPool> {
         match self.get(ResourceKind::ModelPool, model.as_str())? {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// An adapter by name.
+    /// Returns the adapter with this name.
     #[must_use]
     pub fn adapter(&self, name: &str) -> Option<&Adapter> {
         match self.get(ResourceKind::Adapter, name)? {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A service by name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         match self.get(ResourceKind::Service, name.as_str())? {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// What a priority means, when operators have said so.
+    /// Returns the parameters of a priority, if operators have set them.
     #[must_use]
     pub fn priority(&self, priority: Priority) -> Option<&PriorityLevel> {
         let name = crate::resource::priority_name(priority);
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The ceiling of programs of a class: that of the budget the class names, or none.
+    /// Returns the budget of the programs of a class. It is unlimited if the class names none.
     #[must_use]
     pub fn class_ceiling(&self, class: &str) -> Budget {
         self.class(class)
--- a/crates/resources/tests/properties.rs
+++ b/crates/resources/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Whatever operators do: revisions are one order, answers are stable, and every reader arrives.
+//! Properties under random changes: revisions are totally ordered, responses are stable, and every
+//! reader reaches the current revision.
 
 use luglink_resources::{
     BudgetPolicy, CatchUp, Change, ChangeAnswer, ConfigurationView, Expected, Operation,
@@ -66,48 +67,48 @@
     })]
 
     #[test]
-    fn every_reader_arrives_and_never_goes_back(
+    fn readers_reach_the_current_revision_and_never_go_back(
         changes in proptest::collection::vec(change(), 1..60),
-        looks in proptest::collection::vec(any::<bool>(), 60),
+        updates in proptest::collection::vec(any::<bool>(), 60),
     ) {
         let mut store = ResourceStore::default();
-        let mut often = ConfigurationView::default();
-        let mut late_answers: Vec<CatchUp> = Vec::new();
-        for (change, look) in changes.iter().zip(looks) {
+        let mut updated_often = ConfigurationView::default();
+        let mut late_responses: Vec<CatchUp> = Vec::new();
+        for (change, is_update) in changes.iter().zip(updates) {
             let before = store.revision();
             let answer = store.apply(change);
-            prop_assert_eq!(&store.apply(change), &answer, "a resent change is answered the same");
+            prop_assert_eq!(&store.apply(change), &answer, "a change that is sent again gets the same response");
             match answer {
                 ChangeAnswer::Accepted { revision } if store.revision() > before => {
                     prop_assert_eq!(revision, before.next());
-                    let own = match change.expected {
+                    let matches_revision = match change.expected {
                         Expected::Exactly(expected) => expected == before,
                         Expected::Current => true,
                     };
-                    prop_assert!(own, "a stale change was accepted");
+                    prop_assert!(matches_revision, "a stale change was accepted");
                 }
                 _ => prop_assert_eq!(store.revision(), before),
             }
-            if look {
-                let catch_up = store.catch_up(often.revision());
-                late_answers.push(catch_up.clone());
-                often.advance(catch_up);
+            if is_update {
+                let catch_up = store.catch_up(updated_often.revision());
+                late_responses.push(catch_up.clone());
+                updated_often.advance(catch_up);
             }
         }
-        let mut never = ConfigurationView::default();
-        for view in [&mut often, &mut never] {
+        let mut updated_once = ConfigurationView::default();
+        for view in [&mut updated_often, &mut updated_once] {
             view.advance(store.catch_up(view.revision()));
             prop_assert_eq!(view.revision(), store.revision());
-            let own: Vec<&Resource> = view.resources().collect();
+            let actual: Vec<&Resource> = view.resources().collect();
             let expected: Vec<&Resource> = store.resources().values().collect();
-            prop_assert_eq!(own, expected);
+            prop_assert_eq!(actual, expected);
         }
-        for late in late_answers {
-            prop_assert!(!often.advance(late), "a late answer moved the view");
+        for late in late_responses {
+            prop_assert!(!updated_often.advance(late), "a delayed response changed the view");
         }
     }
 
-    /// No accepted change leaves a reference to something that is not there.
+    /// After every change, all references point to existing resources.
     #[test]
     fn references_always_hold(changes in proptest::collection::vec(change(), 1..60)) {
         let mut store = ResourceStore::default();
@@ -122,7 +123,7 @@
     }
 }
 
-/// A reader that is hundreds of revisions behind gets a snapshot, and the next one deltas.
+/// A reader that is 400 revisions behind gets a snapshot, one that is 50 behind gets deltas.
 #[test]
 fn a_reader_hundreds_behind_gets_a_snapshot() {
     let mut store = ResourceStore::default();
@@ -145,9 +146,9 @@
         assert_eq!(store.apply(&change), accepted);
     }
     let mut view = ConfigurationView::default();
-    let far = store.catch_up(view.revision());
-    assert!(matches!(far, CatchUp::Snapshot { .. }));
-    assert!(view.advance(far));
+    let update = store.catch_up(view.revision());
+    assert!(matches!(update, CatchUp::Snapshot { .. }));
+    assert!(view.advance(update));
     assert_eq!(view.revision(), Revision(400));
     assert!(matches!(store.catch_up(Revision(350)), CatchUp::Deltas(deltas) if deltas.len() == 50));
 }
