--- a/crates/admin-api/src/client.rs
+++ b/crates/admin-api/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the administration API that finds the member that leads.
+//! Client of the administration API that finds the leader.
 
 use crate::v1;
 use crate::v1::admin_client::AdminClient as GeneratedClient;
@@ -8,40 +8,40 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic::{Code, Status};
 
-/// Time to reach a member.
+/// Timeout for connecting to a member.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time a member has to answer.
+/// Timeout for the response of a member.
 const CALL_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Pause before the members are asked again when none leads.
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before the members are tried again if none of them leads.
+const ROUND_DELAY: Duration = Duration::from_millis(200);
 
-/// Rounds over all members before a request is given up.
-const ROUNDS: usize = 40;
+/// Number of rounds over all members before a request fails.
+const MAX_ROUNDS: usize = 40;
 
-/// A request that no member answered.
+/// Error of a request to the control members.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum ClientError {
-    /// No address was given.
-    #[snafu(display("no address of a control member was given"))]
+    /// The client has no addresses.
+    #[snafu(display("no address of a control member is configured"))]
     NoAddress,
-    /// A member refused the request for good.
+    /// A member rejected the request, and another member would reject it too.
     #[snafu(display("{}: {}", status.code(), status.message()))]
     Refused {
-        /// Its answer.
+        /// Status that the member returned.
         status: Box<Status>,
     },
-    /// No member could answer.
-    #[snafu(display("no control member answered; the last one said: {last}"))]
+    /// No member processed the request.
+    #[snafu(display("no control member processed the request, last error: {last_error}"))]
     Unreachable {
-        /// What went wrong last.
-        last: String,
+        /// Error of the last attempt.
+        last_error: String,
     },
 }
 
-/// Asks the members one after the other until one answers.
+/// Client that sends a request to one member after the other until one processes it.
 #[derive(Clone, Debug)]
 pub struct AdminClient {
     addresses: Vec<SocketAddr>,
@@ -52,37 +52,37 @@
         $(#[$doc])*
         ///
         /// # Errors
-        /// The request was refused, or no member that leads could be found.
+        /// Returns an error if a member rejected the request, or if no leader was found.
         pub async fn $name(&self, request: $request) -> Result<$response, ClientError> {
-            let mut last = "nothing".to_owned();
-            for _ in 0..ROUNDS {
+            let mut last_error = "no attempt was made".to_owned();
+            for _ in 0..MAX_ROUNDS {
                 for address in &self.addresses {
-                    let answered = match connect(*address).await {
+                    let result = match connect(*address).await {
                         Ok(mut client) => client.$name(request.clone()).await,
                         Err(status) => Err(status),
                     };
-                    match answered {
+                    match result {
                         Ok(response) => return Ok(response.into_inner()),
-                        Err(status) if another_may_answer(&status) => {
-                            last = status.message().to_owned();
+                        Err(status) if may_succeed_elsewhere(&status) => {
+                            last_error = status.message().to_owned();
                         }
                         Err(status) => {
                             return RefusedSnafu { status: Box::new(status) }.fail();
                         }
                     }
                 }
-                tokio::time::sleep(ROUND_PAUSE).await;
+                tokio::time::sleep(ROUND_DELAY).await;
             }
-            UnreachableSnafu { last }.fail()
+            UnreachableSnafu { last_error }.fail()
         }
     };
 }
 
 impl AdminClient {
-    /// A client of the members at these addresses.
+    /// Creates a client of the members at these addresses.
     ///
     /// # Errors
-    /// There are none.
+    /// Returns an error if `addresses` is empty.
     pub fn new(addresses: Vec<SocketAddr>) -> Result<Self, ClientError> {
         if addresses.is_empty() {
             return NoAddressSnafu.fail();
@@ -91,7 +91,7 @@
     }
 
     leader_call! {
-        /// Applies a change. Safe to repeat under the same change id.
+        /// Applies a change. A change may be sent again with the same change id.
         apply(v1::ApplyRequest) -> v1::ApplyResponse
     }
 
@@ -105,52 +105,52 @@
         change_membership(v1::ChangeMembershipRequest) -> v1::ChangeMembershipResponse
     }
 
-    /// Streams the configuration from the first member that answers.
+    /// Streams the configuration from the first reachable member.
     ///
     /// # Errors
-    /// No member answered.
+    /// Returns an error if no member accepted the request.
     pub async fn watch(
         &self,
         request: v1::WatchRequest,
     ) -> Result<tonic::Streaming<v1::WatchResponse>, ClientError> {
-        let mut last = "nothing".to_owned();
+        let mut last_error = "no attempt was made".to_owned();
         for address in &self.addresses {
-            let answered = match connect_for_stream(*address).await {
+            let result = match connect_for_stream(*address).await {
                 Ok(mut client) => client.watch(request).await,
                 Err(status) => Err(status),
             };
-            match answered {
+            match result {
                 Ok(stream) => return Ok(stream.into_inner()),
-                Err(status) => last = status.message().to_owned(),
+                Err(status) => last_error = status.message().to_owned(),
             }
         }
-        UnreachableSnafu { last }.fail()
+        UnreachableSnafu { last_error }.fail()
     }
 
-    /// Asks every member how it is.
+    /// Requests the status of all members.
     pub async fn status(&self) -> Vec<(SocketAddr, Result<v1::StatusResponse, Status>)> {
         let mut statuses = Vec::new();
         for address in &self.addresses {
-            let answered = match connect(*address).await {
+            let result = match connect(*address).await {
                 Ok(mut client) => client.status(v1::StatusRequest {}).await,
                 Err(status) => Err(status),
             };
-            statuses.push((*address, answered.map(tonic::Response::into_inner)));
+            statuses.push((*address, result.map(tonic::Response::into_inner)));
         }
         statuses
     }
 
-    /// Tells the first member of this client to hand over everything it leads.
+    /// Makes the first member of this client transfer the leadership of all groups that it leads.
     ///
     /// # Errors
-    /// It did not answer.
+    /// Returns an error if the member is unreachable or rejects the request.
     pub async fn drain(&self) -> Result<(), ClientError> {
         let address = self.addresses[0];
-        let drained = match connect(address).await {
+        let result = match connect(address).await {
             Ok(mut client) => client.drain(v1::DrainRequest {}).await,
             Err(status) => Err(status),
         };
-        match drained {
+        match result {
             Ok(_) => Ok(()),
             Err(status) => RefusedSnafu {
                 status: Box::new(status),
@@ -160,7 +160,7 @@
     }
 }
 
-fn another_may_answer(status: &Status) -> bool {
+fn may_succeed_elsewhere(status: &Status) -> bool {
     matches!(
         status.code(),
         Code::FailedPrecondition | Code::Unavailable | Code::DeadlineExceeded
--- a/crates/admin-api/src/convert.rs
+++ b/crates/admin-api/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between the API's messages and the resources.
+//! Conversions between messages of the API and resources.
 
 use crate::errors::{ApiError, ApiSnafu};
 use crate::v1;
@@ -12,10 +12,10 @@
 };
 use snafu::OptionExt;
 
-/// The change that a request asks for.
+/// Converts a request to a change.
 ///
 /// # Errors
-/// A part that must be there is missing.
+/// Returns an error if a required field is missing or a value is unknown.
 pub fn change_from_proto(request: v1::ApplyRequest) -> Result<Change, ApiError> {
     let operations: Result<Vec<Operation>, ApiError> = request
         .operations
@@ -34,7 +34,7 @@
     })
 }
 
-/// The response that carries an answer.
+/// Converts the response to a change to a message.
 #[must_use]
 pub fn answer_to_proto(answer: ChangeAnswer) -> v1::ApplyResponse {
     use v1::apply_response::Answer;
@@ -58,15 +58,15 @@
     }
 }
 
-/// One operation.
+/// Converts a message to an operation.
 ///
 /// # Errors
-/// It is empty.
+/// Returns an error if the message is empty or contains an invalid resource or key.
 pub fn operation_from_proto(operation: v1::Operation) -> Result<Operation, ApiError> {
-    use v1::operation::Operation as Step;
+    use v1::operation::Operation as OperationMessage;
     match operation.operation {
-        Some(Step::Set(resource)) => resource_from_proto(resource).map(Operation::Set),
-        Some(Step::Delete(key)) => key_from_proto(&key).map(Operation::Delete),
+        Some(OperationMessage::Set(resource)) => resource_from_proto(resource).map(Operation::Set),
+        Some(OperationMessage::Delete(key)) => key_from_proto(&key).map(Operation::Delete),
         None => ApiSnafu {
             field: "operation",
             rule: "must be set or delete",
@@ -75,26 +75,26 @@
     }
 }
 
-/// One operation as a message.
+/// Converts an operation to a message.
 #[must_use]
 pub fn operation_to_proto(operation: &Operation) -> v1::Operation {
-    use v1::operation::Operation as Step;
-    let step = match operation {
-        Operation::Set(resource) => Step::Set(resource_to_proto(resource)),
-        Operation::Delete(key) => Step::Delete(v1::ResourceKey {
+    use v1::operation::Operation as OperationMessage;
+    let message = match operation {
+        Operation::Set(resource) => OperationMessage::Set(resource_to_proto(resource)),
+        Operation::Delete(key) => OperationMessage::Delete(v1::ResourceKey {
             kind: kind_to_proto(key.kind).into(),
             name: key.name.clone(),
         }),
     };
     v1::Operation {
-        operation: Some(step),
+        operation: Some(message),
     }
 }
 
-/// The key of a resource.
+/// Converts a message to a key of a resource.
 ///
 /// # Errors
-/// The kind is not known.
+/// Returns an error if the kind is unknown.
 pub fn key_from_proto(key: &v1::ResourceKey) -> Result<ResourceKey, ApiError> {
     let kind = kind_from_proto(key.kind()).context(ApiSnafu {
         field: "kind",
@@ -106,7 +106,7 @@
     })
 }
 
-/// The kind of resource that a message names; `None` when it names none.
+/// Converts the kind of a resource; `None` if it is unspecified.
 #[must_use]
 pub fn kind_from_proto(kind: v1::ResourceKind) -> Option<ResourceKind> {
     match kind {
@@ -133,10 +133,10 @@
     }
 }
 
-/// One resource.
+/// Converts a message to a resource.
 ///
 /// # Errors
-/// It is empty, or a priority is not known.
+/// Returns an error if the message is empty or a priority is unknown.
 pub fn resource_from_proto(resource: v1::Resource) -> Result<Resource, ApiError> {
     use v1::resource::Resource as Message;
     let resource = resource.resource.context(ApiSnafu {
@@ -191,7 +191,7 @@
     })
 }
 
-/// One resource as a message.
+/// Converts a resource to a message.
 #[must_use]
 pub fn resource_to_proto(resource: &Resource) -> v1::Resource {
     use v1::resource::Resource as Message;
@@ -238,33 +238,33 @@
 }
 
 fn budget_to_proto(policy: &BudgetPolicy) -> v1::BudgetPolicy {
-    let limited = |value: u64| (value != UNLIMITED).then_some(value);
+    let limit = |value: u64| (value != UNLIMITED).then_some(value);
     v1::BudgetPolicy {
         name: policy.name.clone(),
-        calls: limited(policy.budget.calls),
-        tokens: limited(policy.budget.tokens),
-        cost_micros: limited(policy.budget.cost_micros),
-        retries: limited(policy.budget.retries),
-        deadline_ms: limited(policy.budget.deadline_ms),
+        calls: limit(policy.budget.calls),
+        tokens: limit(policy.budget.tokens),
+        cost_micros: limit(policy.budget.cost_micros),
+        retries: limit(policy.budget.retries),
+        deadline_ms: limit(policy.budget.deadline_ms),
     }
 }
 
 fn replicas_from_proto(replicas: Vec<v1::Replica>) -> Vec<Replica> {
-    let replica = |replica: v1::Replica| Replica {
+    let from_proto = |replica: v1::Replica| Replica {
         engine: EngineId(replica.engine),
         address: replica.address,
         zone: ZoneName(replica.zone),
     };
-    replicas.into_iter().map(replica).collect()
+    replicas.into_iter().map(from_proto).collect()
 }
 
 fn replicas_to_proto(replicas: &[Replica]) -> Vec<v1::Replica> {
-    let replica = |replica: &Replica| v1::Replica {
+    let to_proto = |replica: &Replica| v1::Replica {
         engine: replica.engine.0,
         address: replica.address.clone(),
         zone: replica.zone.0.clone(),
     };
-    replicas.iter().map(replica).collect()
+    replicas.iter().map(to_proto).collect()
 }
 
 fn priority_from_proto(priority: v1::Priority) -> Result<Priority, ApiError> {
--- a/crates/admin-api/src/errors.rs
+++ b/crates/admin-api/src/errors.rs
@@ -1,23 +1,23 @@
-//! Errors of this crate.
+//! Errors of converting messages and reading resource files.
 
 use snafu::Snafu;
 
-/// A message of the API that means nothing.
+/// Invalid message of the API.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(crate)))]
 #[snafu(display("{field}: {rule}"))]
 pub struct ApiError {
-    /// The field.
+    /// Invalid field.
     pub field: &'static str,
-    /// The rule it breaks.
+    /// Rule that the field violates.
     pub rule: &'static str,
 }
 
-/// A resource file that cannot be read.
+/// Error of parsing a resource file.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 #[snafu(display("{source}"))]
 pub struct ResourceFileError {
-    /// Where and why.
+    /// Location and cause.
     pub source: toml_edit::de::Error,
 }
--- a/crates/admin-api/src/lib.rs
+++ b/crates/admin-api/src/lib.rs
@@ -1,5 +1,5 @@
-//! The administration API: code generated from `proto/luglink/admin/v1/admin.proto`,
-//! conversions to and from the resources, and the file format of `luglink ctl apply`.
+//! Administration API: code generated from `proto/luglink/admin/v1/admin.proto`, a client,
+//! conversions to and from resources, and the file format of `luglink ctl apply`.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -16,11 +16,11 @@
 pub use errors::{ApiError, ResourceFileError};
 pub use resource_file::{ResourceFile, parse_resource_file};
 
-/// Code generated from the schema; `cargo run -p xtask -- generate` writes it.
+/// Code that `cargo run -p xtask -- generate` generates from the schema.
 #[allow(missing_docs, clippy::all, clippy::pedantic)]
 pub mod v1 {
     include!("generated/luglink.admin.v1.rs");
 }
 
-/// Metadata key under which a member that does not lead names the one that does.
+/// Metadata key with the identifier of the leader, in responses of members that do not lead.
 pub const LEADER_METADATA: &str = "luglink-leader";
--- a/crates/admin-api/src/resource_file.rs
+++ b/crates/admin-api/src/resource_file.rs
@@ -1,4 +1,4 @@
-//! The file in which operators describe resources: TOML, one table for each.
+//! Resource files of operators: TOML with one table for each resource.
 
 use crate::errors::{ResourceFileError, ResourceFileSnafu};
 use luglink_resources::{
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use snafu::ResultExt;
 
-/// Every resource of a file, in the order in which references need them.
+/// Resources of a file. References point to earlier fields only.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ResourceFile {
@@ -29,7 +29,7 @@
 }
 
 impl ResourceFile {
-    /// The operations that set every resource of the file.
+    /// Returns the operations that set all resources of the file.
     #[must_use]
     pub fn into_operations(self) -> Vec<Operation> {
         let tenants = self.tenant.into_iter().map(Resource::Tenant);
@@ -51,10 +51,10 @@
     }
 }
 
-/// Reads a resource file.
+/// Parses a resource file.
 ///
 /// # Errors
-/// Names the line, the column and the rule; unknown keys are refused.
+/// Returns an error with the line, the column and the cause, also for unknown keys.
 pub fn parse_resource_file(text: &str) -> Result<ResourceFile, ResourceFileError> {
     toml_edit::de::from_str(text).context(ResourceFileSnafu)
 }
--- a/crates/admin-api/tests/conversions.rs
+++ b/crates/admin-api/tests/conversions.rs
@@ -1,4 +1,4 @@
-//! Resources survive the way through the schema, and input that makes no sense is named.
+//! Conversions preserve resources, and errors name the invalid input.
 
 use luglink_admin_api::{
     change_from_proto, operation_from_proto, operation_to_proto, parse_resource_file,
@@ -108,9 +108,9 @@
     })]
 
     #[test]
-    fn resources_come_back_as_they_went(resource in resource()) {
-        let back = resource_from_proto(resource_to_proto(&resource)).unwrap();
-        prop_assert_eq!(&back, &resource);
+    fn conversion_to_messages_and_back_preserves_resources(resource in resource()) {
+        let converted = resource_from_proto(resource_to_proto(&resource)).unwrap();
+        prop_assert_eq!(&converted, &resource);
         let set = Operation::Set(resource.clone());
         prop_assert_eq!(operation_from_proto(operation_to_proto(&set)).unwrap(), set);
         let delete = Operation::Delete(resource.key());
@@ -118,20 +118,20 @@
     }
 
     #[test]
-    fn no_resource_file_makes_it_panic(text in "(\\[\\[[a-z_]{1,12}\\]\\]\n([a-z_]{1,12} = ([0-9]+|\"[a-z]*\"|\\{\\})\n){0,4}){0,4}") {
+    fn parsing_any_resource_file_does_not_panic(text in "(\\[\\[[a-z_]{1,12}\\]\\]\n([a-z_]{1,12} = ([0-9]+|\"[a-z]*\"|\\{\\})\n){0,4}){0,4}") {
         let _ = parse_resource_file(&text);
     }
 }
 
 #[test]
-fn the_example_file_is_accepted_whole() {
+fn the_example_file_is_accepted_completely() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../etc/resources.toml");
     let text = std::fs::read_to_string(path).unwrap();
     let operations = parse_resource_file(&text).unwrap().into_operations();
     let mut kinds: Vec<_> = operations.iter().map(|it| it.key().kind).collect();
     kinds.sort_unstable();
     kinds.dedup();
-    assert_eq!(kinds.len(), 7, "every kind is shown");
+    assert_eq!(kinds.len(), 7, "the file contains all kinds");
     let answer = ResourceStore::default().apply(&Change {
         change_id: ChangeId("example".to_owned()),
         operator: "test".to_owned(),
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_misspelt_key_names_its_line() {
+fn the_error_for_an_unknown_key_names_its_line() {
     let error = parse_resource_file("[[tenant]]\nname = \"a\"\nwheight = 3\n").unwrap_err();
     let text = error.to_string();
     assert!(
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn requests_without_content_are_refused_by_field() {
+fn empty_and_unknown_fields_are_rejected() {
     let empty = v1::Operation { operation: None };
     assert!(operation_from_proto(empty).is_err());
     let nothing = v1::Resource { resource: None };
--- a/crates/engine-api/src/chat.rs
+++ b/crates/engine-api/src/chat.rs
@@ -1,56 +1,56 @@
-//! Chat completions, as published by OpenAI.
+//! Chat completions of the OpenAI API.
 
 use luglink_types::{ChatMessage, Role, TokenUsage};
 use serde::{Deserialize, Serialize};
 
-/// `POST /v1/chat/completions`.
+/// Body of `POST /v1/chat/completions`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Conversation.
+    /// Messages of the conversation.
     pub messages: Vec<ChatMessage>,
-    /// Ceiling of generated tokens.
+    /// Limit on generated tokens.
     #[serde(
         default,
         alias = "max_completion_tokens",
         skip_serializing_if = "Option::is_none"
     )]
     pub max_tokens: Option<u64>,
-    /// Whether the answer comes as server-sent events.
+    /// Requests the response as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Options of a streamed answer.
+    /// Options of a streamed response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stream_options: Option<StreamOptions>,
 }
 
-/// Options of a streamed answer.
+/// Options of a streamed response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamOptions {
-    /// Whether the last event carries the usage.
+    /// Requests the token usage in the last event.
     #[serde(default)]
     pub include_usage: bool,
 }
 
-/// Tokens used.
+/// Token usage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Prompt.
+    /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Generated.
+    /// Generated tokens.
     pub completion_tokens: u64,
-    /// Sum.
+    /// Sum of prompt and generated tokens.
     pub total_tokens: u64,
-    /// Parts of the prompt.
+    /// Details of the prompt tokens.
     #[serde(default)]
     pub prompt_tokens_details: PromptTokensDetails,
 }
 
-/// Parts of the prompt.
+/// Details of the prompt tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptTokensDetails {
-    /// Found in the prefix cache.
+    /// Tokens that were found in the prefix cache.
     #[serde(default)]
     pub cached_tokens: u64,
 }
@@ -78,23 +78,23 @@
     }
 }
 
-/// A whole answer.
+/// Complete response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatCompletion {
-    /// Identifier.
+    /// Identifier of the completion.
     pub id: String,
     /// Always `chat.completion`.
     pub object: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// The one answer.
+    /// Choices; always one.
     pub choices: Vec<ChatChoice>,
-    /// Tokens used.
+    /// Token usage.
     pub usage: Usage,
 }
 
 impl ChatCompletion {
-    /// A completion with one answer.
+    /// Creates a completion with one choice.
     #[must_use]
     pub fn new(id: String, model: String, content: String, usage: TokenUsage) -> Self {
         Self {
@@ -114,47 +114,47 @@
     }
 }
 
-/// One answer.
+/// Choice of a completion.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatChoice {
     /// Always 0.
     pub index: u32,
-    /// The answer.
+    /// Generated message.
     pub message: ChatMessage,
-    /// Why it ends.
+    /// Reason for the end of the message.
     pub finish_reason: String,
 }
 
-/// One event of a streamed answer.
+/// Event of a streamed response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatChunk {
-    /// Identifier.
+    /// Identifier of the completion.
     pub id: String,
     /// Always `chat.completion.chunk`.
     pub object: String,
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// The parts; empty in the event that carries the usage.
+    /// Choices; empty in the event with the token usage.
     pub choices: Vec<ChatChunkChoice>,
-    /// Tokens used, in the last event.
+    /// Token usage, in the last event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
 impl ChatChunk {
-    /// An event with more text.
+    /// Creates an event with more text.
     #[must_use]
     pub fn part(id: &str, model: &str, content: String) -> Self {
         Self::with_choice(id, model, Some(content), None)
     }
 
-    /// The event that ends the text.
+    /// Creates the event that ends the text.
     #[must_use]
     pub fn stop(id: &str, model: &str) -> Self {
         Self::with_choice(id, model, None, Some("stop".to_owned()))
     }
 
-    /// The event that carries the usage.
+    /// Creates the event with the token usage.
     #[must_use]
     pub fn usage(id: &str, model: &str, usage: TokenUsage) -> Self {
         Self {
@@ -184,21 +184,21 @@
     }
 }
 
-/// Part of an answer.
+/// Choice of an event of a streamed response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatChunkChoice {
     /// Always 0.
     pub index: u32,
-    /// The part.
+    /// Part of the generated message.
     pub delta: ChatDelta,
-    /// Why the answer ends, in its last event.
+    /// Reason for the end of the message, in its last event.
     pub finish_reason: Option<String>,
 }
 
-/// More text.
+/// Part of a generated message.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChatDelta {
-    /// The text.
+    /// Text of the part.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
 }
--- a/crates/engine-api/src/events.rs
+++ b/crates/engine-api/src/events.rs
@@ -1,35 +1,35 @@
-//! What an engine publishes of itself.
+//! Cache events and load reports of engines.
 
 use serde::{Deserialize, Serialize};
 
-/// `GET /events?after=N`: what happened after event `N`, and the load now.
+/// Response to `GET /events?after=N`: the cache events after event `N`, and the current load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineEvents {
-    /// Distinguishes the engine's processes: a new one starts with an empty cache.
+    /// Number that distinguishes the processes of an engine. A new process starts with an empty cache.
     pub incarnation: u64,
-    /// First event that is included; later than `after + 1` when events were lost.
+    /// First included event. It is later than `after + 1` if events were lost.
     pub first: u64,
-    /// Last event that is included.
+    /// Last included event.
     pub last: u64,
-    /// Blocks stored in these events.
+    /// Blocks that these events stored.
     pub stored: Vec<u64>,
-    /// Blocks given up in these events.
+    /// Blocks that these events evicted.
     pub removed: Vec<u64>,
-    /// The load.
+    /// Current load.
     pub load: EngineLoad,
 }
 
-/// An engine's load.
+/// Load of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// Sequences in the running batch.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Prompt tokens that are still to be computed.
+    /// Prompt tokens that have not been computed yet.
     pub prefill_tokens: u64,
-    /// Cache blocks that hold nothing of use.
+    /// Free cache blocks.
     pub free_blocks: u64,
-    /// Whether the engine takes no new work.
+    /// True if the engine accepts no new requests.
     pub draining: bool,
 }
--- a/crates/engine-api/src/lib.rs
+++ b/crates/engine-api/src/lib.rs
@@ -1,7 +1,7 @@
-//! The protocols of model engines and callers: OpenAI-compatible chat completions, and what
-//! engines publish beside them (cache events, load reports, fenced orders).
+//! Protocols of model engines and callers: OpenAI-compatible chat completions, cache events, load
+//! reports and fenced orders.
 //!
-//! Plain serde types, shared by the daemon and the lab's stand-ins.
+//! These are plain serde types, which the daemon and the simulated engines of the lab share.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/engine-api/src/orders.rs
+++ b/crates/engine-api/src/orders.rs
@@ -1,80 +1,81 @@
-//! Orders to engines. An engine refuses an order whose fence is lower than the highest it has
-//! seen on the same subject, so that a leader that was superseded cannot undo its successor.
+//! Orders to engines. An engine rejects an order whose fence is lower than the highest one that it has
+//! received from the same source, so that a superseded leader cannot revert the orders of its
+//! successor.
 
 use serde::{Deserialize, Serialize};
 
-/// Compared as a pair, the epoch first.
+/// Fencing token of an order. Fences are compared by epoch first, then by sequence.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct OrderFence {
-    /// Term of the leader that gave the order.
+    /// Term of the leader that sent the order.
     pub epoch: u64,
     /// Number of the order within the term.
     pub sequence: u64,
 }
 
-/// `POST /orders`.
+/// Body of `POST /orders`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
-    /// The fence.
+    /// Fencing token.
     pub fence: OrderFence,
-    /// Who orders; fences of one source are compared with each other.
+    /// Sender of the order. Only fences of the same source are compared.
     pub source: String,
-    /// What to do.
+    /// Action.
     #[serde(flatten)]
     pub order: OrderKind,
 }
 
-/// What to do.
+/// Action of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Give up every block that only this program uses.
+    /// Releases all cache blocks that only this program uses.
     ReleaseProgram {
-        /// The program.
+        /// Program.
         program: String,
     },
-    /// Load a version of the model.
+    /// Loads a version of the model.
     LoadModel {
-        /// The version.
+        /// Version of the model.
         version: String,
     },
-    /// Load an adapter.
+    /// Loads an adapter.
     LoadAdapter {
-        /// Its name.
+        /// Name of the adapter.
         adapter: String,
-        /// Its version.
+        /// Version of the adapter.
         version: String,
     },
-    /// Change what the engine is used for.
+    /// Changes the role of the engine.
     ChangeRole {
         /// `prefill`, `decode` or `mixed`.
         role: String,
     },
-    /// Take no new work, or take it again.
+    /// Stops or resumes the acceptance of new requests.
     Drain {
-        /// Which of the two.
+        /// True to stop, false to resume.
         draining: bool,
     },
 }
 
-/// The answer to an order.
+/// Response to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "snake_case")]
 pub enum OrderAnswer {
-    /// It is carried out.
+    /// The order is complete.
     Done,
-    /// It is being carried out; ask again.
+    /// The order is in progress. The sender repeats it to learn when it is complete.
     Pending,
-    /// A higher fence was seen.
+    /// The engine has received a higher fence.
     Fenced {
-        /// The highest fence seen.
+        /// Highest received fence.
         highest: OrderFence,
     },
-    /// The engine cannot do that.
+    /// The engine cannot execute the order.
     Invalid {
-        /// Why.
+        /// Reason.
         reason: String,
     },
 }
--- a/crates/engine-api/src/problem.rs
+++ b/crates/engine-api/src/problem.rs
@@ -1,25 +1,25 @@
-//! Errors on the wire: RFC 9457 problems for callers, OpenAI-style errors from engines.
+//! Wire formats of errors: RFC 9457 problem details for callers, OpenAI-style errors from engines.
 
 use luglink_types::{Executed, Refusal};
 use serde::{Deserialize, Serialize};
 
-/// A refusal as `application/problem+json`.
+/// Refusal as `application/problem+json`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// `urn:luglink:refusal:` and the code.
+    /// `urn:luglink:refusal:` followed by the code.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The code in words.
+    /// Code with spaces between the words.
     pub title: String,
     /// HTTP status.
     pub status: u16,
-    /// For people.
+    /// Explanation for people.
     pub detail: String,
     /// Stable code.
     pub code: String,
-    /// Whether the request ran.
+    /// Execution state of the request.
     pub executed: Executed,
-    /// When trying again may help, in milliseconds.
+    /// Delay after which a retry may succeed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -36,35 +36,36 @@
             executed: refusal.executed,
             retry_after_ms: refusal
                 .retry_after
-                .map(|wait| u64::try_from(wait.as_millis()).unwrap_or(u64::MAX)),
+                .map(|delay| u64::try_from(delay.as_millis()).unwrap_or(u64::MAX)),
         }
     }
 }
 
-/// An engine's error, as a body or as an event of a stream.
+/// Error of an engine, as a response body or as an event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineErrorBody {
-    /// The error.
+    /// Error.
     pub error: EngineError,
 }
 
-/// An engine's error.
+/// Error of an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineError {
-    /// For people.
+    /// Explanation for people.
     pub message: String,
-    /// What it means for a retry.
+    /// Code that determines whether a retry is possible.
     pub code: EngineErrorCode,
 }
 
-/// What an engine's error means.
+/// Code of an engine's error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineErrorCode {
-    /// Refused before any work: full, draining, or fenced by a higher owner epoch.
+    /// The request was rejected before processing: the engine is full or draining, or has seen a higher
+    /// owner epoch.
     Rejected,
-    /// Failed, and the engine vouches that it may be sent again.
+    /// The request failed, and the engine guarantees that it may be sent again.
     Retryable,
-    /// The request is malformed; refused before any work.
+    /// The request is malformed and was rejected before processing.
     Invalid,
 }
--- a/crates/metrics-server/src/lib.rs
+++ b/crates/metrics-server/src/lib.rs
@@ -1,4 +1,4 @@
-//! Serves a process's metrics over HTTP, in Prometheus' text format.
+//! HTTP endpoint for the metrics of a process, in Prometheus' text format.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -11,68 +11,70 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// The path under which the metrics are served.
+/// Path of the metrics.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Prometheus' text format.
-const TEXT_FORMAT: &str = "text/plain; version=0.0.4";
+/// Media type of Prometheus' text format.
+const METRICS_CONTENT_TYPE: &str = "text/plain; version=0.0.4";
 
-/// Longest head of a request, in bytes.
+/// Maximum size of a request's header, in bytes.
 const MAX_HEADER_BYTES: usize = 8 << 10;
 
-/// Longest rest of a connection. Collectors ask every few seconds.
-const CONNECTION_IDLE: Duration = Duration::from_secs(60);
+/// Idle timeout of a connection. Collectors send requests every few seconds.
+const CONNECTION_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Serves `metrics` at `address`, when there is one, on the current actix thread, for ever.
-/// Returns the address that was bound, or `None` when it cannot be had: a process must serve its
-/// callers also when something else has taken the port of its metrics.
+/// Starts a server for `metrics` at `address`, if there is one, on the current actix thread. It runs
+/// until the process exits. Returns the bound address, or `None` if binding fails: a process must
+/// serve its callers even if another process uses the port of its metrics.
 pub async fn start(address: Option<SocketAddr>, metrics: &Metrics) -> Option<SocketAddr> {
     let address = address?;
     let listener = match TcpListener::bind(address).await {
         Ok(listener) => listener,
         Err(error) => {
-            tracing::error!(%address, %error, "the metrics cannot be served");
+            tracing::error!(%address, %error, "cannot bind the address of the metrics server");
             return None;
         }
     };
-    let bound = listener.local_addr().ok();
+    let bound_address = listener.local_addr().ok();
     let metrics = metrics.clone();
     let handler = Rc::new(move |request: Request<Incoming>| {
-        let response = answer(&metrics, &request);
+        let response = respond(&metrics, &request);
         async move { Ok::<_, Abort>(response) }
     });
     let (_, signal) = stopper();
     actix_rt::spawn(serve(listener, options, signal, handler));
-    bound
+    bound_address
 }
 
 fn options() -> ServeOptions {
     ServeOptions {
         header_bytes: MAX_HEADER_BYTES,
-        idle: CONNECTION_IDLE,
+        idle: CONNECTION_IDLE_TIMEOUT,
         unread: None,
     }
 }
 
-fn answer(metrics: &Metrics, request: &Request<Incoming>) -> Response<Body> {
+fn respond(metrics: &Metrics, request: &Request<Incoming>) -> Response<Body> {
     if request.uri().path() != METRICS_PATH {
-        return empty(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     match metrics.render() {
         Ok(text) => {
             let mut response = Response::new(full_body(text));
-            let format = HeaderValue::from_static(TEXT_FORMAT);
-            response.headers_mut().insert(header::CONTENT_TYPE, format);
+            let content_type = HeaderValue::from_static(METRICS_CONTENT_TYPE);
+            response
+                .headers_mut()
+                .insert(header::CONTENT_TYPE, content_type);
             response
         }
         Err(error) => {
-            tracing::error!(%error, "the metrics cannot be written");
-            empty(StatusCode::INTERNAL_SERVER_ERROR)
+            tracing::error!(%error, "cannot encode the metrics");
+            empty_response(StatusCode::INTERNAL_SERVER_ERROR)
         }
     }
 }
 
-fn empty(status: StatusCode) -> Response<Body> {
+fn empty_response(status: StatusCode) -> Response<Body> {
     let mut response = Response::new(empty_body());
     *response.status_mut() = status;
     response
--- a/crates/telemetry/src/errors.rs
+++ b/crates/telemetry/src/errors.rs
@@ -1,29 +1,29 @@
-//! Errors of this crate.
+//! Errors of logs and metrics.
 
 use snafu::Snafu;
 
-/// Logs or metrics cannot be set up.
+/// Error of logs or metrics.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum TelemetryError {
     /// The log filter is malformed.
-    #[snafu(display("log filter `{filter}`: {source}"))]
+    #[snafu(display("invalid log filter `{filter}`: {source}"))]
     Filter {
-        /// What was given.
+        /// Rejected filter.
         filter: String,
-        /// Why it is refused.
+        /// Cause.
         source: tracing_subscriber::filter::ParseError,
     },
-    /// Logs were set up before.
-    #[snafu(display("logs are already set up: {source}"))]
+    /// Logging is already initialized.
+    #[snafu(display("logging is already initialized: {source}"))]
     AlreadySet {
-        /// The library's error.
+        /// Error of the library.
         source: tracing_subscriber::util::TryInitError,
     },
-    /// A metric cannot be registered or written.
-    #[snafu(display("metric: {source}"))]
+    /// A metric cannot be registered or encoded.
+    #[snafu(display("cannot register or encode a metric: {source}"))]
     Metric {
-        /// The library's error.
+        /// Error of the library.
         source: prometheus::Error,
     },
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines and metrics for Prometheus, by library.
+//! Logs as JSON lines, and metrics in Prometheus' format.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
@@ -10,8 +10,8 @@
 pub use logs::{LogGuard, init_bounded_logs, init_logs};
 pub use metrics::Metrics;
 
-/// A duration as log lines and headers give it: a whole number of milliseconds, rounded down. A
-/// field of 128 bits would stand in a JSON line as text.
+/// Returns a duration in whole milliseconds, rounded down, for log fields and headers. A JSON log line
+/// would contain a field of 128 bits as a string.
 #[must_use]
 pub fn milliseconds(duration: std::time::Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs.
+//! Initialization of logging.
 
 use crate::errors::{AlreadySetSnafu, FilterSnafu, TelemetryError};
 use snafu::ResultExt;
@@ -7,14 +7,14 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Starts to write logs as JSON lines to standard error. `filter` is a level or a list of
+/// Initializes logging as JSON lines to standard error. `filter` is a level or a list of
 /// `target=level`, as in `info,luglink_daemon=debug`.
 ///
 /// # Errors
-/// The filter is malformed, or logs were set up before.
+/// Returns an error if the filter is malformed or logging is already initialized.
 pub fn init_logs(filter: &str) -> Result<(), TelemetryError> {
     let filter = EnvFilter::try_new(filter).context(FilterSnafu { filter })?;
-    let lines = tracing_subscriber::fmt::layer()
+    let json_layer = tracing_subscriber::fmt::layer()
         .json()
         .flatten_event(true)
         .with_current_span(true)
@@ -22,30 +22,33 @@
         .with_writer(std::io::stderr);
     tracing_subscriber::registry()
         .with(filter)
-        .with(lines)
+        .with(json_layer)
         .try_init()
         .context(AlreadySetSnafu)
 }
 
-/// Lines that may wait to be written. Beyond that lines are lost rather than work held up.
-const BUFFERED_LINES: usize = 4_096;
+/// Maximum number of lines that wait to be written. Further lines are dropped, so that logging does
+/// not block.
+const MAX_BUFFERED_LINES: usize = 4_096;
 
-/// Writes what still waits when it is dropped, at the end of the process.
+/// Guard that writes the buffered lines when it is dropped, at the end of the process.
 #[derive(Debug)]
-pub struct LogGuard(#[allow(dead_code, reason = "it works by being dropped")] WorkerGuard);
+pub struct LogGuard(
+    #[allow(dead_code, reason = "dropping it writes the buffered lines")] WorkerGuard,
+);
 
-/// Starts to write logs as JSON lines to standard output, from a thread of their own that is
-/// never waited for. `filter` is as for [`init_logs`].
+/// Initializes logging as JSON lines to standard output. A separate thread writes the lines, and
+/// callers do not wait for it. `filter` is as for [`init_logs`].
 ///
 /// # Errors
-/// The filter is malformed, or logs were set up before.
+/// Returns an error if the filter is malformed or logging is already initialized.
 pub fn init_bounded_logs(filter: &str) -> Result<LogGuard, TelemetryError> {
     let filter = EnvFilter::try_new(filter).context(FilterSnafu { filter })?;
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(BUFFERED_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .lossy(true)
         .finish(std::io::stdout());
-    let lines = tracing_subscriber::fmt::layer()
+    let json_layer = tracing_subscriber::fmt::layer()
         .json()
         .flatten_event(true)
         .with_current_span(false)
@@ -53,7 +56,7 @@
         .with_writer(writer);
     tracing_subscriber::registry()
         .with(filter)
-        .with(lines)
+        .with(json_layer)
         .try_init()
         .context(AlreadySetSnafu)?;
     Ok(LogGuard(guard))
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of one process.
+//! Metrics of a process.
 
 use crate::errors::{MetricSnafu, TelemetryError};
 use prometheus::{
@@ -7,31 +7,31 @@
 };
 use snafu::ResultExt;
 
-/// Prefix of every metric.
+/// Prefix of all metric names.
 const NAMESPACE: &str = "luglink";
 
-/// Buckets for times from a millisecond to a minute, in seconds.
+/// Histogram buckets for durations from 1 ms to 1 min, in seconds.
 const SECONDS_BUCKETS: &[f64] = &[
     0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 1.5, 2.0, 5.0, 10.0, 20.0, 60.0,
 ];
 
-/// A registry of metrics. Components add theirs and keep the handles.
+/// Registry of metrics. Components register their metrics and keep the handles.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics {
     registry: Registry,
 }
 
 impl Metrics {
-    /// A registry without metrics.
+    /// Creates an empty registry.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a counter.
+    /// Registers a counter.
     ///
     /// # Errors
-    /// The name is malformed or taken.
+    /// Returns an error if the name is malformed or already registered.
     pub fn counter(&self, name: &str, help: &str) -> Result<IntCounter, TelemetryError> {
         let options = Opts::new(name, help).namespace(NAMESPACE);
         let counter = IntCounter::with_opts(options).context(MetricSnafu)?;
@@ -41,10 +41,10 @@
         Ok(counter)
     }
 
-    /// Adds a counter with one label.
+    /// Registers a counter with one label.
     ///
     /// # Errors
-    /// The name is malformed or taken.
+    /// Returns an error if the name is malformed or already registered.
     pub fn labelled_counter(
         &self,
         name: &str,
@@ -59,10 +59,10 @@
         Ok(counter)
     }
 
-    /// Adds a gauge.
+    /// Registers a gauge.
     ///
     /// # Errors
-    /// The name is malformed or taken.
+    /// Returns an error if the name is malformed or already registered.
     pub fn gauge(&self, name: &str, help: &str) -> Result<Gauge, TelemetryError> {
         let options = Opts::new(name, help).namespace(NAMESPACE);
         let gauge = Gauge::with_opts(options).context(MetricSnafu)?;
@@ -72,10 +72,10 @@
         Ok(gauge)
     }
 
-    /// Adds a histogram of seconds.
+    /// Registers a histogram of durations in seconds.
     ///
     /// # Errors
-    /// The name is malformed or taken.
+    /// Returns an error if the name is malformed or already registered.
     pub fn seconds(&self, name: &str, help: &str) -> Result<Histogram, TelemetryError> {
         let options = HistogramOpts::new(name, help)
             .namespace(NAMESPACE)
@@ -87,10 +87,10 @@
         Ok(histogram)
     }
 
-    /// All metrics in Prometheus' text format.
+    /// Returns all metrics in Prometheus' text format.
     ///
     /// # Errors
-    /// A metric cannot be written.
+    /// Returns an error if a metric cannot be encoded.
     pub fn render(&self) -> Result<String, TelemetryError> {
         let mut text = Vec::new();
         TextEncoder::new()
