--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Customer to whom programs are charged.
+/// Tenant, to which the resource use of its programs is charged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
@@ -84,7 +84,7 @@
     pub name: String,
     /// Model that the adapter belongs to.
     pub model: ModelName,
-    /// Version of the model to serve.
+    /// Version of the adapter to serve.
     pub version: String,
 }
 
--- a/crates/resources/src/validate.rs
+++ b/crates/resources/src/validate.rs
@@ -129,82 +129,82 @@
         );
     }
 
-    fn check_resource(&mut self, at: &str, resource: &Resource) {
+    fn check_resource(&mut self, prefix: &str, resource: &Resource) {
         match resource {
-            Resource::Tenant(tenant) => self.check_tenant(at, tenant),
-            Resource::Class(class) => self.check_class(at, class),
-            Resource::ModelPool(pool) => self.check_pool(at, pool),
-            Resource::Adapter(adapter) => self.check_adapter(at, adapter),
-            Resource::Priority(level) => self.check_priority(at, level),
-            Resource::Budget(policy) => self.check_budget(at, policy),
-            Resource::Service(service) => self.check_service(at, service),
+            Resource::Tenant(tenant) => self.check_tenant(prefix, tenant),
+            Resource::Class(class) => self.check_class(prefix, class),
+            Resource::ModelPool(pool) => self.check_pool(prefix, pool),
+            Resource::Adapter(adapter) => self.check_adapter(prefix, adapter),
+            Resource::Priority(level) => self.check_priority(prefix, level),
+            Resource::Budget(policy) => self.check_budget(prefix, policy),
+            Resource::Service(service) => self.check_service(prefix, service),
         }
     }
 
-    fn check_tenant(&mut self, at: &str, tenant: &Tenant) {
+    fn check_tenant(&mut self, prefix: &str, tenant: &Tenant) {
         self.require(
             tenant.weight > 0,
-            format!("{at}.weight"),
+            format!("{prefix}.weight"),
             tenant.weight,
             "above 0",
         );
     }
 
-    fn check_class(&mut self, at: &str, class: &ProgramClass) {
+    fn check_class(&mut self, prefix: &str, class: &ProgramClass) {
         self.require(
             class.idle_timeout_ms > 0,
-            format!("{at}.idle_timeout_ms"),
+            format!("{prefix}.idle_timeout_ms"),
             class.idle_timeout_ms,
             "above 0",
         );
         self.require(
             class.max_queued_calls > 0,
-            format!("{at}.max_queued_calls"),
+            format!("{prefix}.max_queued_calls"),
             class.max_queued_calls,
             "above 0",
         );
     }
 
-    fn check_pool(&mut self, at: &str, pool: &ModelPool) {
-        self.check_version(at, &pool.version);
+    fn check_pool(&mut self, prefix: &str, pool: &ModelPool) {
+        self.check_version(prefix, &pool.version);
         self.require(
             pool.max_output_tokens > 0,
-            format!("{at}.max_output_tokens"),
+            format!("{prefix}.max_output_tokens"),
             pool.max_output_tokens,
             "above 0",
         );
-        self.check_replicas(at, &pool.replicas);
+        self.check_replicas(prefix, &pool.replicas);
         self.require(
             pool.minimum_serving as usize <= pool.replicas.len(),
-            format!("{at}.minimum_serving"),
+            format!("{prefix}.minimum_serving"),
             pool.minimum_serving,
             "at most the number of replicas",
         );
     }
 
-    fn check_version(&mut self, at: &str, version: &str) {
+    fn check_version(&mut self, prefix: &str, version: &str) {
         self.require(
             !version.is_empty() && version.len() <= MAX_NAME_BYTES,
-            format!("{at}.version"),
+            format!("{prefix}.version"),
             version,
             format!("1 to {MAX_NAME_BYTES} bytes"),
         );
     }
 
-    fn check_adapter(&mut self, at: &str, adapter: &Adapter) {
-        self.check_version(at, &adapter.version);
+    fn check_adapter(&mut self, prefix: &str, adapter: &Adapter) {
+        self.check_version(prefix, &adapter.version);
     }
 
-    fn check_priority(&mut self, at: &str, level: &PriorityLevel) {
+    fn check_priority(&mut self, prefix: &str, level: &PriorityLevel) {
         self.require(
             level.aging_ms > 0,
-            format!("{at}.aging_ms"),
+            format!("{prefix}.aging_ms"),
             level.aging_ms,
             "above 0, or low priorities could starve",
         );
     }
 
-    fn check_budget(&mut self, at: &str, policy: &BudgetPolicy) {
+    fn check_budget(&mut self, prefix: &str, policy: &BudgetPolicy) {
         let budget = &policy.budget;
         let positive = [
             ("calls", budget.calls),
@@ -214,28 +214,28 @@
         for (field, value) in positive {
             self.require(
                 value > 0,
-                format!("{at}.{field}"),
+                format!("{prefix}.{field}"),
                 value,
                 "above 0, or no program could ever run",
             );
         }
     }
 
-    fn check_service(&mut self, at: &str, service: &Service) {
-        self.check_replicas(at, &service.replicas);
+    fn check_service(&mut self, prefix: &str, service: &Service) {
+        self.check_replicas(prefix, &service.replicas);
     }
 
-    fn check_replicas(&mut self, at: &str, replicas: &[Replica]) {
+    fn check_replicas(&mut self, prefix: &str, replicas: &[Replica]) {
         self.require(
             replicas.len() <= MAX_REPLICAS,
-            format!("{at}.replicas"),
+            format!("{prefix}.replicas"),
             replicas.len(),
             format!("at most {MAX_REPLICAS}"),
         );
         for (index, replica) in replicas.iter().enumerate() {
             self.require(
                 replica.address.parse::<SocketAddr>().is_ok(),
-                format!("{at}.replicas[{index}].address"),
+                format!("{prefix}.replicas[{index}].address"),
                 &replica.address,
                 "an IP number and a port, as in 127.0.0.1:8000",
             );
--- a/crates/types/src/budget.rs
+++ b/crates/types/src/budget.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Limit of a dimension that is not limited.
+/// Limit that stands for no limit.
 pub const UNLIMITED: u64 = u64::MAX;
 
 /// Limits on the resources that a program uses during its lifetime. Tokens are new prompt tokens
--- a/crates/types/src/message.rs
+++ b/crates/types/src/message.rs
@@ -40,7 +40,7 @@
 const MAX_BYTES_PER_TOKEN: usize = 16;
 
 /// Returns the number of tokens of `text`: one for each word, and more for words longer than
-/// [`MAX_BYTES_PER_TOKEN`] bytes. Engines are expected to count in the same way. The engine enforces
+/// `MAX_BYTES_PER_TOKEN` bytes. Engines are expected to count in the same way. The engine enforces
 /// the limit on generated tokens exactly in any case.
 #[must_use]
 pub fn count_tokens(text: &str) -> u64 {
