--- a/crates/engine-api/src/orders.rs
+++ b/crates/engine-api/src/orders.rs
@@ -63,7 +63,7 @@
 /// Response to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "snake_case")]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// The order is complete.
     Done,
     /// The order is in progress. The sender repeats it to learn when it is complete.
--- a/crates/resources/src/change.rs
+++ b/crates/resources/src/change.rs
@@ -7,7 +7,7 @@
 
 /// Condition on the current revision under which a change applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Expected {
+pub enum RevisionPrecondition {
     /// Any current revision; the last writer wins.
     Current,
     /// Exactly this revision.
@@ -42,14 +42,14 @@
     /// Operator that requests the change.
     pub operator: String,
     /// Condition on the current revision.
-    pub expected: Expected,
+    pub expected: RevisionPrecondition,
     /// Operations in the order in which they apply.
     pub operations: Vec<Operation>,
 }
 
 /// Response to a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ChangeAnswer {
+pub enum ChangeResponse {
     /// The change was applied and is never reverted.
     Accepted {
         /// Revision at which the change took effect.
--- a/crates/resources/src/store.rs
+++ b/crates/resources/src/store.rs
@@ -1,6 +1,6 @@
 //! State machine of the configuration group.
 
-use crate::change::{Change, ChangeAnswer, Delta, Expected};
+use crate::change::{Change, ChangeResponse, Delta, RevisionPrecondition};
 use crate::resource::{Resource, ResourceKey};
 use crate::validate::{apply_operation, validate_change};
 use luglink_types::{ChangeId, Revision};
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct AnsweredChange {
     change: Change,
-    response: ChangeAnswer,
+    response: ChangeResponse,
 }
 
 /// All resources and the recent changes.
@@ -61,16 +61,16 @@
 
     /// Applies a change, or returns the reason for rejecting it. A change that is sent again gets the
     /// first response, also if the state has changed since.
-    pub fn apply(&mut self, change: &Change) -> ChangeAnswer {
+    pub fn apply(&mut self, change: &Change) -> ChangeResponse {
         if let Some(answered) = self.answered.get(&change.change_id) {
             return if answered.change == *change {
                 answered.response.clone()
             } else {
-                ChangeAnswer::ChangeIdReused
+                ChangeResponse::ChangeIdReused
             };
         }
         let answer = self.validate(change);
-        if let ChangeAnswer::Accepted { revision } = answer {
+        if let ChangeResponse::Accepted { revision } = answer {
             self.commit(change, revision);
         }
         self.record_response(change, &answer);
@@ -96,20 +96,20 @@
         }
     }
 
-    fn validate(&self, change: &Change) -> ChangeAnswer {
-        if let Expected::Exactly(expected) = change.expected
+    fn validate(&self, change: &Change) -> ChangeResponse {
+        if let RevisionPrecondition::Exactly(expected) = change.expected
             && expected != self.revision
         {
-            return ChangeAnswer::Stale {
+            return ChangeResponse::Stale {
                 expected,
                 current: self.revision,
             };
         }
         let violations = validate_change(&self.resources, change);
         if !violations.is_empty() {
-            return ChangeAnswer::Invalid { violations };
+            return ChangeResponse::Invalid { violations };
         }
-        ChangeAnswer::Accepted {
+        ChangeResponse::Accepted {
             revision: self.revision.next(),
         }
     }
@@ -128,7 +128,7 @@
         }
     }
 
-    fn record_response(&mut self, change: &Change, answer: &ChangeAnswer) {
+    fn record_response(&mut self, change: &Change, answer: &ChangeResponse) {
         self.answered.insert(
             change.change_id.clone(),
             AnsweredChange {
--- a/crates/resources/src/view.rs
+++ b/crates/resources/src/view.rs
@@ -144,7 +144,7 @@
 
     /// Returns the budget of the programs of a class. It is unlimited if the class names none.
     #[must_use]
-    pub fn class_ceiling(&self, class: &str) -> Budget {
+    pub fn class_budget(&self, class: &str) -> Budget {
         self.class(class)
             .and_then(|class| self.get(ResourceKind::Budget, &class.budget))
             .map_or_else(Budget::default, |resource| match resource {
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::unspecified;
 use crate::reader::Reader;
-use luglink_types::{Switch, Switches};
+use luglink_types::{FeatureMode, FeatureModes};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -69,7 +69,7 @@
     pub fail_closed: bool,
     /// Time without contact after which the gateway stops serving them, in milliseconds.
     pub revoke_ms: u64,
-    /// Expected conditions of the deployment, which [`FleetSettings::expects_pressure`] evaluates.
+    /// Expected conditions of the deployment, which [`FleetSettings::expects_overload`] evaluates.
     /// Unknown conditions have no effect.
     pub conditions: Vec<String>,
 }
@@ -156,7 +156,7 @@
 
     /// Returns true if the deployment expects more work than its replicas can process.
     #[must_use]
-    pub fn expects_pressure(&self) -> bool {
+    pub fn expects_overload(&self) -> bool {
         self.conditions
             .iter()
             .any(|condition| condition == PRESSURE_CONDITION)
@@ -201,7 +201,7 @@
     /// programs. 0 disables this check.
     pub full_at: f64,
     /// Modes of the features that affect scheduling under load.
-    pub scheduling: Switches,
+    pub scheduling: FeatureModes,
 }
 
 impl GatewaySettings {
@@ -223,14 +223,14 @@
     }
 }
 
-fn read_switches(reader: &mut Reader<'_>) -> Switches {
-    Switches {
-        load_view: reader.optional("gateway.scheduling.load_view", Switch::Auto),
-        expected_finish: reader.optional("gateway.scheduling.expected_finish", Switch::Auto),
-        moves: reader.optional("gateway.scheduling.moves", Switch::Auto),
-        working_set: reader.optional("gateway.scheduling.working_set", Switch::Auto),
-        fair_shares: reader.optional("gateway.scheduling.fair_shares", Switch::Auto),
-        held_bytes: reader.optional("gateway.scheduling.held_bytes", Switch::Auto),
+fn read_switches(reader: &mut Reader<'_>) -> FeatureModes {
+    FeatureModes {
+        load_view: reader.optional("gateway.scheduling.load_view", FeatureMode::Auto),
+        expected_finish: reader.optional("gateway.scheduling.expected_finish", FeatureMode::Auto),
+        moves: reader.optional("gateway.scheduling.moves", FeatureMode::Auto),
+        working_set: reader.optional("gateway.scheduling.working_set", FeatureMode::Auto),
+        fair_shares: reader.optional("gateway.scheduling.fair_shares", FeatureMode::Auto),
+        held_bytes: reader.optional("gateway.scheduling.held_bytes", FeatureMode::Auto),
     }
 }
 
@@ -261,7 +261,7 @@
 
 /// Settings of a control member of a managed fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ManagedSettings {
+pub struct ManagedMemberSettings {
     /// Address for operators.
     pub operator_listen: SocketAddr,
     /// Address at which callers resolve gateways.
@@ -280,7 +280,7 @@
     pub metrics_listen: Option<SocketAddr>,
 }
 
-impl ManagedSettings {
+impl ManagedMemberSettings {
     pub(crate) fn read(reader: &mut Reader<'_>) -> Option<Self> {
         let operator_listen = reader.required("member.operator_listen");
         let resolution_listen = reader.required("member.resolution_listen");
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -3,7 +3,7 @@
 use crate::control::ControlSettings;
 use crate::daemon::DaemonSettings;
 use crate::errors::{FaultsSnafu, SettingsError, SyntaxSnafu, UnreadableSnafu};
-use crate::fleet::{FleetSettings, GatewaySettings, ManagedSettings, StoreSettings};
+use crate::fleet::{FleetSettings, GatewaySettings, ManagedMemberSettings, StoreSettings};
 use crate::reader::{FLAGS_SOURCE, Reader};
 use figment::Figment;
 use figment::providers::{Env, Format, Serialized, Toml};
@@ -61,7 +61,7 @@
     /// Settings of a turn store.
     pub store: Option<StoreSettings>,
     /// Settings of a control member of a managed fleet.
-    pub member: Option<ManagedSettings>,
+    pub member: Option<ManagedMemberSettings>,
 }
 
 /// Settings that flags override: keys and values as text.
@@ -165,7 +165,7 @@
         member: section(
             reader,
             is_used("member", Role::Member),
-            ManagedSettings::read,
+            ManagedMemberSettings::read,
         ),
     };
     (reader.fault_count() == earlier_faults).then_some(settings)
--- a/crates/settings/tests/files.rs
+++ b/crates/settings/tests/files.rs
@@ -204,8 +204,8 @@
     let text = text.replace("# [gateway.scheduling]", "[gateway.scheduling]");
     let text = text.replace("# moves = \"auto\"", "moves = \"off\"");
     let settings = loaded(&write(&folder, &text));
-    assert!(settings.fleet.unwrap().expects_pressure());
+    assert!(settings.fleet.unwrap().expects_overload());
     let scheduling = settings.gateway.unwrap().scheduling;
-    assert_eq!(scheduling.moves, luglink_types::Switch::Off);
-    assert_eq!(scheduling.load_view, luglink_types::Switch::Auto);
+    assert_eq!(scheduling.moves, luglink_types::FeatureMode::Off);
+    assert_eq!(scheduling.load_view, luglink_types::FeatureMode::Auto);
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -7,7 +7,7 @@
 mod metrics;
 
 pub use errors::TelemetryError;
-pub use logs::{LogGuard, init_bounded_logs, init_logs};
+pub use logs::{LogGuard, init_logs, init_non_blocking_logs};
 pub use metrics::Metrics;
 
 /// Returns a duration in whole milliseconds, rounded down, for log fields and headers. A JSON log line
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 /// Returns an error if the filter is malformed or logging is already initialized.
-pub fn init_bounded_logs(filter: &str) -> Result<LogGuard, TelemetryError> {
+pub fn init_non_blocking_logs(filter: &str) -> Result<LogGuard, TelemetryError> {
     let filter = EnvFilter::try_new(filter).context(FilterSnafu { filter })?;
     let (writer, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(MAX_BUFFERED_LINES)
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -30,7 +30,7 @@
 
     /// Returns true if the engine certainly did no work for the attempt.
     #[must_use]
-    pub const fn spent_nothing(self) -> bool {
+    pub const fn is_unprocessed(self) -> bool {
         matches!(self, Self::NotDispatched | Self::RejectedBeforeProcessing)
     }
 }
--- a/crates/types/src/switches.rs
+++ b/crates/types/src/switches.rs
@@ -5,7 +5,7 @@
 /// Mode of a feature.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Switch {
+pub enum FeatureMode {
     /// On if the active configuration or the expected conditions of the deployment need it.
     #[default]
     Auto,
@@ -15,12 +15,12 @@
     Off,
 }
 
-impl Switch {
-    /// Returns true if the feature is on. `called_for` is the result for the mode `Auto`.
+impl FeatureMode {
+    /// Returns true if the feature is on. `is_needed` is the result for the mode `Auto`.
     #[must_use]
-    pub fn holds(self, called_for: bool) -> bool {
+    pub fn is_enabled(self, is_needed: bool) -> bool {
         match self {
-            Self::Auto => called_for,
+            Self::Auto => is_needed,
             Self::On => true,
             Self::Off => false,
         }
@@ -29,17 +29,17 @@
 
 /// Modes of the features that affect scheduling under load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Switches {
+pub struct FeatureModes {
     /// The gateways of a zone share their observations of the replicas.
-    pub load_view: Switch,
+    pub load_view: FeatureMode,
     /// Replicas are chosen by the expected finish time of the request.
-    pub expected_finish: Switch,
+    pub expected_finish: FeatureMode,
     /// Requests that wait at a slow replica move to another replica.
-    pub moves: Switch,
+    pub moves: FeatureMode,
     /// Programs are admitted by the memory that active programs need until they end.
-    pub working_set: Switch,
+    pub working_set: FeatureMode,
     /// Tenants and request kinds receive fair shares while capacity is scarce.
-    pub fair_shares: Switch,
+    pub fair_shares: FeatureMode,
     /// The bytes buffered for slow readers are limited.
-    pub held_bytes: Switch,
+    pub held_bytes: FeatureMode,
 }
