--- a/crates/admin-api/tests/conversions.rs
+++ b/crates/admin-api/tests/conversions.rs
@@ -132,15 +132,15 @@
     kinds.sort_unstable();
     kinds.dedup();
     assert_eq!(kinds.len(), 7, "the file contains all kinds");
-    let answer = ResourceStore::default().apply(&Change {
+    let response = ResourceStore::default().apply(&Change {
         change_id: ChangeId("example".to_owned()),
         operator: "test".to_owned(),
         expected: RevisionPrecondition::Current,
         operations,
     });
     assert!(
-        matches!(answer, ChangeResponse::Accepted { .. }),
-        "{answer:?}"
+        matches!(response, ChangeResponse::Accepted { .. }),
+        "{response:?}"
     );
 }
 
@@ -167,9 +167,9 @@
         operations: Vec::new(),
     };
     let change = change_from_proto(request).unwrap();
-    let answer = ResourceStore::default().apply(&change);
-    let ChangeResponse::Invalid { violations } = answer else {
-        panic!("expected violations, got {answer:?}");
+    let response = ResourceStore::default().apply(&change);
+    let ChangeResponse::Invalid { violations } = response else {
+        panic!("expected violations, got {response:?}");
     };
     assert!(violations.iter().any(|it| it.field == "change_id"));
     let unknown = v1::PriorityLevel {
--- a/crates/resources/src/store.rs
+++ b/crates/resources/src/store.rs
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct AnsweredChange {
+struct RecordedResponse {
     change: Change,
     response: ChangeResponse,
 }
@@ -42,8 +42,8 @@
     revision: Revision,
     resources: BTreeMap<ResourceKey, Resource>,
     deltas: VecDeque<Delta>,
-    answered: BTreeMap<ChangeId, AnsweredChange>,
-    answered_order: VecDeque<ChangeId>,
+    responses: BTreeMap<ChangeId, RecordedResponse>,
+    response_order: VecDeque<ChangeId>,
 }
 
 impl ResourceStore {
@@ -62,19 +62,19 @@
     /// Applies a change, or returns the reason for rejecting it. A change that is sent again gets the
     /// first response, also if the state has changed since.
     pub fn apply(&mut self, change: &Change) -> ChangeResponse {
-        if let Some(answered) = self.answered.get(&change.change_id) {
-            return if answered.change == *change {
-                answered.response.clone()
+        if let Some(recorded) = self.responses.get(&change.change_id) {
+            return if recorded.change == *change {
+                recorded.response.clone()
             } else {
                 ChangeResponse::ChangeIdReused
             };
         }
-        let answer = self.validate(change);
-        if let ChangeResponse::Accepted { revision } = answer {
+        let response = self.validate(change);
+        if let ChangeResponse::Accepted { revision } = response {
             self.commit(change, revision);
         }
-        self.record_response(change, &answer);
-        answer
+        self.record_response(change, &response);
+        response
     }
 
     /// Returns the update for a reader that has the revision `known`.
@@ -128,19 +128,19 @@
         }
     }
 
-    fn record_response(&mut self, change: &Change, answer: &ChangeResponse) {
-        self.answered.insert(
+    fn record_response(&mut self, change: &Change, response: &ChangeResponse) {
+        self.responses.insert(
             change.change_id.clone(),
-            AnsweredChange {
+            RecordedResponse {
                 change: change.clone(),
-                response: answer.clone(),
+                response: response.clone(),
             },
         );
-        self.answered_order.push_back(change.change_id.clone());
-        if self.answered_order.len() > MAX_RETAINED_RESPONSES
-            && let Some(oldest) = self.answered_order.pop_front()
+        self.response_order.push_back(change.change_id.clone());
+        if self.response_order.len() > MAX_RETAINED_RESPONSES
+            && let Some(oldest) = self.response_order.pop_front()
         {
-            self.answered.remove(&oldest);
+            self.responses.remove(&oldest);
         }
     }
 }
--- a/crates/resources/tests/properties.rs
+++ b/crates/resources/tests/properties.rs
@@ -76,9 +76,9 @@
         let mut late_responses: Vec<CatchUp> = Vec::new();
         for (change, is_update) in changes.iter().zip(updates) {
             let before = store.revision();
-            let answer = store.apply(change);
-            prop_assert_eq!(&store.apply(change), &answer, "a change that is sent again gets the same response");
-            match answer {
+            let response = store.apply(change);
+            prop_assert_eq!(&store.apply(change), &response, "a change that is sent again gets the same response");
+            match response {
                 ChangeResponse::Accepted { revision } if store.revision() > before => {
                     prop_assert_eq!(revision, before.next());
                     let matches_revision = match change.expected {
--- a/crates/types/src/switches.rs
+++ b/crates/types/src/feature_modes.rs
@@ -16,11 +16,11 @@
 }
 
 impl FeatureMode {
-    /// Returns true if the feature is on. `is_needed` is the result for the mode `Auto`.
+    /// Returns true if the feature is on. `by_default` is the result for the mode `Auto`.
     #[must_use]
-    pub fn is_enabled(self, is_needed: bool) -> bool {
+    pub fn is_enabled(self, by_default: bool) -> bool {
         match self {
-            Self::Auto => is_needed,
+            Self::Auto => by_default,
             Self::On => true,
             Self::Off => false,
         }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -5,15 +5,16 @@
 #![deny(missing_docs)]
 
 mod budget;
+mod feature_modes;
 mod identifier;
 mod message;
 mod outcome;
 mod priority;
 mod refusal;
-mod switches;
 mod time;
 
 pub use budget::{Budget, BudgetDimension, Charge, UNLIMITED};
+pub use feature_modes::{FeatureMode, FeatureModes};
 pub use identifier::{
     AttemptNumber, ChangeId, ClassName, DaemonId, EngineId, Epoch, GroupId, IdempotencyKey,
     MemberId, ModelName, ProgramId, ProgramIdError, Revision, Sequence, ServiceName, TenantName,
@@ -23,5 +24,4 @@
 pub use outcome::OutcomeClass;
 pub use priority::Priority;
 pub use refusal::{Executed, Refusal, RefusalCode};
-pub use switches::{FeatureMode, FeatureModes};
 pub use time::Timestamp;
