--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -1,11 +1,12 @@
-//! What members tell each other beside consensus: the leader's list of replicas and number of
-//! gateways to all, and the words of gateways to the other members of a zone.
+//! State that members exchange besides consensus: followers poll the leader for the list of
+//! replicas and the number of gateways, and members of a zone relay the presences and statistics of
+//! gateways to each other.
 //!
-//! So gateways need ask only a few members near them, and the leader hears the members and not the
-//! gateways.
+//! Gateways thus report to a few members near them, and the leader handles requests of members
+//! instead of requests of all gateways.
 
-use crate::actor::{ControlActor, TakeLeaderNews};
-use crate::looks::{DescribeList, ListWord, LookAtFleet, TakeWords};
+use crate::actor::{ApplyLeaderUpdate, ControlActor};
+use crate::queries::{GetFleetStatus, GetListState, GetZonePeerReport, ListState};
 use actix::Addr;
 use luglink_control::{Request, RequestParts, Response, ResponseParts};
 use luglink_fleet::{
@@ -18,27 +19,28 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Time after which the leader counts as silent: half as much again as it ever waits for news.
-const ANSWER_LIMIT: Duration = Duration::from_millis(900);
+/// Timeout of a request to the leader. It must exceed the maximum hold, after which the leader
+/// answers even if nothing is new.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Pause after a question that failed, or while there is no leader to ask.
-const FAILURE_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a failed request, or while there is no leader to ask.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shortest time between two questions to the leader.
-const QUESTION_INTERVAL: Duration = Duration::from_millis(30);
+/// Pause between two requests to the leader.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Time between two tellings of gateways' words. A gateway that falls silent is so noticed by the
-/// members that do not hear it themselves a quarter of a second later than by those that do.
-const WORDS_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of the reports to the other members of the zone. It adds to the time after which the
+/// members that a gateway does not report to notice its silence.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Who a member is, for those it asks.
+/// Identity of this member in its requests to other members.
 #[derive(Clone, Debug)]
 pub(crate) struct RelayConfig {
     /// Name of its machine.
     pub(crate) name: String,
     /// Its zone.
     pub(crate) zone: String,
-    /// Internal port of all members.
+    /// Port of all members.
     pub(crate) member_port: u16,
 }
 
@@ -53,17 +55,17 @@
     }
 }
 
-/// Follows whoever leads, for ever.
+/// Polls the current leader for updates until the actor stops.
 pub(crate) async fn follow_leader(control: Addr<ControlActor>, config: RelayConfig) {
     let mut followed: Option<(Ipv4Addr, RequestClient)> = None;
-    let mut is_heard = false;
+    let mut is_following = false;
     loop {
-        let Ok(look) = control.send(LookAtFleet).await else {
+        let Ok(status) = control.send(GetFleetStatus).await else {
             return;
         };
-        let Some(leader) = look.followed_leader else {
+        let Some(leader) = status.followed_leader else {
             followed = None;
-            actix_rt::time::sleep(FAILURE_PAUSE).await;
+            actix_rt::time::sleep(RETRY_INTERVAL).await;
             continue;
         };
         let (_, link) = match followed.take() {
@@ -71,27 +73,27 @@
             _ => followed.insert((leader, config.link(leader))),
         };
         let presence = MemberPresence {
-            gateways: look.own_gateways,
+            gateways: status.counted_gateways,
         };
-        let news = ask_leader(&control, &config, link, presence).await;
-        if is_heard != news.is_some() {
-            is_heard = news.is_some();
-            let list_age_ms = look.list_age.map(milliseconds);
-            match is_heard {
-                true => tracing::info!(%leader, list_age_ms, "following the leader's list"),
-                false => tracing::warn!(%leader, list_age_ms, "the leader's list is not heard"),
+        let update = ask_leader(&control, &config, link, presence).await;
+        if is_following != update.is_some() {
+            is_following = update.is_some();
+            let list_age_ms = status.list_age.map(milliseconds);
+            match is_following {
+                true => tracing::info!(%leader, list_age_ms, "receiving updates from the leader"),
+                false => tracing::warn!(%leader, list_age_ms, "no update from the leader"),
             }
         }
-        match news {
-            Some((news, parts)) => {
-                control.do_send(TakeLeaderNews {
-                    report: news.backends,
-                    gateways: news.gateways,
+        match update {
+            Some((update, parts)) => {
+                control.do_send(ApplyLeaderUpdate {
+                    report: update.backends,
+                    gateways: update.gateways,
                     incarnations: parts.incarnations,
                 });
-                actix_rt::time::sleep(QUESTION_INTERVAL).await;
+                actix_rt::time::sleep(REQUEST_INTERVAL).await;
             }
-            None => actix_rt::time::sleep(FAILURE_PAUSE).await,
+            None => actix_rt::time::sleep(RETRY_INTERVAL).await,
         }
     }
 }
@@ -102,14 +104,14 @@
     link: &RequestClient,
     presence: MemberPresence,
 ) -> Option<(ObserverUpdate, ResponseParts)> {
-    let ListWord { list, incarnations } = control.send(DescribeList).await.ok()?;
+    let ListState { list, incarnations } = control.send(GetListState).await.ok()?;
     let request = Request::Observe(Box::new(ObserverRequest {
         presence: Presence {
             name: config.name.clone(),
             zone: config.zone.clone(),
             role: Role::Member(presence),
         },
-        // Everything else comes with the log.
+        // Everything else is replicated by the log, so no updates of it are requested.
         known: KnownVersions {
             document_version: u64::MAX,
             is_current: true,
@@ -125,51 +127,52 @@
         ..RequestParts::default()
     };
     let body = encode_with_parts(&request, &parts.encode().ok()?).ok()?;
-    let answer = link.request(body, ANSWER_LIMIT).await.ok()?;
+    let answer = link.request(body, REQUEST_TIMEOUT).await.ok()?;
     let (response, parts) = decode_with_parts(&answer).ok()?;
     match response {
-        Response::ObserverUpdate(news) => Some((*news, ResponseParts::decode(&parts).ok()?)),
+        Response::ObserverUpdate(update) => Some((*update, ResponseParts::decode(&parts).ok()?)),
         _ => None,
     }
 }
 
-/// Tells the other members of the zone which gateways this one hears, for ever.
-pub(crate) async fn tell_neighbours(control: Addr<ControlActor>, config: RelayConfig) {
+/// Relays the presences and statistics of gateways to the other members of the zone, until the
+/// actor stops.
+pub(crate) async fn report_to_zone_peers(control: Addr<ControlActor>, config: RelayConfig) {
     let mut links: BTreeMap<Ipv4Addr, RequestClient> = BTreeMap::new();
     loop {
-        actix_rt::time::sleep(WORDS_INTERVAL).await;
-        let Ok(taken) = control.send(TakeWords).await else {
+        actix_rt::time::sleep(REPORT_INTERVAL).await;
+        let Ok(report) = control.send(GetZonePeerReport).await else {
             return;
         };
-        links.retain(|member, _| taken.neighbours.contains(member));
-        if taken.neighbours.is_empty() {
+        links.retain(|member, _| report.zone_peers.contains(member));
+        if report.zone_peers.is_empty() {
             continue;
         }
         let parts = RequestParts {
-            member_stats: taken.replica_stats,
+            member_stats: report.member_stats,
             ..RequestParts::default()
         };
-        let words = Request::HearGateways(taken.words);
+        let request = Request::RelayGatewayPresences(report.presences);
         let encoded = parts.encode();
-        let body = match encoded.and_then(|parts| encode_with_parts(&words, &parts)) {
+        let body = match encoded.and_then(|parts| encode_with_parts(&request, &parts)) {
             Ok(body) => body,
             Err(error) => {
-                tracing::error!(%error, "cannot encode the words of gateways");
+                tracing::error!(%error, "cannot encode a report to the members of the zone");
                 continue;
             }
         };
-        for neighbour in taken.neighbours {
+        for zone_peer in report.zone_peers {
             let link = links
-                .entry(neighbour)
-                .or_insert_with(|| config.link(neighbour));
-            tell(link, body.clone());
+                .entry(zone_peer)
+                .or_insert_with(|| config.link(zone_peer));
+            send_report(link, body.clone());
         }
     }
 }
 
-/// Sends words without a wait for the answer: later ones follow soon.
-fn tell(link: &RequestClient, body: Vec<u8>) {
-    if !link.tell(body) {
-        tracing::debug!(address = %link.address(), "a member of the zone is not reached");
+/// Sends a report without waiting for the response. A lost report is replaced by the next one.
+fn send_report(link: &RequestClient, body: Vec<u8>) {
+    if !link.send_one_way(body) {
+        tracing::debug!(address = %link.address(), "cannot send a report to a member of the zone");
     }
 }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -1,10 +1,10 @@
-//! What a member knows of the fleet around it, and what the leader does about members and turn
-//! stores that come and go.
+//! Soft state about the fleet, and the leader's maintenance of the members and turn stores of a
+//! managed fleet.
 
 use crate::config::ManagedConfig;
 use crate::errors::ControlError;
 use crate::machine::{CONFIGURATION_GROUP, LoggedCommand, encode};
-use crate::member_plan::{MemberPlan, MemberStep};
+use crate::member_plan::{MembershipPlanner, MembershipStep};
 use crate::node::ControlNode;
 use crate::observer_table::ObserverTable;
 use crate::protocol::Response;
@@ -19,105 +19,110 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Soft state about the fleet. A restart loses it, and the processes' next words restore it.
+/// Soft state about the fleet. It is lost at a restart and restored by the next reports of the
+/// processes.
 #[derive(Debug, Default)]
-pub(crate) struct FleetDesk {
+pub(crate) struct FleetState {
     pub(crate) presence: PresenceTable,
-    /// What gateways see of the replicas.
+    /// Statistics of the replicas that gateways and other members report.
     pub(crate) replica_stats: StatsTable,
     pub(crate) observers: ObserverTable,
     pub(crate) list: ListHistory,
-    /// Gateways that take callers, as the leader has summed them; 0 while that is not known.
-    pub(crate) gateways: u32,
-    /// What the gateways of each zone have to do, and how many of them callers are told of.
+    /// Number of ready gateways in the fleet, as the leader has counted them; 0 if unknown.
+    pub(crate) gateway_count: u32,
+    /// State of each zone that has gateways.
     pub(crate) zones: BTreeMap<String, ZoneState>,
+    /// Peers that ask for admission, with the time of their last request.
     candidates: BTreeMap<Peer, Timestamp>,
-    /// Version of the document that this member applied last, and when it did.
+    /// Version of the document that this member applied last.
     document_version: u64,
-    pub(crate) document_since: Timestamp,
+    /// Time at which this member applied that document.
+    pub(crate) document_applied_at: Timestamp,
 }
 
-/// What this member knows of a zone.
+/// Load of the gateways of a zone, and the number of them that are advertised to callers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneState {
     pub(crate) load: GatewayLoad,
-    pub(crate) named: AdvertisedCount,
+    pub(crate) advertised: AdvertisedCount,
 }
 
-impl FleetDesk {
-    fn follow_zones(&mut self, now: Timestamp, limit: Duration) {
+impl FleetState {
+    fn update_zone_loads(&mut self, now: Timestamp, limit: Duration) {
         let loads = self.presence.zone_loads(now, limit);
         self.zones.retain(|zone, _| loads.contains_key(zone));
         for (zone, load) in loads {
             let state = self.zones.entry(zone).or_default();
-            state.named.follow(&load, now);
+            state.advertised.follow(&load, now);
             state.load = load;
         }
     }
 
-    pub(crate) fn note_document(&mut self, version: u64, now: Timestamp) {
+    pub(crate) fn record_document_version(&mut self, version: u64, now: Timestamp) {
         if self.document_version != version {
             self.document_version = version;
-            self.document_since = now;
+            self.document_applied_at = now;
         }
     }
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// The peer that should ask the others to be let in: this one, when no leader is heard.
+    /// Returns the id and incarnation of this member if it should ask for admission, because no
+    /// leader has confirmed its state for `join_timeout`.
     #[must_use]
     pub fn wants_to_join(&self) -> Option<Peer> {
         let managed = self.config.managed.as_ref()?;
-        let unheard = self.now.since(self.configuration_heard_at) >= managed.join_after;
-        (unheard && !self.leads(CONFIGURATION_GROUP)).then_some(self.identity.peer)
+        let is_stale = self.now.since(self.configuration_confirmed_at) >= managed.join_timeout;
+        (is_stale && !self.leads(CONFIGURATION_GROUP)).then_some(self.identity.peer)
     }
 
     pub(crate) fn on_join(&mut self, peer: Peer) -> Response {
         let leads = self.leads(CONFIGURATION_GROUP);
         if leads {
-            self.desk.candidates.insert(peer, self.now);
+            self.fleet.candidates.insert(peer, self.now);
             return Response::Done;
         }
         self.configuration()
             .map_or(Response::Done, crate::group::Group::not_leader)
     }
 
-    /// What the leader does about members and stores that come and go.
-    pub(crate) fn keep_fleet(&mut self) -> Result<(), ControlError> {
+    /// Expires the soft state. On the leader, also proposes the next changes of the membership and
+    /// of the registry of turn stores.
+    pub(crate) fn maintain_fleet(&mut self) -> Result<(), ControlError> {
         let Some(managed) = self.config.managed.clone() else {
             return Ok(());
         };
-        self.desk.presence.expire(self.now, managed.forget_after);
-        self.count_gateways();
-        let limit = self.resolution_time();
-        self.desk.follow_zones(self.now, limit);
-        let has_neighbours = !self.neighbours().is_empty();
-        self.desk.replica_stats.set_has_zone_peers(has_neighbours);
-        let sights_limit = self.sights_limit();
-        self.desk.replica_stats.expire(self.now, sights_limit);
+        self.fleet.presence.expire(self.now, managed.forget_timeout);
+        self.update_gateway_count();
+        let limit = self.resolution_validity();
+        self.fleet.update_zone_loads(self.now, limit);
+        let has_zone_peers = !self.zone_peers().is_empty();
+        self.fleet.replica_stats.set_has_zone_peers(has_zone_peers);
+        let stats_timeout = self.stats_timeout();
+        self.fleet.replica_stats.expire(self.now, stats_timeout);
         let now = self.now;
-        self.desk
+        self.fleet
             .candidates
-            .retain(|_, asked| now.since(*asked) < managed.forget_after);
+            .retain(|_, requested_at| now.since(*requested_at) < managed.forget_timeout);
         if !self.leads(CONFIGURATION_GROUP) {
             return Ok(());
         }
-        self.keep_members(&managed);
-        for command in self.next_store_commands(&managed) {
+        self.maintain_members(&managed);
+        for command in self.due_store_commands(&managed) {
             let command = encode("a store command", &LoggedCommand::Store(command))?;
             self.propose(CONFIGURATION_GROUP, command, None);
         }
         Ok(())
     }
 
-    fn keep_members(&mut self, managed: &ManagedConfig) {
+    fn maintain_members(&mut self, managed: &ManagedConfig) {
         let now = self.now;
-        let candidates: Vec<Peer> = self.desk.candidates.keys().copied().collect();
+        let candidates: Vec<Peer> = self.fleet.candidates.keys().copied().collect();
         let leaving = self.leaving_members();
         let Some(group) = self.groups.get_mut(&CONFIGURATION_GROUP) else {
             return;
         };
-        let plan = MemberPlan {
+        let plan = MembershipPlanner {
             raft: &group.raft,
             candidates: &candidates,
             leaving: &leaving,
@@ -125,18 +130,18 @@
         };
         match plan.next_step() {
             None => {}
-            Some(MemberStep::TransferLeadership(successor)) => {
-                // A refusal means that leadership is already being handed over.
+            Some(MembershipStep::TransferLeadership(successor)) => {
+                // Fails only while a transfer of leadership is already in progress.
                 let _ = group.raft.transfer_leadership(successor, now);
             }
-            Some(MemberStep::Change(change)) => {
-                // Refused while an earlier change is under way; the next round tries again.
+            Some(MembershipStep::Change(change)) => {
+                // Fails while an earlier change is in progress; the next round retries it.
                 let admitted = match &change {
                     MembershipChange::AddLearners(peers) => peers.clone(),
                     _ => BTreeSet::new(),
                 };
                 if group.raft.propose_membership(change, now).is_ok() {
-                    self.desk
+                    self.fleet
                         .candidates
                         .retain(|peer, _| !admitted.contains(peer));
                 }
@@ -144,9 +149,13 @@
         }
     }
 
-    /// Members on machines whose turn store was told to go: the whole machine goes with it.
+    /// Members on machines whose turn store is being retired or has been. Retirement of a store
+    /// takes the whole machine out of service.
     pub(crate) fn leaving_members(&self) -> BTreeSet<MemberId> {
-        let Some(state) = self.configuration().and_then(|group| group.machine.state()) else {
+        let Some(state) = self
+            .configuration()
+            .and_then(|group| group.state_machine.state())
+        else {
             return BTreeSet::new();
         };
         let registry = &state.stores;
@@ -156,24 +165,24 @@
             .iter()
             .filter(|(_, member)| member.state == StoreState::Leaving)
             .map(|(_, member)| member.address);
-        // A store that has gone from the view says its word until its machine is taken away.
-        let gone = self
-            .desk
+        // A store that was removed from the view reports until its machine is shut down.
+        let removed = self
+            .fleet
             .presence
             .stores(self.now)
-            .filter(|heard| {
+            .filter(|presence| {
                 registry
-                    .retirement(&StoreName(heard.name.to_owned()))
+                    .retirement(&StoreName(presence.name.to_owned()))
                     .is_some()
             })
-            .map(|heard| heard.store.address);
+            .map(|presence| presence.store.address);
         in_view
-            .chain(gone)
+            .chain(removed)
             .filter_map(|address| member_at(address.ip()))
             .collect()
     }
 
-    /// Whether a member on the machine of that address still belongs to the group.
+    /// Returns true if a member on the machine with this address belongs to the group.
     fn has_member_at(&self, address: SocketAddr) -> bool {
         let Some(group) = self.configuration() else {
             return false;
@@ -183,26 +192,29 @@
         peers.any(|peer| Some(peer.member) == at_address)
     }
 
-    /// Stores that have come are all let in at once: one after the other, a large fleet would be
-    /// without most of them for longer than its start may take. Everything else is done one step
-    /// at a time.
-    fn next_store_commands(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
-        let joins = self.joining_stores(managed);
+    /// Returns the commands to propose in this round. All new stores join together; one per round
+    /// would leave a large fleet without most of its stores for longer than its start may take.
+    /// All other changes are made one at a time.
+    fn due_store_commands(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
+        let joins = self.join_commands(managed);
         if !joins.is_empty() {
             return joins;
         }
         self.next_store_command(managed).into_iter().collect()
     }
 
-    fn joining_stores(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
-        let Some(state) = self.configuration().and_then(|group| group.machine.state()) else {
+    fn join_commands(&self, managed: &ManagedConfig) -> Vec<StoreCommand> {
+        let Some(state) = self
+            .configuration()
+            .and_then(|group| group.state_machine.state())
+        else {
             return Vec::new();
         };
         let view = state.stores.view();
-        let joins = self.desk.presence.stores(self.now).filter_map(|heard| {
-            let LastStorePresence { zone, store, .. } = heard;
-            let name = StoreName(heard.name.to_owned());
-            if heard.silence >= managed.store_silence
+        let joins = self.fleet.presence.stores(self.now).filter_map(|presence| {
+            let LastStorePresence { zone, store, .. } = presence;
+            let name = StoreName(presence.name.to_owned());
+            if presence.silence >= managed.store_timeout
                 || state.stores.retirement(&name) == Some(RetireState::Completed)
             {
                 return None;
@@ -225,48 +237,50 @@
     }
 
     fn next_store_command(&self, managed: &ManagedConfig) -> Option<StoreCommand> {
-        let view = self.configuration()?.machine.state()?.stores.view();
-        self.filled_store(view)
-            .or_else(|| self.emptied_store(view))
-            .or_else(|| self.silent_store(view, managed))
-            .or_else(|| self.forgotten_store(view))
+        let view = self.configuration()?.state_machine.state()?.stores.view();
+        self.next_activation(view)
+            .or_else(|| self.next_retired_removal(view))
+            .or_else(|| self.next_loss(view, managed))
+            .or_else(|| self.next_lost_removal(view))
     }
 
-    /// The last word of a store. One that this member never heard counts as silent since the
-    /// member leads.
-    fn store_word(&self, name: &StoreName) -> Option<LastStorePresence<'_>> {
-        let mut stores = self.desk.presence.stores(self.now);
-        stores.find(|heard| heard.name == name.0)
+    /// Returns the last presence of a store; `None` if this member has none.
+    fn last_store_presence(&self, name: &StoreName) -> Option<LastStorePresence<'_>> {
+        let mut stores = self.fleet.presence.stores(self.now);
+        stores.find(|presence| presence.name == name.0)
     }
 
-    /// Whether every store that may hold something has handed over for the view of `epoch`.
+    /// Returns true if every store that may hold data, other than `except`, has completed its
+    /// handover for the view of `epoch` or of a later one.
     fn all_handed_over(&self, view: &StoreView, epoch: u64, except: &StoreName) -> bool {
         let holds = |state| matches!(state, StoreState::Active | StoreState::Leaving);
         view.members
             .iter()
             .filter(|(name, member)| *name != except && holds(member.state))
             .all(|(name, _)| {
-                self.store_word(name)
-                    .is_some_and(|heard| heard.store.handed_over_epoch >= epoch)
+                self.last_store_presence(name)
+                    .is_some_and(|presence| presence.store.handed_over_epoch >= epoch)
             })
     }
 
-    /// A store that was passed over, that nobody has heard since, and whose share the others have
-    /// taken over: as long as it stays in the view, nobody can be sure that a turn is nowhere.
-    /// Should it come back, it joins anew.
-    fn forgotten_store(&self, view: &StoreView) -> Option<StoreCommand> {
+    /// Returns the removal of a lost store whose presence has expired and whose share the other
+    /// stores have taken over. While a lost store is in the view, no lookup can conclude that a
+    /// turn does not exist. A removed store that reports again joins again.
+    fn next_lost_removal(&self, view: &StoreView) -> Option<StoreCommand> {
         if view.members.values().any(is_joining) {
             return None;
         }
         view.members
             .iter()
             .filter(|(_, member)| member.state == StoreState::Lost)
-            .filter(|(name, _)| self.store_word(name).is_none())
+            .filter(|(name, _)| self.last_store_presence(name).is_none())
             .find(|(name, member)| self.all_handed_over(view, member.since_epoch, name))
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
 
-    fn filled_store(&self, view: &StoreView) -> Option<StoreCommand> {
+    /// Returns the activation of a joining store to which the other stores have handed over its
+    /// share.
+    fn next_activation(&self, view: &StoreView) -> Option<StoreCommand> {
         view.members
             .iter()
             .filter(|(_, member)| is_joining(member))
@@ -277,50 +291,52 @@
             })
     }
 
-    /// A store that is to go, whose share the others have taken over and whose machine holds no
-    /// member any more: once it is said to be empty, the machine and its disk are taken away.
-    fn emptied_store(&self, view: &StoreView) -> Option<StoreCommand> {
+    /// Returns the removal of a leaving store whose share the other stores have taken over and
+    /// whose machine runs no member of the group. After the removal the store is reported as
+    /// empty, and its machine and disk are discarded.
+    fn next_retired_removal(&self, view: &StoreView) -> Option<StoreCommand> {
         if view.members.values().any(is_joining) {
             return None;
         }
-        let nobody = StoreName::default();
+        let no_exception = StoreName::default();
         view.members
             .iter()
             .filter(|(_, member)| member.state == StoreState::Leaving)
             .filter(|(_, member)| !self.has_member_at(member.address))
-            .find(|(_, member)| self.all_handed_over(view, member.since_epoch, &nobody))
+            .find(|(_, member)| self.all_handed_over(view, member.since_epoch, &no_exception))
             .map(|(name, _)| StoreCommand::Remove { name: name.clone() })
     }
 
-    /// A store that is silent for long is passed over as long as enough others are there, and no
-    /// more of them at once than may be lost. Where more are silent, the leader is cut off from
-    /// them rather than they are gone: gateways may still reach them, and others could take over
-    /// nothing from them.
-    fn silent_store(&self, view: &StoreView, managed: &ManagedConfig) -> Option<StoreCommand> {
+    /// Returns the command that marks a silent store as lost, if more than `store_copies` stores
+    /// are writable and fewer than `tolerated_losses` are lost. If more stores are silent, the
+    /// leader is probably partitioned from them: gateways may still reach these stores, and the
+    /// other stores could not take over their data.
+    fn next_loss(&self, view: &StoreView, managed: &ManagedConfig) -> Option<StoreCommand> {
         let members = view.members.values();
         let lost = members.filter(|member| member.state == StoreState::Lost);
         let may_lose = lost.count() < managed.tolerated_losses();
         if !may_lose || view.writable().count() <= managed.store_copies {
             return None;
         }
+        // A store without a report counts as silent from the time this member became leader.
         let leading_long = self
             .leads_since
-            .is_some_and(|since| self.now.since(since) >= managed.store_silence);
+            .is_some_and(|since| self.now.since(since) >= managed.store_timeout);
         view.writable()
-            .find(|(name, _)| match self.store_word(name) {
-                Some(heard) => heard.silence >= managed.store_silence,
+            .find(|(name, _)| match self.last_store_presence(name) {
+                Some(presence) => presence.silence >= managed.store_timeout,
                 None => leading_long,
             })
             .map(|(name, _)| StoreCommand::Lose { name: name.clone() })
     }
 }
 
-/// Whether a store is still being filled.
+/// Returns true if the store still receives its share from the other stores.
 fn is_joining(member: &StoreMember) -> bool {
     member.state == StoreState::Joining
 }
 
-/// The member on the machine of that address. Members are named by their IP numbers.
+/// Returns the member on the machine with this address. The id of a member is its IPv4 address.
 fn member_at(ip: IpAddr) -> Option<MemberId> {
     match ip {
         IpAddr::V4(ip) => Some(MemberId(u32::from(ip))),
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -1,7 +1,8 @@
-//! The program side of a turn: its budget and the turns that it goes on from.
+//! Preparation of a turn: reserves its budget, admits and places new programs, and loads the turns
+//! it continues.
 
-use crate::admission::UnderWay;
-use crate::chain_search::ChainAnswer;
+use crate::admission::TurnGuard;
+use crate::chain_search::ChainLookup;
 use crate::gateway::Gateway;
 use crate::inbound::{InboundRequest, ProgramFields};
 use crate::refusal::Refusal;
@@ -17,35 +18,36 @@
 use std::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Keeps a program's place among those that are let in apart from the service and the replica
-/// that its name chooses: otherwise some of these would lose all their programs first.
-const INTAKE_SEED: u64 = 1;
+/// Seed of the hash that ranks programs for admission. It makes this hash independent of the one
+/// that chooses the service and the replica. Otherwise, all programs of some services and replicas
+/// would be refused before any of the others.
+const ADMISSION_SEED: u64 = 1;
 
-/// A turn that may be sent.
+/// A turn that has been admitted and may be sent.
 #[derive(Debug)]
 pub(crate) struct PreparedTurn {
-    /// What it holds of its program's budget, when it has one.
+    /// Tokens reserved from the program's budget; `None` if the turn stores were not involved.
     pub(crate) reservation: Option<Reservation>,
-    /// The turns that it goes on from, oldest first.
+    /// Ancestors of the turn, oldest first.
     pub(crate) chain: Vec<Rc<TurnRecord>>,
-    /// The replica that holds the prompt's beginning, or at which the program begins.
+    /// Replica that holds the prompt's prefix in cache, or at which the program starts.
     pub(crate) preferred_replica: Option<BackendId>,
-    /// Whether it is not its program's first.
-    pub(crate) goes_on: bool,
-    /// The whole prompt, when it differs from what the caller sent.
+    /// True if the turn is not the first of its program.
+    pub(crate) is_continuation: bool,
+    /// The whole prompt, if it differs from what the caller sent.
     pub(crate) prompt: Option<Bytes>,
-    /// Counts its program as under way, where programs are let in by their working set.
-    pub(crate) _under_way: Option<UnderWay>,
+    /// Counts the program as running, where programs are admitted by working set.
+    pub(crate) _guard: Option<TurnGuard>,
 }
 
-/// Tokens that a turn holds of its program's budget. Dropping it gives back what was not given
-/// to the caller.
+/// Tokens reserved for a turn from its program's budget. Dropping the reservation settles the
+/// turn, which releases the tokens that were not delivered to the caller.
 pub(crate) struct Reservation {
     gateway: Rc<Gateway>,
     program: ProgramName,
     turn: TurnId,
     retention_ms: u64,
-    given: Cell<u64>,
+    delivered: Cell<u64>,
     is_settled: Cell<bool>,
     served_by: RefCell<Option<BackendId>>,
 }
@@ -55,29 +57,29 @@
         formatter
             .debug_struct("Reservation")
             .field("turn", &self.turn)
-            .field("given", &self.given)
+            .field("delivered", &self.delivered)
             .finish_non_exhaustive()
     }
 }
 
 impl Reservation {
-    /// Notes tokens that go to the caller.
+    /// Adds tokens that are delivered to the caller.
     pub(crate) fn add_delivered(&self, tokens: u64) {
-        self.given.set(self.given.get() + tokens);
+        self.delivered.set(self.delivered.get() + tokens);
     }
 
-    /// Tokens that went to the caller.
+    /// Returns the number of tokens delivered to the caller.
     pub(crate) fn delivered(&self) -> u64 {
-        self.given.get()
+        self.delivered.get()
     }
 
-    /// Notes the replica that serves the turn. The stores are told with the turn's end, so that
-    /// the program's next turn goes there from whichever gateway it reaches.
+    /// Records the replica that serves the turn. It is sent to the stores when the turn is settled,
+    /// so that any gateway sends the program's next turn to the same replica.
     pub(crate) fn record_replica(&self, replica: &BackendId) {
         *self.served_by.borrow_mut() = Some(replica.clone());
     }
 
-    /// The stores have the turn's end already.
+    /// Marks the turn as already settled in the stores.
     pub(crate) fn mark_settled(&self) {
         self.is_settled.set(true);
     }
@@ -91,48 +93,49 @@
         let gateway = Rc::clone(&self.gateway);
         let program = self.program.clone();
         let turn = self.turn.clone();
-        let (given, retention_ms) = (self.given.get(), self.retention_ms);
+        let (delivered, retention_ms) = (self.delivered.get(), self.retention_ms);
         let served_by = self.served_by.take();
         actix_rt::spawn(async move {
-            let settling = gateway
-                .turns
-                .settle(&program, &turn, given, retention_ms, served_by);
+            let settling =
+                gateway
+                    .turns
+                    .settle(&program, &turn, delivered, retention_ms, served_by);
             settling.await;
         });
     }
 }
 
-/// What the stores say of a turn.
-struct Reserved {
+/// State of a turn after the turn stores were consulted.
+struct ReservedTurn {
     reservation: Option<Reservation>,
-    chain: Option<ChainAnswer>,
-    /// The replica that served the program's last turn.
+    chain: Option<ChainLookup>,
+    /// Replica that served the program's latest turn.
     served_by: Option<BackendId>,
     purpose: Purpose,
 }
 
-impl Reserved {
-    /// Of a turn that needs nothing of the stores.
-    fn nothing(program: &ProgramFields) -> Self {
+impl ReservedTurn {
+    /// Returns the state of a turn that does not involve the stores.
+    fn without_stores(program: &ProgramFields) -> Self {
         Self {
             reservation: None,
             chain: None,
             served_by: None,
-            purpose: purpose(program.previous.is_none()),
+            purpose: purpose_of(program.previous.is_none()),
         }
     }
 }
 
-fn purpose(begins: bool) -> Purpose {
-    if begins {
+fn purpose_of(is_first_turn: bool) -> Purpose {
+    if is_first_turn {
         Purpose::Begins
     } else {
         Purpose::Continues
     }
 }
 
-/// Reserves a turn's tokens, takes one of its tenant's quota, and finds the turns that it goes on
-/// from.
+/// Prepares a turn: reserves its tokens, loads its ancestors, chooses a replica, and takes a token
+/// from its tenant's quota.
 pub(crate) async fn prepare_turn(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
@@ -143,45 +146,46 @@
             reservation: None,
             chain: Vec::new(),
             preferred_replica: None,
-            goes_on: false,
+            is_continuation: false,
             prompt: None,
-            _under_way: None,
+            _guard: None,
         });
     };
     let previous = program
         .previous
         .as_ref()
         .filter(|_| inbound.route.keeps_history);
-    let known = previous.and_then(|previous| gateway.turn_cache.borrow().chain(previous));
-    let wanted = previous.filter(|_| known.is_none());
-    let reserved = if program.budget.is_some() || wanted.is_some() {
-        reserve(gateway, inbound, program, wanted).await?
+    let cached_chain = previous.and_then(|previous| gateway.turn_cache.borrow().chain(previous));
+    let missing = previous.filter(|_| cached_chain.is_none());
+    let reserved = if program.budget.is_some() || missing.is_some() {
+        reserve(gateway, inbound, program, missing).await?
     } else {
-        Reserved::nothing(program)
+        ReservedTurn::without_stores(program)
     };
-    let chain = match (known, reserved.chain) {
+    let chain = match (cached_chain, reserved.chain) {
         (Some(chain), _) => chain,
-        (None, Some(answer)) => take_chain(gateway, inbound, answer)?,
+        (None, Some(lookup)) => resolve_chain(gateway, inbound, lookup)?,
         (None, None) => Vec::new(),
     };
-    let place = match (chain.last(), reserved.purpose) {
+    let preferred_replica = match (chain.last(), reserved.purpose) {
         (Some(turn), _) => turn.served_by.clone(),
-        (None, Purpose::Begins) => placement::first_place(gateway, inbound).await?,
+        (None, Purpose::Begins) => placement::choose_first_replica(gateway, inbound).await?,
         (None, Purpose::Continues) => reserved.served_by,
     };
-    // Only for a turn that will be sent: one that names no turn or is over its budget takes none.
+    // Taken after the checks above, so that a turn with an unknown ancestor or without budget takes
+    // no token.
     quota::take_token(gateway, inbound, reserved.purpose).await?;
     let prompt = match chain.is_empty() {
         true => None,
-        false => Some(prompt(&chain, inbound)?),
+        false => Some(build_prompt(&chain, inbound)?),
     };
     Ok(PreparedTurn {
         reservation: reserved.reservation,
-        preferred_replica: place,
-        goes_on: reserved.purpose == Purpose::Continues,
+        preferred_replica,
+        is_continuation: reserved.purpose == Purpose::Continues,
         chain,
         prompt,
-        _under_way: admission::note_turn(gateway, inbound, reserved.purpose),
+        _guard: admission::track_turn(gateway, inbound, reserved.purpose),
     })
 }
 
@@ -189,8 +193,8 @@
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
     program: &ProgramFields,
-    wanted: Option<&TurnId>,
-) -> Result<Reserved, Refusal> {
+    missing: Option<&TurnId>,
+) -> Result<ReservedTurn, Refusal> {
     let turn = inbound.turn();
     let retention_ms = inbound.route.retention_ms;
     let reservation = Reservation {
@@ -198,19 +202,19 @@
         program: program.name.clone(),
         turn: turn.clone(),
         retention_ms,
-        given: Cell::new(0),
+        delivered: Cell::new(0),
         is_settled: Cell::new(false),
         served_by: RefCell::default(),
     };
-    let began = Instant::now();
-    let beginning =
+    let started_at = Instant::now();
+    let reserving =
         gateway
             .turns
-            .begin(&program.name, &turn, program.ceiling, retention_ms, wanted);
-    let begun = match actix_rt::time::timeout(inbound.remaining(), beginning).await {
-        Ok(Ok(begun)) => begun,
+            .begin(&program.name, &turn, program.ceiling, retention_ms, missing);
+    let response = match actix_rt::time::timeout(inbound.remaining(), reserving).await {
+        Ok(Ok(response)) => response,
         Ok(Err(error)) => {
-            tracing::warn!(id = inbound.id, %error, "a turn could not be noted");
+            tracing::warn!(id = inbound.id, %error, "cannot reserve tokens for a turn");
             return Err(Refusal::recovering("the turn stores do not answer"));
         }
         Err(_) => {
@@ -219,27 +223,27 @@
             ));
         }
     };
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     gateway.metrics.reserve_seconds.observe(seconds);
-    let begins = program.previous.is_none() && begun.account.is_begun_by(&turn);
-    if begins {
-        let_in(gateway, inbound, program)?;
+    let is_first_turn = program.previous.is_none() && response.account.is_first_turn(&turn);
+    if is_first_turn {
+        admit(gateway, inbound, program)?;
     }
-    let reserved = Reserved {
+    let reserved = ReservedTurn {
         reservation: Some(reservation),
-        chain: begun.chain,
-        served_by: begun.served_by,
-        purpose: purpose(begins),
+        chain: response.chain,
+        served_by: response.served_by,
+        purpose: purpose_of(is_first_turn),
     };
     let Some(budget) = program.budget else {
         return Ok(reserved);
     };
-    let mut spent = begun.account.total();
+    let mut spent = response.account.total();
     let mut admission = BudgetDecision::after_first_read(spent, program.ceiling, budget);
     if admission == BudgetDecision::ReadAgain {
-        let again = gateway.turns.account(&program.name).await;
-        let again = again.ok_or(Refusal::recovering("the turn stores do not answer"))?;
-        spent = spent.max(again.total());
+        let account = gateway.turns.account(&program.name).await;
+        let account = account.ok_or(Refusal::recovering("the turn stores do not answer"))?;
+        spent = spent.max(account.total());
         admission = BudgetDecision::after_second_read(spent, budget);
     }
     if admission == BudgetDecision::Refuse {
@@ -249,7 +253,7 @@
             spent,
             budget,
             ceiling = program.ceiling,
-            "the budget is spent"
+            "turn refused: the program's token budget is spent"
         );
         return Err(Refusal::new(
             StatusCode::PAYMENT_REQUIRED,
@@ -259,23 +263,23 @@
     Ok(reserved)
 }
 
-/// Refuses a program that has not begun when the engines have too much to do already.
-fn let_in(
+/// Refuses a new program if the engines are overloaded.
+fn admit(
     gateway: &Gateway,
     inbound: &InboundRequest,
     program: &ProgramFields,
 ) -> Result<(), Refusal> {
-    let place = xxh3_64_with_seed(program.name.0.as_bytes(), INTAKE_SEED);
-    if admission::decides(gateway, inbound) {
-        return admission::let_in(gateway, inbound, program, place);
+    let admission_hash = xxh3_64_with_seed(program.name.0.as_bytes(), ADMISSION_SEED);
+    if admission::uses_working_set(gateway, inbound) {
+        return admission::admit(gateway, inbound, program, admission_hash);
     }
     let mut shedder = gateway.shedder.borrow_mut();
-    let intake = shedder.admit(&inbound.route, place, gateway.now());
+    let decision = shedder.admit(&inbound.route, admission_hash, gateway.now());
     let ShedDecision::Refuse {
         retry_delay,
         share,
         late,
-    } = intake
+    } = decision
     else {
         return Ok(());
     };
@@ -286,47 +290,55 @@
         share,
         late,
         aim_ms = inbound.route.target_latency_ms,
-        "a program is not let in"
+        "program refused: too many first events on its route are late"
     );
     Err(Refusal::not_run_retry_after(
-        "the engines have too much to do",
+        "the engines are overloaded",
         retry_delay,
     ))
 }
 
-fn take_chain(
+fn resolve_chain(
     gateway: &Gateway,
     inbound: &InboundRequest,
-    answer: ChainAnswer,
+    lookup: ChainLookup,
 ) -> Result<Vec<Rc<TurnRecord>>, Refusal> {
-    match answer {
-        ChainAnswer::Found(chain) => {
+    match lookup {
+        ChainLookup::Found(chain) => {
             let mut cache = gateway.turn_cache.borrow_mut();
             for turn in &chain {
                 cache.insert(Rc::clone(turn));
             }
             Ok(chain)
         }
-        ChainAnswer::Absent => {
-            tracing::info!(id = inbound.id, "no store has the previous turn");
+        ChainLookup::Absent => {
+            tracing::info!(
+                id = inbound.id,
+                "turn refused: the previous turn does not exist"
+            );
             Err(Refusal::new(StatusCode::NOT_FOUND, "no such turn"))
         }
-        ChainAnswer::Unknown => {
-            tracing::warn!(id = inbound.id, "the previous turn cannot be found now");
-            Err(Refusal::recovering("the previous turn cannot be found now"))
+        ChainLookup::Unknown => {
+            tracing::warn!(
+                id = inbound.id,
+                "turn refused: cannot determine whether the previous turn exists"
+            );
+            Err(Refusal::recovering(
+                "the previous turn cannot be looked up at the moment",
+            ))
         }
     }
 }
 
-/// The prompt of a turn: everything before it in its line, then what is new.
-fn prompt(chain: &[Rc<TurnRecord>], inbound: &InboundRequest) -> Result<Bytes, Refusal> {
+/// Builds the prompt of a turn: the inputs and outputs of its ancestors followed by the new input.
+fn build_prompt(chain: &[Rc<TurnRecord>], inbound: &InboundRequest) -> Result<Bytes, Refusal> {
     let history: usize = chain
         .iter()
         .map(|turn| turn.input.len() + turn.output.len())
         .sum();
     let length = history + inbound.body.len();
-    let room = inbound.held.add_prompt(length as u64);
-    room.map_err(|_| Refusal::memory_exhausted())?;
+    let added = inbound.held.add_prompt(length as u64);
+    added.map_err(|_| Refusal::memory_exhausted())?;
     let mut prompt = BytesMut::with_capacity(length);
     for turn in chain {
         prompt.extend_from_slice(&turn.input);
--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -1,134 +1,135 @@
-//! Which new programs are let in, by the memory and the slots that those under way need.
+//! Admission of new programs by the memory and slots that running programs need.
 //!
-//! Answers the load of more programs than the engines' memory holds. Programs that pause for
-//! their tools then lose their cached prompts, and the turns that read them again take the time
-//! of those that wait: overload feeds itself, and nearly nobody ends in time. So programs are let
-//! in while what those under way need until they end fits. This leads, since it counts a program
-//! from its beginning and not from when it makes others late, and it recovers as soon as programs
-//! end. Programs that have begun are not asked.
+//! A program that pauses for a tool call leaves its cached prompt in engine memory. If more
+//! programs run than the memory holds, paused programs lose their cached prompts, and reading these
+//! again takes time from the turns that wait: overload reinforces itself, and few programs end in
+//! time. New programs are therefore admitted only while the projected need of all running programs
+//! fits. The projection counts a program from its start instead of reacting to late answers, and
+//! recovers as soon as programs end. Programs that have started are not checked again.
 //!
-//! Each kind of request has a limit, lower the less urgent it is, and below the limit a range in
-//! which a falling share of its programs is let in, so that many gateways with the same view do
-//! not all open and close at once. A program's place in that share is drawn from its name, the
-//! same at each gateway; it falls with each refusal, so that who comes back goes before new ones.
+//! Each priority has a utilization limit, which is lower for less urgent priorities. Below the
+//! limit is a range in which a falling share of programs is admitted, so that gateways with the
+//! same view do not all open and close at once. A program's draw decides whether it is part of that
+//! share. The draw depends on the program's name and is the same at each gateway. Each refusal
+//! lowers it, so that returning programs go before new ones.
 
-use crate::program_table::OwnDemand;
+use crate::program_table::LocalDemand;
 use crate::shares::TenantDemands;
 use luglink_edge::{Configuration, Route};
 use luglink_types::{TenantName, Timestamp};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Share of the engines' memory that programs may need: above it, differences between replicas
-/// make prompts give way at the fuller ones.
-const LIMIT: f64 = 0.95;
+/// Maximum share of the engines' memory or slots that programs may need. Above it, differences
+/// between replicas cause evictions at the fuller ones.
+const MAX_UTILIZATION: f64 = 0.95;
 
-/// Share of the limit from which some programs are refused.
-const SHORT_FROM: f64 = 0.9;
+/// Fullness, relative to the limit, above which some programs are refused.
+const PARTIAL_ADMISSION_THRESHOLD: f64 = 0.9;
 
-/// Share of the limit that is kept for each more urgent kind of request.
-const KEPT_FOR_URGENT: f64 = 0.17;
+/// Share of the limit that is reserved for each more urgent priority.
+const URGENT_RESERVE_RATIO: f64 = 0.17;
 
-/// Most kinds for which some is kept.
-const MOST_URGENT_KINDS: usize = 3;
+/// Maximum number of more urgent priorities with a reserve.
+const MAX_URGENT_RESERVES: usize = 3;
 
-/// Time for which room is kept for a kind after its last program.
-const URGENT_MEMORY: Duration = Duration::from_secs(10);
+/// Time for which a priority keeps its reserve after its last program.
+const URGENT_RESERVE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Share of the room that tenants do not get for what they ask beyond their fair share, so that
-/// they are refused before the others are.
-const KEPT_FROM_EXCESS: f64 = 0.25;
+/// Share of the capacity that is withheld from tenants above their fair share, so that they are
+/// refused before others.
+const EXCESS_RESERVE_RATIO: f64 = 0.25;
 
-/// Share of its demand from which a tenant's fair share is near enough to it: a gateway sees so few
-/// programs of a tenant that chance makes some ask for twice as much as others.
-const EXCESS_SHARE: f64 = 0.5;
+/// A tenant exceeds its fair share if that share covers at most this part of its demand. A gateway
+/// sees so few programs of each tenant that some ask for twice as much as others by chance.
+const MAX_EXCESS_SERVED_RATIO: f64 = 0.5;
 
-/// Share of what all ask for to which the fair shares add up while room is short.
-const SERVED_WHEN_SHORT: f64 = 0.85;
+/// Sum of the fair shares, relative to the total demand, while capacity is short.
+const SERVED_DEMAND_RATIO: f64 = 0.85;
 
-/// What is left of a program's place after each refusal: one that was refused once is let in
-/// while a quarter of the new ones are.
-const PLACE_AFTER_REFUSAL: f64 = 0.25;
+/// Factor on a program's draw for each refusal. After one refusal, a program is admitted as soon as
+/// a quarter of the new ones are.
+const REFUSAL_DRAW_FACTOR: f64 = 0.25;
 
-/// Time for which a refused program is remembered: longer than callers are told to wait.
-const REFUSED_MEMORY: Duration = Duration::from_secs(10);
+/// Time for which a refused program is remembered; longer than the retry delays that callers get.
+const REFUSAL_RETENTION: Duration = Duration::from_secs(10);
 
-/// Most refused programs that are remembered.
-const MOST_REFUSED: usize = 8_192;
+/// Maximum number of refused programs that are remembered.
+const MAX_REFUSED_PROGRAMS: usize = 8_192;
 
-/// Shortest pause after a refusal: a round trip and some turns of others.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(100);
+/// Minimum retry delay after a refusal: a round trip and some turns of other programs.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Longest pause after a refusal, in shares of the time that the caller has left: a later one
-/// would leave too little to be served in.
-const LONGEST_PAUSE_SHARE: f64 = 1.0 / 3.0;
+/// Maximum retry delay relative to the caller's remaining time. A longer delay leaves too little
+/// time to be served.
+const MAX_RETRY_DELAY_RATIO: f64 = 1.0 / 3.0;
 
-/// Age from which the sum of the zone says nothing of the present.
+/// Age from which the zone's sum is stale.
 const STALE_AFTER: Duration = Duration::from_secs(2);
 
-/// Programs of this gateway from which its own count weighs as much as the sum of its zone: the
-/// sum is late by about a second, the own count is off by its square root.
-const EVEN_TRUST: f64 = 256.0;
+/// Number of local programs at which the local estimate weighs as much as the zone's sum. The sum
+/// lags by about a second; the error of the local count is its square root.
+const EQUAL_WEIGHT_PROGRAMS: f64 = 256.0;
 
-/// The engines' room for the callers of one zone.
+/// Capacity of the engines for the callers of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Capacity {
-    /// Tokens of memory.
+    /// Memory in tokens.
     pub tokens: f64,
-    /// Requests that are worked on at once.
+    /// Number of requests served concurrently.
     pub slots: f64,
 }
 
-/// Requests that all gateways of the zone have under way.
+/// Requests in flight at all gateways of the zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneRequests {
-    /// How many.
+    /// Number of requests.
     pub requests: f64,
-    /// Time since the sum was told.
+    /// Time since the sum was received.
     pub age: Duration,
 }
 
-/// What the programs under way of all gateways of a zone need.
+/// Demand of the running programs of all gateways of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetDemand {
-    /// Tokens that they need in memory at once from now until they end.
+    /// Peak memory need in tokens from now until the programs end.
     pub peak_tokens: f64,
-    /// Programs, those that pause included.
+    /// Number of programs, including paused ones.
     pub active_programs: f64,
-    /// Their turns under way.
+    /// Number of turns in flight.
     pub requests_in_flight: f64,
-    /// Age of the oldest figure in it.
+    /// Age of the oldest figure in the estimate.
     pub age: Duration,
 }
 
 impl FleetDemand {
-    /// Estimates it from what one of `gateways` sees itself and from the requests of all of them.
-    /// Without a sum that is fresh the own figures are scaled, after taking their chance error
-    /// off: to refuse nobody by mistake goes before.
-    /// `usual` is the average of `own`.
+    /// Estimates the demand of all `gateways` from the local demand and the requests of the zone.
+    /// Without a fresh sum of the zone, the local demand is scaled by the number of gateways after
+    /// its statistical error is subtracted, because avoiding wrong refusals takes precedence.
+    /// `average` is the average of `local`.
     #[must_use]
     pub fn estimate(
-        own: OwnDemand,
-        usual: OwnDemand,
+        local: LocalDemand,
+        average: LocalDemand,
         gateways: f64,
         zone: Option<ZoneRequests>,
     ) -> Self {
         if gateways <= 1.0 {
-            return Self::of(&own, Duration::ZERO);
+            return Self::from_demand(&local, Duration::ZERO);
         }
         let zone = zone.filter(|zone| zone.age < STALE_AFTER);
-        let Some(zone) = zone.filter(|_| usual.requests > 0.0) else {
-            let certain = (own.programs - 2.0 * own.programs.sqrt()).max(0.0);
-            let share = certain / own.programs.max(1.0);
-            return Self::of(&own.times(gateways * share), Duration::ZERO);
+        let Some(zone) = zone.filter(|_| average.requests > 0.0) else {
+            let lower_bound = (local.programs - 2.0 * local.programs.sqrt()).max(0.0);
+            let share = lower_bound / local.programs.max(1.0);
+            return Self::from_demand(&local.scaled(gateways * share), Duration::ZERO);
         };
-        let trust = own.programs / (own.programs + EVEN_TRUST);
-        let by_zone = usual.times(zone.requests / usual.requests);
-        let together = by_zone.towards(&own.times(gateways), trust);
-        Self::of(&together, zone.age)
+        let local_weight = local.programs / (local.programs + EQUAL_WEIGHT_PROGRAMS);
+        let zone_estimate = average.scaled(zone.requests / average.requests);
+        let combined = zone_estimate.interpolate(&local.scaled(gateways), local_weight);
+        Self::from_demand(&combined, zone.age)
     }
 
-    fn of(demand: &OwnDemand, age: Duration) -> Self {
+    fn from_demand(demand: &LocalDemand, age: Duration) -> Self {
         Self {
             peak_tokens: demand.peak(),
             active_programs: demand.programs,
@@ -138,38 +139,39 @@
     }
 }
 
-/// A program that has not begun.
+/// Program that asks to start.
 #[derive(Clone, Copy, Debug)]
 pub struct NewProgram<'request> {
-    /// Stands for the program, the same on each try and at each gateway.
+    /// Hash of the program's name, the same on each attempt and at each gateway. Its upper half is
+    /// the program's draw.
     pub admission_hash: u64,
-    /// Its route.
+    /// Route of the program.
     pub route: &'request Route,
-    /// For whom it comes.
+    /// Tenant of the program.
     pub tenant: Option<&'request TenantName>,
-    /// Tokens of its first prompt.
+    /// Length of the first prompt in tokens.
     pub prompt_tokens: u64,
-    /// Time that its caller has left.
+    /// Remaining time of the caller.
     pub remaining: Duration,
-    /// Usual time from a program's beginning to its end.
+    /// Typical time from a program's start to its end.
     pub lifetime: Duration,
-    /// From 0 to 1; keeps those that are refused together from coming back together.
+    /// Random number from 0 to 1 that spreads the retries of programs that are refused together.
     pub spread: f64,
 }
 
-/// Why a program is refused.
+/// Reason for a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// The engines' memory.
+    /// Memory of the engines.
     Memory,
-    /// The engines' slots.
+    /// Slots of the engines.
     Slots,
-    /// Its tenant's fair share of either.
+    /// Fair share of the tenant.
     FairShare,
 }
 
 impl Shortage {
-    /// Its name in logs and metrics.
+    /// Returns the name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -180,189 +182,198 @@
     }
 }
 
-/// Whether a program may begin.
+/// Decision on whether a program may start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionDecision {
-    /// What is too short, when it may not.
+    /// Reason for the refusal; `None` if the program is admitted.
     pub refused_for: Option<Shortage>,
-    /// How full its kind's room is; above 1 nobody of the kind is let in.
+    /// Utilization relative to the limit of the priority; above 1 no program of the priority is
+    /// admitted.
     pub fullness: f64,
-    /// Share of its kind that is let in.
+    /// Share of the priority's programs that is admitted.
     pub share: f64,
-    /// Share of its tenant's programs that is let in.
+    /// Share of the tenant's programs that is admitted.
     pub tenant_share: f64,
-    /// When it may come back, if it is refused.
+    /// Time after which a refused program should retry.
     pub retry_delay: Duration,
 }
 
 impl AdmissionDecision {
-    /// Whether fewer of its tenant's programs are let in than of others.
+    /// Returns true if a smaller share is admitted of this tenant's programs than of others.
     #[must_use]
     pub fn is_above_fair_share(&self) -> bool {
         self.tenant_share < self.share
     }
 }
 
-/// A program that was refused.
+/// Refusals of one program.
 #[derive(Clone, Copy, Debug)]
-struct Refused {
-    times: i32,
+struct RefusalRecord {
+    count: i32,
     at: Timestamp,
 }
 
-/// Lets new programs of a service in.
+/// Admission control for the new programs of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ProgramAdmission {
-    /// When each kind was last asked for.
-    kinds: BTreeMap<u8, Timestamp>,
-    refused: HashMap<u64, Refused>,
+    /// Time of the last program of each priority.
+    last_seen: BTreeMap<u8, Timestamp>,
+    refusals: HashMap<u64, RefusalRecord>,
     tenants: BTreeMap<u8, TenantDemands>,
 }
 
 impl ProgramAdmission {
-    /// Whether a program may begin. With `fair_shares`, who asks for more than its fair share is
-    /// refused before the others.
+    /// Decides whether a program may start. With `fair_shares`, tenants above their fair share are
+    /// refused before others.
     pub fn admit(
         &mut self,
-        newcomer: &NewProgram<'_>,
-        room: Capacity,
+        new_program: &NewProgram<'_>,
+        capacity: Capacity,
         demand: &FleetDemand,
         fair_shares: bool,
         now: Timestamp,
     ) -> AdmissionDecision {
-        let priority = newcomer.route.priority;
-        self.kinds.insert(priority, now);
-        let limit = self.limit(priority, now);
-        let memory = fullness(
+        let priority = new_program.route.priority;
+        self.last_seen.insert(priority, now);
+        let limit = self.utilization_limit(priority, now);
+        let memory = utilization(
             demand.peak_tokens,
-            newcomer.prompt_tokens as f64,
-            room.tokens,
+            new_program.prompt_tokens as f64,
+            capacity.tokens,
         );
-        let slots = fullness(demand.requests_in_flight, 1.0, room.slots);
+        let slots = utilization(demand.requests_in_flight, 1.0, capacity.slots);
         let fullness = memory.max(slots) / limit;
-        let share = share_at(fullness);
-        let tenant_share = self.tenant_share(newcomer, fullness, fair_shares, now);
-        let drawn = drawn(newcomer.admission_hash);
-        let place = drawn * self.favour(newcomer.admission_hash, now);
-        // Coming back helps nobody beyond a fair share.
+        let share = admitted_share(fullness);
+        let tenant_share = self.tenant_share(new_program, fullness, fair_shares, now);
+        let unit_draw = unit_draw(new_program.admission_hash);
+        let weighted_draw = unit_draw * self.draw_factor(new_program.admission_hash, now);
+        // Earlier refusals give no precedence beyond the fair share.
         let is_admitted = if tenant_share < share {
-            drawn < tenant_share
+            unit_draw < tenant_share
         } else {
-            place < tenant_share
+            weighted_draw < tenant_share
         };
-        let refused_for = match (is_admitted, place < share) {
+        let refused_for = match (is_admitted, weighted_draw < share) {
             (true, _) => None,
             (false, true) => Some(Shortage::FairShare),
             (false, false) if memory >= slots => Some(Shortage::Memory),
             (false, false) => Some(Shortage::Slots),
         };
-        self.remember(newcomer.admission_hash, is_admitted, now);
+        self.record_decision(new_program.admission_hash, is_admitted, now);
         AdmissionDecision {
             refused_for,
             fullness,
             share,
             tenant_share,
-            retry_delay: retry_delay(newcomer, fullness),
+            retry_delay: retry_delay(new_program, fullness),
         }
     }
 
-    /// Share of the room that a kind may need together with all that is under way.
-    fn limit(&self, priority: u8, now: Timestamp) -> f64 {
-        let more_urgent = self.kinds.range(..priority);
-        let lately = more_urgent.filter(|(_, seen)| now.since(**seen) < URGENT_MEMORY);
-        let kinds = lately.count().min(MOST_URGENT_KINDS);
-        LIMIT * (1.0 - KEPT_FOR_URGENT * kinds as f64)
+    /// Returns the maximum utilization for a priority, including everything in flight.
+    fn utilization_limit(&self, priority: u8, now: Timestamp) -> f64 {
+        let more_urgent = self.last_seen.range(..priority);
+        let active = more_urgent.filter(|(_, seen)| now.since(**seen) < URGENT_RESERVE_TIMEOUT);
+        let reserves = active.count().min(MAX_URGENT_RESERVES);
+        MAX_UTILIZATION * (1.0 - URGENT_RESERVE_RATIO * reserves as f64)
     }
 
     fn tenant_share(
         &mut self,
-        newcomer: &NewProgram<'_>,
+        new_program: &NewProgram<'_>,
         fullness: f64,
         fair_shares: bool,
         now: Timestamp,
     ) -> f64 {
-        let share = share_at(fullness);
+        let share = admitted_share(fullness);
         if !fair_shares {
             return share;
         }
-        let tenants = self.tenants.entry(newcomer.route.priority).or_default();
-        tenants.note(newcomer.tenant, newcomer.prompt_tokens.max(1) as f64, now);
-        let early = share_at(fullness / (1.0 - KEPT_FROM_EXCESS));
-        if early >= 1.0 {
+        let tenants = self.tenants.entry(new_program.route.priority).or_default();
+        tenants.note(
+            new_program.tenant,
+            new_program.prompt_tokens.max(1) as f64,
+            now,
+        );
+        let reduced_share = admitted_share(fullness / (1.0 - EXCESS_RESERVE_RATIO));
+        if reduced_share >= 1.0 {
             return 1.0;
         }
-        let fair = tenants.served_share(newcomer.tenant, SERVED_WHEN_SHORT, now);
-        if fair > EXCESS_SHARE {
+        let served_share = tenants.served_share(new_program.tenant, SERVED_DEMAND_RATIO, now);
+        if served_share > MAX_EXCESS_SERVED_RATIO {
             return share;
         }
-        share * fair.max(early)
+        share * served_share.max(reduced_share)
     }
 
-    /// What is left of a program's place after its refusals.
-    fn favour(&self, program: u64, now: Timestamp) -> f64 {
-        let refused = self.refused.get(&program);
-        let refused = refused.filter(|refused| now.since(refused.at) < REFUSED_MEMORY);
-        let times = refused.map_or(0, |refused| refused.times);
-        PLACE_AFTER_REFUSAL.powi(times)
+    /// Returns the factor on a program's draw for its earlier refusals.
+    fn draw_factor(&self, program: u64, now: Timestamp) -> f64 {
+        let refused = self.refusals.get(&program);
+        let refused = refused.filter(|refused| now.since(refused.at) < REFUSAL_RETENTION);
+        let count = refused.map_or(0, |refused| refused.count);
+        REFUSAL_DRAW_FACTOR.powi(count)
     }
 
-    fn remember(&mut self, program: u64, is_admitted: bool, now: Timestamp) {
+    fn record_decision(&mut self, program: u64, is_admitted: bool, now: Timestamp) {
         if is_admitted {
-            self.refused.remove(&program);
+            self.refusals.remove(&program);
             return;
         }
-        if self.refused.len() >= MOST_REFUSED {
-            self.refused
-                .retain(|_, refused| now.since(refused.at) < REFUSED_MEMORY);
+        if self.refusals.len() >= MAX_REFUSED_PROGRAMS {
+            self.refusals
+                .retain(|_, refused| now.since(refused.at) < REFUSAL_RETENTION);
         }
-        if self.refused.len() >= MOST_REFUSED && !self.refused.contains_key(&program) {
+        if self.refusals.len() >= MAX_REFUSED_PROGRAMS && !self.refusals.contains_key(&program) {
             return;
         }
         let refused = self
-            .refused
+            .refusals
             .entry(program)
-            .or_insert(Refused { times: 0, at: now });
-        refused.times += 1;
+            .or_insert(RefusalRecord { count: 0, at: now });
+        refused.count += 1;
         refused.at = now;
     }
 
-    /// Forgets kinds that are not in force any more.
+    /// Removes priorities that no configured route has.
     pub fn keep_only(&mut self, configuration: &Configuration) {
         let priorities: Vec<u8> = configuration
             .routes
             .iter()
             .map(|route| route.priority)
             .collect();
-        self.kinds
+        self.last_seen
             .retain(|priority, _| priorities.contains(priority));
         self.tenants
             .retain(|priority, _| priorities.contains(priority));
     }
 }
 
-/// Share of new programs that is let in at a fullness.
-fn share_at(fullness: f64) -> f64 {
-    ((1.0 - fullness) / (1.0 - SHORT_FROM)).clamp(0.0, 1.0)
+/// Returns the share of new programs that is admitted at a fullness.
+fn admitted_share(fullness: f64) -> f64 {
+    ((1.0 - fullness) / (1.0 - PARTIAL_ADMISSION_THRESHOLD)).clamp(0.0, 1.0)
 }
 
-/// The place that a program has drawn, from 0 to below 1: the upper half of the draw.
-fn drawn(program: u64) -> f64 {
+/// Returns a program's draw as a number from 0 to below 1, taken from its upper half.
+fn unit_draw(program: u64) -> f64 {
     (program >> 32) as f64 / 4_294_967_296.0
 }
 
-/// How full the room is with a newcomer in it; 0 where no room is known, since others decide then.
-fn fullness(under_way: f64, own: f64, room: f64) -> f64 {
-    if room <= 0.0 {
+/// Returns the utilization with the new program included, or 0 if the capacity is unknown, which
+/// leaves the decision to other checks.
+fn utilization(in_flight: f64, added: f64, capacity: f64) -> f64 {
+    if capacity <= 0.0 {
         return 0.0;
     }
-    (under_way + own) / room
+    (in_flight + added) / capacity
 }
 
-/// When room is expected: programs end at the rate of one lifetime, until those that are too many
-/// have.
-fn retry_delay(newcomer: &NewProgram<'_>, fullness: f64) -> Duration {
-    let too_many = (1.0 - SHORT_FROM / fullness.max(SHORT_FROM)).max(0.0);
-    let room_in = newcomer.lifetime.mul_f64(too_many);
-    let spread = room_in.max(SHORTEST_PAUSE).mul_f64(0.5 + newcomer.spread);
-    spread.min(newcomer.remaining.mul_f64(LONGEST_PAUSE_SHARE))
+/// Returns the expected time until capacity is free. Each program ends within one lifetime, so that
+/// the excess programs end within their share of a lifetime.
+fn retry_delay(new_program: &NewProgram<'_>, fullness: f64) -> Duration {
+    let excess =
+        (1.0 - PARTIAL_ADMISSION_THRESHOLD / fullness.max(PARTIAL_ADMISSION_THRESHOLD)).max(0.0);
+    let free_after = new_program.lifetime.mul_f64(excess);
+    let delay = free_after
+        .max(MIN_RETRY_DELAY)
+        .mul_f64(0.5 + new_program.spread);
+    delay.min(new_program.remaining.mul_f64(MAX_RETRY_DELAY_RATIO))
 }
--- a/crates/scheduling/src/pool/index.rs
+++ b/crates/scheduling/src/pool/index.rs
@@ -1,43 +1,43 @@
-//! The replicas of one service by zone, and which of them this gateway has used.
+//! Index of one service's replicas by zone, and of those that this gateway has used.
 
 use super::working_set::WorkingSet;
-use super::{CandidateScope, Extent, RoutingRequest};
+use super::{CandidateScope, RoutingRequest, ServiceSize};
 use luglink_fleet::{Backend, BackendId};
 use luglink_types::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Replicas of a service that every zone must have for its programs to stay in their zones, which
-/// spares connections and bytes between zones. With fewer, two choices do not even out what the
-/// few of a zone get. Were only the larger zones to keep theirs, their replicas would get those of
-/// the others besides.
-const ENOUGH_NEAR: usize = 8;
+/// Minimum number of a service's replicas in every zone for programs to stay in their zones, which
+/// saves connections and traffic between zones. With fewer, two choices do not balance the load of
+/// a zone's few replicas. If only the larger zones kept their programs, their replicas would also
+/// get those of the others.
+const MIN_REPLICAS_PER_ZONE: usize = 8;
 
-/// Replicas of a service of which a gateway remembers what it has seen of them, apart from those
-/// that have its requests. A request is weighed between all of these, and a gateway of a large
-/// fleet would come to have used every replica.
-const REMEMBERED: usize = 64;
+/// Maximum number of a service's replicas that a gateway remembers as used, apart from those that
+/// have its requests. Each choice compares all of these, and without a limit a gateway of a large
+/// fleet would eventually compare every replica.
+const MAX_USED_REPLICAS: usize = 64;
 
-/// The replicas of one service in one zone.
+/// Replicas of one service in one zone.
 #[derive(Clone, Debug, Default)]
 struct ZoneIndex {
-    /// Those that may get work, in an order that is the same at all gateways and says nothing of
-    /// the replicas: neighbours in it are neighbours nowhere else.
+    /// Replicas that may get work, in a pseudo-random order that is the same at all gateways, so
+    /// that neighbours in it have nothing else in common.
     usable: BTreeSet<(u64, BackendId)>,
-    /// Number of all that are listed, leaving ones included.
+    /// Number of listed replicas, including draining ones.
     listed: usize,
 }
 
-/// The replicas of one service.
+/// Replicas of one service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceIndex {
     zones: BTreeMap<String, ZoneIndex>,
-    /// Replicas that this gateway has used, leaving ones included.
+    /// Replicas that this gateway has used, including draining ones.
     used: BTreeSet<BackendId>,
-    /// The same in the order of their first use.
+    /// The same replicas in the order of their first use.
     used_order: VecDeque<BackendId>,
-    /// How many replicas of a zone get work, where programs stay in their zones.
+    /// Number of a zone's replicas that get work, if programs stay in their zones.
     working_set: WorkingSet,
-    /// Requests that a replica works on at once, as the last one that came says.
+    /// Number of requests that a replica serves concurrently, by the replica added last.
     slots: u32,
 }
 
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn grow_working_set(&mut self) {
-        self.working_set.grow_working_set();
+        self.working_set.grow();
     }
 
     pub(super) fn add(&mut self, backend: &Backend) {
@@ -55,14 +55,14 @@
         zone.listed += 1;
         self.slots = backend.slots;
         if !backend.draining {
-            zone.usable.insert(place(&backend.id));
+            zone.usable.insert(index_key(&backend.id));
         }
     }
 
     pub(super) fn remove(&mut self, backend: &Backend) {
         if let Some(zone) = self.zones.get_mut(&backend.zone) {
             zone.listed -= 1;
-            zone.usable.remove(&place(&backend.id));
+            zone.usable.remove(&index_key(&backend.id));
             if zone.listed == 0 {
                 self.zones.remove(&backend.zone);
             }
@@ -72,9 +72,9 @@
         }
     }
 
-    pub(super) fn service_size(&self) -> Extent {
+    pub(super) fn service_size(&self) -> ServiceSize {
         let usable = self.zones.values().map(|zone| zone.usable.len()).sum();
-        Extent {
+        ServiceSize {
             usable,
             zones: self.zones.len(),
         }
@@ -84,7 +84,7 @@
         self.zones.is_empty()
     }
 
-    /// Replicas that this gateway has used.
+    /// Returns the replicas that this gateway has used.
     pub(super) fn used(&self) -> impl Iterator<Item = &BackendId> {
         self.used.iter()
     }
@@ -99,48 +99,47 @@
         }
     }
 
-    /// Forgets that a replica was used, the one that was used first of those that are idle, when
-    /// too many are remembered.
-    pub(super) fn forget_one(&mut self, is_idle: impl Fn(&BackendId) -> bool) -> Option<BackendId> {
-        if self.used.len() <= REMEMBERED {
+    /// Removes the idle replica that was used first, if too many are remembered.
+    pub(super) fn evict_idle(&mut self, is_idle: impl Fn(&BackendId) -> bool) -> Option<BackendId> {
+        if self.used.len() <= MAX_USED_REPLICAS {
             return None;
         }
         // The newest is about to be used.
         let others = self.used_order.len() - 1;
         let position = self.used_order.iter().take(others).position(is_idle)?;
-        let forgotten = self.used_order.remove(position)?;
-        self.used.remove(&forgotten);
-        Some(forgotten)
+        let evicted = self.used_order.remove(position)?;
+        self.used.remove(&evicted);
+        Some(evicted)
     }
 
-    /// Whether programs of a zone stay in it: it has replicas, and so many that take work are in
-    /// every zone that has any.
-    fn is_zonal(&self, zone: &str) -> bool {
+    /// Returns true if programs of a zone stay in it: it has replicas, and every zone that has any
+    /// has enough usable ones.
+    fn keeps_programs_local(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
             && self
                 .zones
                 .values()
-                .all(|index| index.usable.len() >= ENOUGH_NEAR)
+                .all(|index| index.usable.len() >= MIN_REPLICAS_PER_ZONE)
     }
 
-    /// Replicas at which programs of a zone may begin.
-    pub(super) fn reached<'index>(
+    /// Returns the replicas at which programs of a zone may start.
+    pub(super) fn in_scope<'index>(
         &'index self,
         zone: &'index str,
-        reach: CandidateScope,
+        scope: CandidateScope,
     ) -> impl Iterator<Item = &'index BackendId> {
-        let is_zonal = self.is_zonal(zone);
+        let keeps_programs_local = self.keeps_programs_local(zone);
         let size = self.working_set.size();
-        let (first, count) = match (is_zonal, reach) {
+        let (first, count) = match (keeps_programs_local, scope) {
             (false, _) => (0, usize::MAX),
             (true, CandidateScope::Spare) => (size, size),
             (true, CandidateScope::Home | CandidateScope::OtherZones) => (0, size),
         };
         let zones = self.zones.iter().filter(move |(name, _)| {
-            let is_home = *name == zone || !is_zonal;
-            match reach {
+            let is_home = *name == zone || !keeps_programs_local;
+            match scope {
                 CandidateScope::Home => is_home,
-                CandidateScope::Spare => is_home && is_zonal,
+                CandidateScope::Spare => is_home && keeps_programs_local,
                 CandidateScope::OtherZones => !is_home,
             }
         });
@@ -150,40 +149,40 @@
         })
     }
 
-    /// Replicas that this gateway has not used, one of its zone, or one of each other zone when its
-    /// own has none. They differ in nothing that it knows, so one is as good as all.
+    /// Returns replicas that this gateway has not used: one of its zone, or one of each other zone
+    /// if its own has none. The gateway has no data to prefer one of them, so one is enough.
     pub(super) fn draw_unused<'index>(
         &'index self,
         zone: &str,
-        wish: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
     ) -> Vec<&'index BackendId> {
         let near = self.zones.get(zone);
-        let near = near.and_then(|index| self.draw_in(index, wish));
+        let near = near.and_then(|index| self.draw_in(index, request));
         if let Some(near) = near {
             return vec![near];
         }
         let others = self.zones.iter().filter(|(name, _)| *name != zone);
         others
-            .filter_map(|(_, index)| self.draw_in(index, wish))
+            .filter_map(|(_, index)| self.draw_in(index, request))
             .collect()
     }
 
-    /// One of the working set while there is one that may be drawn, or else the next in order.
+    /// Returns a replica of the working set while one may be drawn, or else the next in order.
     fn draw_in<'index>(
         &self,
         index: &'index ZoneIndex,
-        wish: &RoutingRequest<'_>,
+        request: &RoutingRequest<'_>,
     ) -> Option<&'index BackendId> {
-        let is_free = |id: &&BackendId| !self.used.contains(id) && !wish.tried.contains(id);
+        let is_free = |id: &&BackendId| !self.used.contains(id) && !request.tried.contains(id);
         let size = self.working_set.size().min(index.usable.len());
         let ids = || index.usable.iter().map(|(_, id)| id);
-        let start = (wish.draw % size.max(1) as u64) as usize;
+        let start = (request.draw % size.max(1) as u64) as usize;
         let set = ids().take(size).skip(start).chain(ids().take(start));
         let spare = ids().skip(size);
         set.chain(spare).find(is_free)
     }
 }
 
-fn place(id: &BackendId) -> (u64, BackendId) {
+fn index_key(id: &BackendId) -> (u64, BackendId) {
     (id.stable_hash(), id.clone())
 }
--- a/crates/turns/src/protocol.rs
+++ b/crates/turns/src/protocol.rs
@@ -61,7 +61,7 @@
         /// Tokens that it took.
         tokens: u64,
         /// Ancestors that another program said, and that may be kept elsewhere.
-        carried: Vec<TurnRecord>,
+        foreign_ancestors: Vec<TurnRecord>,
     },
     /// Looks a chain up.
     Lookup(ChainQuery),
--- a/crates/turns/tests/store.rs
+++ b/crates/turns/tests/store.rs
@@ -72,7 +72,7 @@
         epoch,
         turn: Box::new(record),
         tokens,
-        carried: Vec::new(),
+        foreign_ancestors: Vec::new(),
     }
 }
 
@@ -455,14 +455,14 @@
     let view = registry.view();
     let absent = |incarnation| Chain::Absent { incarnation };
     let mut absence = AbsenceProof::default();
-    absence.note(view, &name("a"), &absent(1));
+    absence.record(view, &name("a"), &absent(1));
     assert!(!absence.is_certain(view, replication), "one may lack it");
-    absence.note(view, &name("b"), &absent(77));
+    absence.record(view, &name("b"), &absent(77));
     assert!(
         !absence.is_certain(view, replication),
         "an empty disk's word"
     );
-    absence.note(view, &name("b"), &absent(2));
+    absence.record(view, &name("b"), &absent(2));
     assert!(absence.is_certain(view, replication));
     let nobody = StoreView::default();
     assert!(!AbsenceProof::default().is_certain(&nobody, replication));
