--- a/crates/admin-api/src/convert.rs
+++ b/crates/admin-api/src/convert.rs
@@ -37,9 +37,9 @@
 
 /// Converts the response to a change to a message.
 #[must_use]
-pub fn answer_to_proto(answer: ChangeResponse) -> v1::ApplyResponse {
+pub fn response_to_proto(response: ChangeResponse) -> v1::ApplyResponse {
     use v1::apply_response::Answer;
-    let answer = match answer {
+    let answer = match response {
         ChangeResponse::Accepted { revision } => Answer::AcceptedRevision(revision.0),
         ChangeResponse::Stale { current, .. } => Answer::StaleCurrentRevision(current.0),
         ChangeResponse::Invalid { violations } => Answer::Invalid(v1::Violations {
--- a/crates/admin-api/src/lib.rs
+++ b/crates/admin-api/src/lib.rs
@@ -10,8 +10,8 @@
 
 pub use client::{AdminClient, ClientError};
 pub use convert::{
-    answer_to_proto, change_from_proto, key_from_proto, kind_from_proto, operation_from_proto,
-    operation_to_proto, resource_from_proto, resource_to_proto,
+    change_from_proto, key_from_proto, kind_from_proto, operation_from_proto, operation_to_proto,
+    resource_from_proto, resource_to_proto, response_to_proto,
 };
 pub use errors::{ApiError, ResourceFileError};
 pub use resource_file::{ResourceFile, parse_resource_file};
--- a/crates/control-server/src/admin.rs
+++ b/crates/control-server/src/admin.rs
@@ -4,8 +4,8 @@
 use actix::Addr;
 use luglink_admin_api::v1::admin_server::Admin;
 use luglink_admin_api::{
-    LEADER_METADATA, answer_to_proto, change_from_proto, kind_from_proto, operation_to_proto,
-    resource_to_proto, v1,
+    LEADER_METADATA, change_from_proto, kind_from_proto, operation_to_proto, resource_to_proto,
+    response_to_proto, v1,
 };
 use luglink_control::{MemberStatus, Request as ControlRequest, Response as ControlResponse};
 use luglink_raft::{Membership, MembershipChange, Peer};
@@ -83,7 +83,7 @@
         let change = change_from_proto(request.into_inner())
             .map_err(|error| Status::invalid_argument(error.to_string()))?;
         match self.ask(ControlRequest::Change(change)).await? {
-            ControlResponse::Change(answer) => Ok(Response::new(answer_to_proto(answer))),
+            ControlResponse::Change(answer) => Ok(Response::new(response_to_proto(answer))),
             _ => Err(unexpected()),
         }
     }
