--- a/crates/daemon-server/src/actor.rs
+++ b/crates/daemon-server/src/actor.rs
@@ -28,7 +28,7 @@
 }
 
 /// A caller that waits for an answer.
-struct Waiting {
+struct WaitingCaller {
     answers: mpsc::UnboundedSender<Answer>,
     since: Instant,
     first_part_seen: bool,
@@ -37,13 +37,13 @@
 /// Owns the daemon, its links and its waiting callers.
 pub(crate) struct DaemonActor {
     daemon: Daemon,
-    own: Hello,
+    hello: Hello,
     members: Vec<MemberAddress>,
     links: BTreeMap<MemberId, Link>,
     engines: Option<EngineClient>,
-    waiting: BTreeMap<TicketId, Waiting>,
+    waiting: BTreeMap<TicketId, WaitingCaller>,
     metrics: DaemonMetrics,
-    drained: Vec<oneshot::Sender<()>>,
+    drain_waiters: Vec<oneshot::Sender<()>>,
     is_drained: bool,
     poll_interval: Duration,
 }
@@ -58,7 +58,7 @@
     ) -> Self {
         Self {
             daemon,
-            own: Hello {
+            hello: Hello {
                 version: PROTOCOL_VERSION,
                 role: ClientRole::Daemon,
                 id,
@@ -68,20 +68,20 @@
             engines: None,
             waiting: BTreeMap::new(),
             metrics,
-            drained: Vec::new(),
+            drain_waiters: Vec::new(),
             is_drained: false,
             poll_interval,
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let actions = self.daemon.handle(event, now());
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Answer { ticket, answer } => self.answer(ticket, answer),
             Action::Control {
@@ -101,7 +101,7 @@
             }
             Action::Drained => {
                 self.is_drained = true;
-                for waiting in self.drained.drain(..) {
+                for waiting in self.drain_waiters.drain(..) {
                     let _ = waiting.send(());
                 }
             }
@@ -154,8 +154,8 @@
         for member in &self.members {
             let id = MemberId(member.id);
             let address = context.address();
-            let link = Link::open(member.address, self.own, move |event| {
-                address.do_send(FromMember { member: id, event });
+            let link = Link::open(member.address, self.hello, move |event| {
+                address.do_send(MemberLinkEvent { member: id, event });
             });
             self.links.insert(id, link);
         }
@@ -169,10 +169,10 @@
         context.set_mailbox_capacity(MAILBOX_CAPACITY);
         self.engines = Some(EngineClient::new(context.address(), self.poll_interval));
         self.open_links(context);
-        self.take(Event::Tick);
+        self.handle_event(Event::Tick);
         context.run_interval(TICK_INTERVAL, |actor, _| {
             if now() >= actor.daemon.next_deadline() {
-                actor.take(Event::Tick);
+                actor.handle_event(Event::Tick);
             }
         });
         context.run_interval(self.poll_interval, |actor, _| {
@@ -187,23 +187,23 @@
 /// News of a link.
 #[derive(Message)]
 #[rtype(result = "()")]
-struct FromMember {
+struct MemberLinkEvent {
     member: MemberId,
     event: LinkEvent,
 }
 
-impl Handler<FromMember> for DaemonActor {
+impl Handler<MemberLinkEvent> for DaemonActor {
     type Result = ();
 
-    fn handle(&mut self, message: FromMember, _: &mut Self::Context) {
+    fn handle(&mut self, message: MemberLinkEvent, _: &mut Self::Context) {
         match message.event {
-            LinkEvent::Lost => self.take(Event::MemberUnreachable {
+            LinkEvent::Lost => self.handle_event(Event::MemberUnreachable {
                 member: message.member,
             }),
             LinkEvent::Frame(Frame::Response {
                 correlation, body, ..
             }) => match decode_body::<Response>(&body) {
-                Ok(response) => self.take(Event::Control {
+                Ok(response) => self.handle_event(Event::Control {
                     operation: OperationId(correlation),
                     response: Box::new(response),
                 }),
@@ -217,35 +217,35 @@
 /// A caller's request.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct FromCaller {
+pub(crate) struct CallerRequest {
     pub(crate) ticket: TicketId,
     pub(crate) event: Event,
     pub(crate) answers: mpsc::UnboundedSender<Answer>,
 }
 
-impl Handler<FromCaller> for DaemonActor {
+impl Handler<CallerRequest> for DaemonActor {
     type Result = ();
 
-    fn handle(&mut self, message: FromCaller, _: &mut Self::Context) {
-        let waiting = Waiting {
+    fn handle(&mut self, message: CallerRequest, _: &mut Self::Context) {
+        let waiting = WaitingCaller {
             answers: message.answers,
             since: Instant::now(),
             first_part_seen: false,
         };
         self.waiting.insert(message.ticket, waiting);
-        self.take(message.event);
+        self.handle_event(message.event);
     }
 }
 
 /// Any other event.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct Happened(pub(crate) Event);
+pub(crate) struct DaemonEvent(pub(crate) Event);
 
-impl Handler<Happened> for DaemonActor {
+impl Handler<DaemonEvent> for DaemonActor {
     type Result = ();
 
-    fn handle(&mut self, message: Happened, _: &mut Self::Context) {
+    fn handle(&mut self, message: DaemonEvent, _: &mut Self::Context) {
         if let Event::CallerGone { ticket } = message.0 {
             self.waiting.remove(&ticket);
         }
@@ -255,7 +255,7 @@
                 engines.forget(attempt);
             }
         }
-        self.take(message.0);
+        self.handle_event(message.0);
     }
 }
 
@@ -275,12 +275,12 @@
 /// Asks for the revision of the configuration in force.
 #[derive(Message)]
 #[rtype(result = "Revision")]
-pub(crate) struct AskRevision;
+pub(crate) struct GetRevision;
 
-impl Handler<AskRevision> for DaemonActor {
-    type Result = MessageResult<AskRevision>;
+impl Handler<GetRevision> for DaemonActor {
+    type Result = MessageResult<GetRevision>;
 
-    fn handle(&mut self, _: AskRevision, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: GetRevision, _: &mut Self::Context) -> Self::Result {
         MessageResult(self.daemon.configuration().revision())
     }
 }
@@ -315,8 +315,8 @@
             let _ = message.0.send(());
             return;
         }
-        self.drained.push(message.0);
-        self.take(Event::Drain);
+        self.drain_waiters.push(message.0);
+        self.handle_event(Event::Drain);
     }
 }
 
--- a/crates/daemon-server/src/engines.rs
+++ b/crates/daemon-server/src/engines.rs
@@ -1,6 +1,6 @@
 //! Requests to replicas, and what they publish of themselves.
 
-use crate::actor::{DaemonActor, Happened};
+use crate::actor::{DaemonActor, DaemonEvent};
 use crate::engine_events::EngineEventReader;
 use crate::stream::read_chat_stream;
 use actix::Addr;
@@ -64,14 +64,14 @@
         let daemon = self.daemon.clone();
         let span = attempt_span(&dispatch);
         let task = async move {
-            let tell =
-                |event: EngineEvent| daemon.do_send(Happened(Event::Engine { attempt, event }));
+            let emit =
+                |event: EngineEvent| daemon.do_send(DaemonEvent(Event::Engine { attempt, event }));
             let end = match &dispatch.body {
-                DispatchBody::Chat(chat) => send_chat(&http, &dispatch.address, chat, &tell).await,
+                DispatchBody::Chat(chat) => send_chat(&http, &dispatch.address, chat, &emit).await,
                 DispatchBody::Lookup(lookup) => send_lookup(&http, &dispatch.address, lookup).await,
             };
-            tracing::debug!(end = end_name(&end), "attempt ended");
-            tell(end);
+            tracing::debug!(end = event_name(&end), "attempt ended");
+            emit(end);
         };
         let task = actix_rt::spawn(task.instrument(span));
         self.running.insert(attempt, task);
@@ -141,7 +141,7 @@
     )
 }
 
-fn end_name(event: &EngineEvent) -> &'static str {
+fn event_name(event: &EngineEvent) -> &'static str {
     match event {
         EngineEvent::Part(_) => "part",
         EngineEvent::Completed { .. } => "completed",
@@ -157,7 +157,7 @@
     http: &Client,
     address: &str,
     chat: &ChatDispatch,
-    tell: &impl Fn(EngineEvent),
+    emit: &impl Fn(EngineEvent),
 ) -> EngineEvent {
     let body = ChatRequest {
         model: chat.model.0.clone(),
@@ -180,19 +180,19 @@
         request = request.insert_header((HEADER_MODEL_ADAPTER, adapter.as_str()));
     }
     match request.send_json(&body).await {
-        Err(error) => not_answered(&error),
+        Err(error) => classify_send_error(&error),
         Ok(mut response) if response.status().is_success() => {
-            read_chat_stream(&mut response, tell).await
+            read_chat_stream(&mut response, emit).await
         }
         Ok(mut response) => match response.json::<EngineErrorBody>().await {
-            Ok(body) => engine_error(body.error.code),
+            Ok(body) => engine_error_event(body.error.code),
             Err(_) => EngineEvent::Broken,
         },
     }
 }
 
 /// What an engine's own error means.
-pub(crate) fn engine_error(code: EngineErrorCode) -> EngineEvent {
+pub(crate) fn engine_error_event(code: EngineErrorCode) -> EngineEvent {
     match code {
         EngineErrorCode::Rejected | EngineErrorCode::Invalid => EngineEvent::Rejected,
         EngineErrorCode::Retryable => EngineEvent::Retryable,
@@ -200,7 +200,7 @@
 }
 
 /// Only a connection that was never made proves that the request was not sent.
-fn not_answered(error: &SendRequestError) -> EngineEvent {
+fn classify_send_error(error: &SendRequestError) -> EngineEvent {
     tracing::debug!(%error, "replica did not answer");
     match error {
         SendRequestError::Connect(_) | SendRequestError::Url(_) => EngineEvent::NotSent,
@@ -217,7 +217,7 @@
         request = request.insert_header(("content-type", content_type.as_str()));
     }
     let mut response = match request.send_body(lookup.body.clone()).await {
-        Err(error) => return not_answered(&error),
+        Err(error) => return classify_send_error(&error),
         Ok(response) => response,
     };
     let status = response.status().as_u16();
@@ -251,12 +251,12 @@
     loop {
         let last = reader.last();
         let url = format!("http://{}/events?after={last}", replica.address);
-        let answered = http
+        let result = http
             .get(url)
             .timeout(interval.max(CONNECT_TIMEOUT))
             .send()
             .await;
-        let events = match answered {
+        let events = match result {
             Ok(mut response) if response.status().is_success() => response
                 .json::<EngineEvents>()
                 .limit(MAX_LOOKUP_BYTES)
@@ -266,7 +266,7 @@
         };
         if let Some(events) = events {
             for event in reader.take(engine, events) {
-                daemon.do_send(Happened(event));
+                daemon.do_send(DaemonEvent(event));
             }
         }
         actix_rt::time::sleep(interval).await;
--- a/crates/daemon-server/src/http.rs
+++ b/crates/daemon-server/src/http.rs
@@ -1,6 +1,6 @@
 //! HTTP for callers.
 
-use crate::actor::{DaemonActor, FromCaller, Happened, IsReady, RenderMetrics};
+use crate::actor::{CallerRequest, DaemonActor, DaemonEvent, IsReady, RenderMetrics};
 use crate::api::{CallAnswer, CallBody, CreateBody, ProgramBody, ProgramCreated};
 use crate::parse;
 use actix::Addr;
@@ -26,7 +26,7 @@
 type Body = Result<Bytes, actix_web::Error>;
 
 /// The body is too long, or the caller broke off in the middle.
-fn unreadable(error: &actix_web::Error) -> HttpResponse {
+fn body_error(error: &actix_web::Error) -> HttpResponse {
     let refusal = Refusal::not_run(RefusalCode::InvalidRequest, format!("body: {error}"));
     let status = error.as_response_error().status_code();
     problem_with_status(&refusal, status)
@@ -49,17 +49,17 @@
 impl Answers {
     /// The next answer; a refusal when the daemon stopped without one.
     async fn next(&mut self) -> Answer {
-        let answer = self.receiver.recv().await.unwrap_or_else(stopped);
-        self.note(&answer);
+        let answer = self.receiver.recv().await.unwrap_or_else(daemon_stopped);
+        self.record_final(&answer);
         answer
     }
 
-    fn note(&mut self, answer: &Answer) {
+    fn record_final(&mut self, answer: &Answer) {
         self.finished |= !matches!(answer, Answer::Part(_));
     }
 
     /// The final answer, parts left out.
-    async fn last(mut self) -> Answer {
+    async fn final_answer(mut self) -> Answer {
         loop {
             let answer = self.next().await;
             if self.finished {
@@ -69,7 +69,7 @@
     }
 }
 
-fn stopped() -> Answer {
+fn daemon_stopped() -> Answer {
     Answer::Refused(Refusal::uncertain(
         RefusalCode::OutcomeUnknown,
         "the daemon stopped before it could answer",
@@ -80,15 +80,16 @@
     fn drop(&mut self) {
         if !self.finished {
             let ticket = self.ticket;
-            self.daemon.do_send(Happened(Event::CallerGone { ticket }));
+            self.daemon
+                .do_send(DaemonEvent(Event::CallerGone { ticket }));
         }
     }
 }
 
-fn ask(shared: &Shared, event: impl FnOnce(TicketId) -> Event) -> Answers {
+fn submit(shared: &Shared, event: impl FnOnce(TicketId) -> Event) -> Answers {
     let ticket = TicketId(shared.last_ticket.fetch_add(1, Ordering::Relaxed) + 1);
     let (sender, receiver) = mpsc::unbounded_channel();
-    shared.daemon.do_send(FromCaller {
+    shared.daemon.do_send(CallerRequest {
         ticket,
         event: event(ticket),
         answers: sender,
@@ -119,34 +120,34 @@
 async fn create_program(request: HttpRequest, shared: Data<Shared>, body: Body) -> HttpResponse {
     let body = match body {
         Ok(body) => body,
-        Err(error) => return unreadable(&error),
+        Err(error) => return body_error(&error),
     };
     let parsed = parse::json::<CreateBody>(&body).and_then(|body| parse::create(&request, body));
     let create = match parsed {
         Ok(create) => create,
-        Err(refusal) => return problem(&refusal),
+        Err(refusal) => return problem_response(&refusal),
     };
-    let answers = ask(&shared, |ticket| Event::Create {
+    let answers = submit(&shared, |ticket| Event::Create {
         ticket,
         request: create,
     });
-    match answers.last().await {
+    match answers.final_answer().await {
         Answer::Created(owned) => {
             HttpResponse::Created().json(ProgramCreated::from(owned.as_ref()))
         }
-        answer => unexpected_or_refused(&answer),
+        answer => problem_or_internal_error(&answer),
     }
 }
 
 async fn view_program(shared: Data<Shared>, path: Path<String>) -> HttpResponse {
     let program = match parse::program_id(&path) {
         Ok(program) => program,
-        Err(refusal) => return problem(&refusal),
+        Err(refusal) => return problem_response(&refusal),
     };
-    let answers = ask(&shared, |ticket| Event::View { ticket, program });
-    match answers.last().await {
+    let answers = submit(&shared, |ticket| Event::View { ticket, program });
+    match answers.final_answer().await {
         Answer::View(view) => HttpResponse::Ok().json(ProgramBody::from(*view)),
-        answer => unexpected_or_refused(&answer),
+        answer => problem_or_internal_error(&answer),
     }
 }
 
@@ -163,16 +164,16 @@
 ) -> HttpResponse {
     let program = match parse::program_id(&path) {
         Ok(program) => program,
-        Err(refusal) => return problem(&refusal),
+        Err(refusal) => return problem_response(&refusal),
     };
-    let answers = ask(&shared, |ticket| Event::End {
+    let answers = submit(&shared, |ticket| Event::End {
         ticket,
         program,
         abandoned: query.abandoned,
     });
-    match answers.last().await {
+    match answers.final_answer().await {
         Answer::Ended => HttpResponse::NoContent().finish(),
-        answer => unexpected_or_refused(&answer),
+        answer => problem_or_internal_error(&answer),
     }
 }
 
@@ -184,7 +185,7 @@
 ) -> HttpResponse {
     let body = match body {
         Ok(body) => body,
-        Err(error) => return unreadable(&error),
+        Err(error) => return body_error(&error),
     };
     let stream = accepts_stream(&request);
     let parsed = parse::program_id(&path).and_then(|program| {
@@ -193,10 +194,12 @@
     });
     let call = match parsed {
         Ok(call) => call,
-        Err(refusal) => return problem(&refusal),
+        Err(refusal) => return problem_response(&refusal),
     };
     let span = call_span(&call);
-    run_call(&shared, call, Format::Own).instrument(span).await
+    run_call(&shared, call, AnswerFormat::Native)
+        .instrument(span)
+        .await
 }
 
 /// Names the program and the caller's key in every log line about a call.
@@ -212,10 +215,10 @@
 async fn chat_completions(request: HttpRequest, shared: Data<Shared>, body: Body) -> HttpResponse {
     let body = match body {
         Ok(body) => body,
-        Err(error) => return unreadable(&error),
+        Err(error) => return body_error(&error),
     };
     let parsed = parse::json::<ChatRequest>(&body).and_then(|body| {
-        let format = Format::OpenAi {
+        let format = AnswerFormat::OpenAi {
             model: body.model.clone(),
             include_usage: body
                 .stream_options
@@ -228,38 +231,38 @@
             let span = call_span(&call);
             run_call(&shared, call, format).instrument(span).await
         }
-        Err(refusal) => problem(&refusal),
+        Err(refusal) => problem_response(&refusal),
     }
 }
 
 /// How a call's answer is written.
 #[derive(Clone, Debug)]
-enum Format {
+enum AnswerFormat {
     /// luglink's own.
-    Own,
+    Native,
     /// As OpenAI publishes it.
     OpenAi { model: String, include_usage: bool },
 }
 
-impl Format {
-    fn part(&self, text: String) -> String {
+impl AnswerFormat {
+    fn part_event(&self, text: String) -> String {
         match self {
-            Self::Own => event("part", &serde_json::json!({ "content": text })),
-            Self::OpenAi { model, .. } => data(&ChatChunk::part("", model, text)),
+            Self::Native => sse_event("part", &serde_json::json!({ "content": text })),
+            Self::OpenAi { model, .. } => sse_data(&ChatChunk::part("", model, text)),
         }
     }
 
-    fn end(&self, program: ProgramId, answer: luglink_program::StoredAnswer) -> String {
+    fn final_event(&self, program: ProgramId, answer: luglink_program::StoredAnswer) -> String {
         match self {
-            Self::Own => event("answer", &CallAnswer::new(program, answer)),
+            Self::Native => sse_event("answer", &CallAnswer::new(program, answer)),
             Self::OpenAi {
                 model,
                 include_usage,
             } => {
                 let id = program.to_string();
-                let mut text = data(&ChatChunk::stop(&id, model));
+                let mut text = sse_data(&ChatChunk::stop(&id, model));
                 if *include_usage {
-                    text.push_str(&data(&ChatChunk::usage(&id, model, answer.usage)));
+                    text.push_str(&sse_data(&ChatChunk::usage(&id, model, answer.usage)));
                 }
                 text.push_str("data: [DONE]\n\n");
                 text
@@ -267,11 +270,15 @@
         }
     }
 
-    fn whole(&self, program: ProgramId, answer: luglink_program::StoredAnswer) -> HttpResponse {
+    fn whole_response(
+        &self,
+        program: ProgramId,
+        answer: luglink_program::StoredAnswer,
+    ) -> HttpResponse {
         let mut response = HttpResponse::Ok();
         response.insert_header((HEADER_PROGRAM, program.to_string()));
         match self {
-            Self::Own => response.json(CallAnswer::new(program, answer)),
+            Self::Native => response.json(CallAnswer::new(program, answer)),
             Self::OpenAi { model, .. } => {
                 let id = format!("{program}-{}", answer.sequence);
                 let completion = ChatCompletion::new(id, model.clone(), answer.text, answer.usage);
@@ -281,29 +288,29 @@
     }
 }
 
-fn event(name: &str, body: &impl serde::Serialize) -> String {
-    format!("event: {name}\n{}", data(body))
+fn sse_event(name: &str, body: &impl serde::Serialize) -> String {
+    format!("event: {name}\n{}", sse_data(body))
 }
 
-fn data(body: &impl serde::Serialize) -> String {
+fn sse_data(body: &impl serde::Serialize) -> String {
     let json = serde_json::to_string(body).unwrap_or_default();
     format!("data: {json}\n\n")
 }
 
-async fn run_call(shared: &Shared, call: CallRequest, format: Format) -> HttpResponse {
+async fn run_call(shared: &Shared, call: CallRequest, format: AnswerFormat) -> HttpResponse {
     let stream = call.stream;
-    let mut answers = ask(shared, |ticket| Event::Call {
+    let mut answers = submit(shared, |ticket| Event::Call {
         ticket,
         request: call,
     });
     if !stream {
-        return match answers.last().await {
-            Answer::Completed { program, answer } => format.whole(program, answer),
+        return match answers.final_answer().await {
+            Answer::Completed { program, answer } => format.whole_response(program, answer),
             answer => {
                 if let Answer::Refused(refusal) = &answer {
                     log_refusal(refusal);
                 }
-                unexpected_or_refused(&answer)
+                problem_or_internal_error(&answer)
             }
         };
     }
@@ -311,7 +318,7 @@
     let first = answers.next().await;
     if let Answer::Refused(refusal) = &first {
         log_refusal(refusal);
-        return problem(refusal);
+        return problem_response(refusal);
     }
     HttpResponse::Ok()
         .insert_header((CONTENT_TYPE, EVENT_STREAM))
@@ -331,7 +338,7 @@
 /// A call's answer as server-sent events.
 struct CallStream {
     answers: Answers,
-    format: Format,
+    format: AnswerFormat,
     first: Option<Answer>,
     ended: bool,
 }
@@ -339,14 +346,14 @@
 impl CallStream {
     fn write(&mut self, answer: Answer) -> String {
         match answer {
-            Answer::Part(text) => self.format.part(text),
+            Answer::Part(text) => self.format.part_event(text),
             Answer::Completed { program, answer } => {
                 self.ended = true;
-                self.format.end(program, answer)
+                self.format.final_event(program, answer)
             }
             Answer::Refused(refusal) => {
                 self.ended = true;
-                event("problem", &Problem::from(&refusal))
+                sse_event("problem", &Problem::from(&refusal))
             }
             _ => {
                 self.ended = true;
@@ -367,10 +374,10 @@
             Some(answer) => answer,
             None => match self.answers.receiver.poll_recv(context) {
                 Poll::Pending => return Poll::Pending,
-                Poll::Ready(answer) => answer.unwrap_or_else(stopped),
+                Poll::Ready(answer) => answer.unwrap_or_else(daemon_stopped),
             },
         };
-        self.answers.note(&answer);
+        self.answers.record_final(&answer);
         let text = self.write(answer);
         Poll::Ready(Some(Ok(Bytes::from(text))))
     }
@@ -384,18 +391,18 @@
 ) -> HttpResponse {
     let body = match body {
         Ok(body) => body,
-        Err(error) => return unreadable(&error),
+        Err(error) => return body_error(&error),
     };
     let (service, rest) = path.into_inner();
     let lookup = match parse::lookup(&request, &service, &rest, &body) {
         Ok(lookup) => lookup,
-        Err(refusal) => return problem(&refusal),
+        Err(refusal) => return problem_response(&refusal),
     };
-    let answers = ask(&shared, |ticket| Event::Lookup {
+    let answers = submit(&shared, |ticket| Event::Lookup {
         ticket,
         request: lookup,
     });
-    match answers.last().await {
+    match answers.final_answer().await {
         Answer::Lookup {
             status,
             content_type,
@@ -408,7 +415,7 @@
             }
             response.body(body)
         }
-        answer => unexpected_or_refused(&answer),
+        answer => problem_or_internal_error(&answer),
     }
 }
 
@@ -457,15 +464,15 @@
         .is_some_and(|accept| accept.contains(EVENT_STREAM))
 }
 
-fn unexpected_or_refused(answer: &Answer) -> HttpResponse {
+fn problem_or_internal_error(answer: &Answer) -> HttpResponse {
     match answer {
-        Answer::Refused(refusal) => problem(refusal),
+        Answer::Refused(refusal) => problem_response(refusal),
         _ => HttpResponse::InternalServerError().finish(),
     }
 }
 
 /// A refusal as problem JSON.
-pub(crate) fn problem(refusal: &Refusal) -> HttpResponse {
+pub(crate) fn problem_response(refusal: &Refusal) -> HttpResponse {
     let status = StatusCode::from_u16(refusal.code.http_status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     problem_with_status(refusal, status)
--- a/crates/daemon-server/src/metrics.rs
+++ b/crates/daemon-server/src/metrics.rs
@@ -23,7 +23,7 @@
     active_calls: Gauge,
     held_programs: Gauge,
     configuration_revision: Gauge,
-    last: DaemonCounters,
+    last_counters: DaemonCounters,
 }
 
 impl DaemonMetrics {
@@ -53,26 +53,30 @@
                 "Revision of the configuration in force here",
             )?,
             registry,
-            last: DaemonCounters::default(),
+            last_counters: DaemonCounters::default(),
         })
     }
 
     /// Brings the metrics up to the daemon's state and writes them.
     pub(crate) fn render(&mut self, daemon: &Daemon) -> Result<String, TelemetryError> {
         let counters = daemon.counters();
-        let last = self.last;
-        self.calls.inc_by(counters.calls - last.calls);
-        self.completed.inc_by(counters.completed - last.completed);
+        let last_counters = self.last_counters;
+        self.calls.inc_by(counters.calls - last_counters.calls);
+        self.completed
+            .inc_by(counters.completed - last_counters.completed);
         self.dispatched
-            .inc_by(counters.dispatched - last.dispatched);
-        self.retries.inc_by(counters.retries - last.retries);
-        self.acquired.inc_by(counters.acquired - last.acquired);
-        self.lookups.inc_by(counters.lookups - last.lookups);
+            .inc_by(counters.dispatched - last_counters.dispatched);
+        self.retries
+            .inc_by(counters.retries - last_counters.retries);
+        self.acquired
+            .inc_by(counters.acquired - last_counters.acquired);
+        self.lookups
+            .inc_by(counters.lookups - last_counters.lookups);
         self.prompt_tokens
-            .inc_by(counters.prompt_tokens - last.prompt_tokens);
+            .inc_by(counters.prompt_tokens - last_counters.prompt_tokens);
         self.cached_tokens
-            .inc_by(counters.cached_tokens - last.cached_tokens);
-        self.last = counters;
+            .inc_by(counters.cached_tokens - last_counters.cached_tokens);
+        self.last_counters = counters;
         self.queued_calls.set(daemon.queued_calls() as f64);
         self.active_calls.set(daemon.active_calls() as f64);
         self.held_programs.set(daemon.held_programs() as f64);
--- a/crates/daemon-server/src/platform.rs
+++ b/crates/daemon-server/src/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's list of live and leaving machines. It lags, so it only ever takes replicas
 //! out of choice; what works and what does not is seen from the replicas themselves.
 
-use crate::actor::{DaemonActor, Happened};
+use crate::actor::{DaemonActor, DaemonEvent};
 use actix::Addr;
 use luglink_daemon::Event;
 use luglink_types::EngineId;
@@ -22,17 +22,17 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Asks the platform again and again.
-pub(crate) async fn follow(daemon: Addr<DaemonActor>, platform: SocketAddr) {
+pub(crate) async fn follow_machines(daemon: Addr<DaemonActor>, platform: SocketAddr) {
     let http = awc::Client::builder().timeout(POLL_INTERVAL * 2).finish();
     loop {
-        let answered = http.get(format!("http://{platform}/machines")).send().await;
-        let list = match answered {
+        let result = http.get(format!("http://{platform}/machines")).send().await;
+        let list = match result {
             Ok(mut response) => response.json::<MachineList>().await.ok(),
             Err(_) => None,
         };
         if let Some(list) = list {
             let engines = list.leaving.into_iter().map(EngineId).collect();
-            daemon.do_send(Happened(Event::Leaving { engines }));
+            daemon.do_send(DaemonEvent(Event::Leaving { engines }));
         }
         actix_rt::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/daemon-server/src/server.rs
+++ b/crates/daemon-server/src/server.rs
@@ -1,8 +1,8 @@
 //! Start and stop of a daemon.
 
-use crate::actor::{AskRevision, DaemonActor, Drain, Halt};
+use crate::actor::{DaemonActor, Drain, GetRevision, Halt};
 use crate::errors::{DaemonServerError, ListenSnafu};
-use crate::http::{Shared, problem, routes};
+use crate::http::{Shared, problem_response, routes};
 use crate::metrics::DaemonMetrics;
 use crate::platform;
 use actix::{Actor, Addr};
@@ -63,7 +63,7 @@
         App::new()
             .app_data(shared.clone())
             .app_data(PayloadConfig::new(max_body))
-            .app_data(too_long_is_a_problem())
+            .app_data(path_error_config())
             .configure(routes)
     })
     .workers(1)
@@ -80,7 +80,7 @@
     tracing::info!(daemon = settings.id, zone = %settings.zone, %address, "daemon started");
     let platform = settings
         .platform
-        .map(|platform| actix_rt::spawn(platform::follow(actor.clone(), platform)));
+        .map(|platform| actix_rt::spawn(platform::follow_machines(actor.clone(), platform)));
     Ok(DaemonServer {
         address,
         actor,
@@ -90,10 +90,10 @@
     })
 }
 
-fn too_long_is_a_problem() -> actix_web::web::PathConfig {
+fn path_error_config() -> actix_web::web::PathConfig {
     actix_web::web::PathConfig::default().error_handler(|error, _| {
         let refusal = Refusal::not_run(RefusalCode::InvalidRequest, format!("path: {error}"));
-        InternalError::from_response(error, problem(&refusal)).into()
+        InternalError::from_response(error, problem_response(&refusal)).into()
     })
 }
 
@@ -115,7 +115,7 @@
 impl DaemonServer {
     /// Revision of the configuration that is in force here; `None` once the daemon has stopped.
     pub async fn configuration_revision(&self) -> Option<Revision> {
-        self.actor.send(AskRevision).await.ok()
+        self.actor.send(GetRevision).await.ok()
     }
 
     /// Stops at once, as a crash would: nobody who waits gets an answer.
--- a/crates/daemon-server/src/stream.rs
+++ b/crates/daemon-server/src/stream.rs
@@ -1,6 +1,6 @@
 //! An engine's streamed answer.
 
-use crate::engines::engine_error;
+use crate::engines::engine_error_event;
 use actix_web::web::Bytes;
 use awc::error::PayloadError;
 use eventsource_stream::Eventsource;
@@ -15,7 +15,7 @@
 /// event have come.
 pub(crate) async fn read_chat_stream(
     response: &mut (impl Stream<Item = Result<Bytes, PayloadError>> + Unpin),
-    tell: &impl Fn(EngineEvent),
+    emit: &impl Fn(EngineEvent),
 ) -> EngineEvent {
     let mut events = response.eventsource();
     let mut usage = None;
@@ -30,7 +30,7 @@
             };
         }
         if let Ok(error) = serde_json::from_str::<EngineErrorBody>(&event.data) {
-            return engine_error(error.error.code);
+            return engine_error_event(error.error.code);
         }
         let Ok(chunk) = serde_json::from_str::<ChatChunk>(&event.data) else {
             return EngineEvent::Broken;
@@ -41,7 +41,7 @@
         let parts = chunk.choices.into_iter();
         let text: String = parts.filter_map(|choice| choice.delta.content).collect();
         if !text.is_empty() {
-            tell(EngineEvent::Part(text));
+            emit(EngineEvent::Part(text));
         }
     }
     EngineEvent::Broken
--- a/crates/daemon/src/attempts.rs
+++ b/crates/daemon/src/attempts.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 /// An engine may take this many times longer than predicted before its silence counts.
-const PREDICTION_SLACK: u32 = 3;
+const PREDICTED_DURATION_FACTOR: u32 = 3;
 
 /// Longest predicted time that is believed, in seconds.
-const MAX_PREDICTED: f64 = 600.0;
+const MAX_PREDICTED_SECONDS: f64 = 600.0;
 
 impl Daemon {
     pub(crate) fn pool_of(&self, id: CallId) -> Option<ModelName> {
@@ -39,7 +39,7 @@
         let prefix = self.prompt_prefix(id)?;
         let random = self.random_number();
         let now = self.now;
-        self.forgive_if_all_failed(id, &pool);
+        self.clear_exclusions_if_all_failed(id, &pool);
         let call = self.calls.get(&id)?;
         let previous = self.programs.get(&call.program)?.held()?.previous_engine;
         let request = RouteRequest {
@@ -50,15 +50,16 @@
         };
         let router = self.pools.router(&pool)?;
         let choice = router.choose(&request, random, now)?;
-        let predicted = Duration::from_secs_f64(choice.predicted_seconds.clamp(0.0, MAX_PREDICTED));
+        let predicted_duration =
+            Duration::from_secs_f64(choice.predicted_seconds.clamp(0.0, MAX_PREDICTED_SECONDS));
         if let Some(call) = self.calls.get_mut(&id) {
-            call.predicted = predicted;
+            call.predicted_duration = predicted_duration;
         }
         Some(choice.engine)
     }
 
     /// A call keeps away from engines that failed it, as long as there are others at all.
-    fn forgive_if_all_failed(&mut self, id: CallId, pool: &PoolName) {
+    fn clear_exclusions_if_all_failed(&mut self, id: CallId, pool: &PoolName) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -103,14 +104,14 @@
             call.phase = Phase::Delayed;
             return;
         }
-        if now > call.window.start_by || self.chosen_engine_leaves(id) {
+        if now > call.window.start_by || self.is_chosen_engine_draining(id) {
             return self.fail_undispatched(id);
         }
         self.dispatch_call(id);
     }
 
     /// While the intent became durable, the engine may have begun to leave: it gets nothing new.
-    fn chosen_engine_leaves(&mut self, id: CallId) -> bool {
+    fn is_chosen_engine_draining(&mut self, id: CallId) -> bool {
         let Some(attempt) = self.calls.get(&id).and_then(|call| call.attempt) else {
             return false;
         };
@@ -153,7 +154,9 @@
         if let Some(call) = self.calls.get_mut(&id) {
             call.phase = Phase::Running;
             call.attempts += 1;
-            call.silent_after = now.plus(silence).plus(call.predicted * PREDICTION_SLACK);
+            call.silence_deadline = now
+                .plus(silence)
+                .plus(call.predicted_duration * PREDICTED_DURATION_FACTOR);
             call.reset_output();
         }
         self.counters.dispatched += 1;
@@ -225,7 +228,7 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.silent_after = now.plus(silence);
+        call.silence_deadline = now.plus(silence);
         call.text.push_str(&text);
         if call.request.stream {
             call.part_sent = true;
@@ -280,7 +283,7 @@
 
     /// The program's deadline has passed: the caller is told at once, an engine that works on
     /// the call is stopped, and the outcome is recorded as uncertain.
-    pub(crate) fn give_up_at_deadline(&mut self, id: CallId) {
+    pub(crate) fn fail_at_deadline(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
--- a/crates/daemon/src/call.rs
+++ b/crates/daemon/src/call.rs
@@ -57,9 +57,9 @@
     /// When the attempt may start.
     pub(crate) window: StartWindow,
     /// Predicted time to the last token at the chosen engine.
-    pub(crate) predicted: Duration,
+    pub(crate) predicted_duration: Duration,
     /// When the engine counts as hung if nothing more is heard of it.
-    pub(crate) silent_after: Timestamp,
+    pub(crate) silence_deadline: Timestamp,
     pub(crate) sequence: Option<Sequence>,
     pub(crate) attempt: Option<CurrentAttempt>,
     pub(crate) attempts: u32,
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -3,7 +3,7 @@
 use crate::action::Answer;
 use crate::call::{ActiveCall, CallId, CurrentAttempt, Phase};
 use crate::caller::{CallRequest, CallTarget, TicketId};
-use crate::control_client::Conclusion;
+use crate::control_client::OperationResult;
 use crate::daemon::{Daemon, Purpose, control_unavailable};
 use crate::program::ServedProgram;
 use crate::programs::program_reply;
@@ -41,7 +41,7 @@
                     Ok(spec) => spec,
                     Err(refusal) => return self.refuse(ticket, refusal),
                 };
-                if let Some(refusal) = self.refuses_admission(&spec.model) {
+                if let Some(refusal) = self.admission_refusal(&spec.model) {
                     return self.refuse(ticket, refusal);
                 }
                 let program = match &request.key {
@@ -92,8 +92,8 @@
             deadline: Timestamp::MAX,
             phase: Phase::Waiting,
             window: StartWindow::default(),
-            predicted: Duration::ZERO,
-            silent_after: Timestamp::MAX,
+            predicted_duration: Duration::ZERO,
+            silence_deadline: Timestamp::MAX,
             sequence: request.sequence,
             attempt: None,
             attempts: 0,
@@ -113,7 +113,7 @@
             .programs
             .entry(program)
             .or_insert_with(|| ServedProgram::acquiring(now));
-        served.used_at = now;
+        served.last_used_at = now;
         if served.waiting.len() >= self.config.max_waiting_per_program {
             return self.close_refused(id, overloaded("calls of this program"));
         }
@@ -128,11 +128,11 @@
         if served.held().is_some() {
             return self.start_next_call(program);
         }
-        let already_asked = self.operations.values().any(|purpose| {
+        let is_acquiring = self.operations.values().any(|purpose| {
             matches!(purpose, Purpose::Acquire { program: asked }
                 | Purpose::CreateOneShot { program: asked } if *asked == program)
         });
-        if !already_asked {
+        if !is_acquiring {
             self.acquire(program);
         }
     }
@@ -162,7 +162,7 @@
         if served.current.is_some() {
             return;
         }
-        let Some(id) = self.next_in_turn(served, held.next_sequence) else {
+        let Some(id) = self.next_call_in_sequence(served, held.next_sequence) else {
             return;
         };
         let spec = held.spec.clone();
@@ -218,18 +218,18 @@
 
     /// The waiting call whose turn it is: in order of arrival, but a call that states a later
     /// sequence lets the ones before it come first, for a while.
-    fn next_in_turn(&self, served: &ServedProgram, next: Sequence) -> Option<CallId> {
-        let patience = self.config.reorder_patience;
-        let has_turn = |id: &&CallId| {
+    fn next_call_in_sequence(&self, served: &ServedProgram, next: Sequence) -> Option<CallId> {
+        let max_wait = self.config.max_reorder_wait;
+        let may_start = |id: &&CallId| {
             self.calls.get(id).is_some_and(|call| {
                 let early = call
                     .request
                     .sequence
                     .is_some_and(|sequence| sequence > next);
-                !early || self.now.since(call.arrived_at) >= patience
+                !early || self.now.since(call.arrived_at) >= max_wait
             })
         };
-        served.waiting.iter().find(has_turn).copied()
+        served.waiting.iter().find(may_start).copied()
     }
 
     /// Gives engines to queued calls, the most urgent first, as long as there is room.
@@ -238,18 +238,18 @@
             return;
         }
         let mut full_pools = Vec::new();
-        for queued in self.queue.in_order(self.now) {
+        for queued in self.queue.by_urgency(self.now) {
             if full_pools.contains(&queued.pool) {
                 continue;
             }
-            if !self.begin(queued.call) {
+            if !self.begin_call(queued.call) {
                 full_pools.push(queued.pool);
             }
         }
     }
 
     /// Chooses an engine and sends the intent. Returns whether there was room.
-    fn begin(&mut self, id: CallId) -> bool {
+    fn begin_call(&mut self, id: CallId) -> bool {
         let Some(engine) = self.route_call(id) else {
             return false;
         };
@@ -300,25 +300,25 @@
         self.submit_command(program, command, Purpose::Begin { call: id });
     }
 
-    pub(crate) fn on_begun(&mut self, id: CallId, conclusion: Conclusion) {
+    pub(crate) fn on_begun(&mut self, id: CallId, result: OperationResult) {
         if !self.calls.contains_key(&id) {
             return;
         }
-        match program_reply(conclusion) {
+        match program_reply(result) {
             Ok(Reply::Begun(begun)) => {
-                self.take_intent(id, begun);
+                self.apply_recorded_intent(id, begun);
                 self.dispatch_in_window(id);
             }
             Ok(Reply::AlreadyAnswered(answer)) => {
                 self.cancel_attempt(id);
                 self.close_answered(id, answer);
             }
-            Ok(_) => self.fail_begin(id, control_unavailable()),
-            Err(refusal) => self.fail_begin(id, refusal),
+            Ok(_) => self.on_begin_refused(id, control_unavailable()),
+            Err(refusal) => self.on_begin_refused(id, refusal),
         }
     }
 
-    fn take_intent(&mut self, id: CallId, begun: Begun) {
+    fn apply_recorded_intent(&mut self, id: CallId, begun: Begun) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -337,7 +337,7 @@
         }
     }
 
-    fn fail_begin(&mut self, id: CallId, refusal: Refusal) {
+    fn on_begin_refused(&mut self, id: CallId, refusal: Refusal) {
         self.cancel_attempt(id);
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -377,7 +377,7 @@
     }
 
     /// The program has ended: repeated keys still get their stored answers.
-    pub(crate) fn answer_calls_of_ended(&mut self, program: ProgramId, refusal: &Refusal) {
+    pub(crate) fn resolve_calls_of_ended(&mut self, program: ProgramId, refusal: &Refusal) {
         let Some(served) = self.programs.get_mut(&program) else {
             return;
         };
@@ -387,13 +387,13 @@
             return;
         }
         for id in waiting {
-            self.send_begin_to_ended(id);
+            self.request_stored_answer(id);
         }
         self.programs.remove(&program);
     }
 
     /// An intent for an ended program cannot start a run; it can only find a stored answer.
-    fn send_begin_to_ended(&mut self, id: CallId) {
+    fn request_stored_answer(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -434,7 +434,7 @@
                 },
             );
         }
-        self.after_call(&call);
+        self.on_call_closed(&call);
     }
 
     /// Refuses a call and lets the program's next one start.
@@ -449,7 +449,7 @@
             Some(ticket) => self.refuse(ticket, refusal),
             None => self.counters.refused += 1,
         }
-        self.after_call(&call);
+        self.on_call_closed(&call);
     }
 
     fn remove_call(&mut self, id: CallId) -> Option<ActiveCall> {
@@ -464,7 +464,7 @@
         Some(call)
     }
 
-    fn after_call(&mut self, call: &ActiveCall) {
+    fn on_call_closed(&mut self, call: &ActiveCall) {
         let idle = self
             .programs
             .get(&call.program)
@@ -486,11 +486,11 @@
             .map(|(id, _)| *id)
             .collect();
         for id in overdue {
-            self.give_up_at_deadline(id);
+            self.fail_at_deadline(id);
         }
-        self.dispatch_delayed();
-        self.expire_silent_engines();
-        self.refuse_without_engines();
+        self.dispatch_delayed_calls();
+        self.expire_silent_attempts();
+        self.refuse_calls_without_engine();
         let waiting: Vec<ProgramId> = self
             .calls
             .values()
@@ -503,7 +503,7 @@
     }
 
     /// Dispatches calls that no lost attempt can overtake any more.
-    fn dispatch_delayed(&mut self) {
+    fn dispatch_delayed_calls(&mut self) {
         let delayed: Vec<CallId> = self
             .calls
             .iter()
@@ -517,12 +517,12 @@
 
     /// An engine that accepted a call and says nothing may hang for ever: the call is taken back
     /// and counts as broken there.
-    fn expire_silent_engines(&mut self) {
+    fn expire_silent_attempts(&mut self) {
         let now = self.now;
         let silent: Vec<CallId> = self
             .calls
             .iter()
-            .filter(|(_, call)| call.phase == Phase::Running && now > call.silent_after)
+            .filter(|(_, call)| call.phase == Phase::Running && now > call.silence_deadline)
             .map(|(id, _)| *id)
             .collect();
         for id in silent {
@@ -530,12 +530,12 @@
         }
     }
 
-    fn refuse_without_engines(&mut self) {
+    fn refuse_calls_without_engine(&mut self) {
         let now = self.now;
-        let patience = self.config.no_engine_patience;
+        let max_wait = self.config.max_engine_wait;
         let since = Timestamp::from_micros(
             now.as_micros()
-                .saturating_sub(u64::try_from(patience.as_micros()).unwrap_or(u64::MAX)),
+                .saturating_sub(u64::try_from(max_wait.as_micros()).unwrap_or(u64::MAX)),
         );
         for pool in self.queue.pools() {
             let name = crate::pools::PoolName::Model(pool.clone());
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -25,11 +25,11 @@
     /// Calls of one program that may wait for each other.
     pub max_waiting_per_program: usize,
     /// Wait of the longest waiting call from which on no new programs are admitted to its pool.
-    pub admission_wait: Duration,
+    pub admission_wait_limit: Duration,
     /// Longest time a call waits for an engine when none is usable.
-    pub no_engine_patience: Duration,
+    pub max_engine_wait: Duration,
     /// Longest time a call waits for the calls that its sequence says come first.
-    pub reorder_patience: Duration,
+    pub max_reorder_wait: Duration,
     /// Silence of an engine, beyond the predicted time to its first token and between any two
     /// tokens, after which a call counts as broken there.
     pub engine_silence: Duration,
@@ -70,9 +70,9 @@
             subset_size: 64,
             max_queued_calls: 1_024,
             max_waiting_per_program: 16,
-            admission_wait: Duration::from_millis(250),
-            no_engine_patience: Duration::from_secs(5),
-            reorder_patience: Duration::from_secs(2),
+            admission_wait_limit: Duration::from_millis(250),
+            max_engine_wait: Duration::from_secs(5),
+            max_reorder_wait: Duration::from_secs(2),
             engine_silence: Duration::from_secs(20),
             control_attempt_timeout: Duration::from_secs(1),
             control_timeout: Duration::from_secs(10),
@@ -89,23 +89,23 @@
     /// # Errors
     /// Names the first rule that is broken.
     pub fn validate(&self) -> Result<(), DaemonConfigError> {
-        let rule = |holds: bool, rule: &'static str| {
-            ensure!(holds, DaemonConfigSnafu { rule });
+        let require = |condition: bool, rule: &'static str| {
+            ensure!(condition, DaemonConfigSnafu { rule });
             Ok(())
         };
-        rule(!self.members.is_empty(), "members must not be empty")?;
-        rule(self.program_groups > 0, "program_groups must be above 0")?;
-        rule(self.subset_size > 0, "subset_size must be above 0")?;
-        rule(
+        require(!self.members.is_empty(), "members must not be empty")?;
+        require(self.program_groups > 0, "program_groups must be above 0")?;
+        require(self.subset_size > 0, "subset_size must be above 0")?;
+        require(
             self.max_queued_calls > 0,
             "max_queued_calls must be above 0",
         )?;
-        rule(
+        require(
             self.max_waiting_per_program > 0,
             "max_waiting_per_program must be above 0",
         )?;
-        rule(self.max_attempts > 0, "max_attempts must be above 0")?;
-        rule(
+        require(self.max_attempts > 0, "max_attempts must be above 0")?;
+        require(
             self.control_timeout >= self.control_attempt_timeout,
             "control_timeout must be at least control_attempt_timeout",
         )
--- a/crates/daemon/src/control_client.rs
+++ b/crates/daemon/src/control_client.rs
@@ -11,15 +11,15 @@
 pub struct OperationId(pub u64);
 
 /// Pause before a request is sent again when nobody knows who leads.
-const NO_LEADER_PAUSE: Duration = Duration::from_millis(60);
+const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Conclusion {
+pub(crate) enum OperationResult {
     /// A member answered.
     Answered(Box<Response>),
     /// No member answered in time. Whether the request took effect is not known.
-    GaveUp,
+    TimedOut,
 }
 
 #[derive(Clone, Debug)]
@@ -31,7 +31,7 @@
     attempt_deadline: Timestamp,
     deadline: Timestamp,
     /// The member has been given the request and may still answer.
-    sent: bool,
+    awaits_response: bool,
 }
 
 /// Requests under way and what is known of the leaders.
@@ -40,7 +40,7 @@
     members: Vec<MemberId>,
     leaders: BTreeMap<GroupId, MemberId>,
     operations: BTreeMap<OperationId, Operation>,
-    last: OperationId,
+    last_operation: OperationId,
     attempt_timeout: Duration,
 }
 
@@ -50,7 +50,7 @@
             members,
             leaders: BTreeMap::new(),
             operations: BTreeMap::new(),
-            last: OperationId::default(),
+            last_operation: OperationId::default(),
             attempt_timeout,
         }
     }
@@ -89,8 +89,8 @@
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) -> OperationId {
-        self.last.0 += 1;
-        let id = self.last;
+        self.last_operation.0 += 1;
+        let id = self.last_operation;
         let operation = Operation {
             group,
             request,
@@ -98,7 +98,7 @@
             attempt_timeout,
             attempt_deadline: now,
             deadline: now.plus(timeout),
-            sent: false,
+            awaits_response: false,
         };
         self.operations.insert(id, operation);
         self.send(id, now, actions);
@@ -121,7 +121,7 @@
         response: Response,
         now: Timestamp,
         actions: &mut Vec<Action>,
-    ) -> Option<Conclusion> {
+    ) -> Option<OperationResult> {
         let operation = self.operations.get_mut(&id)?;
         let group = operation.group;
         match response {
@@ -136,14 +136,14 @@
             }
             Response::NotLeader { .. } | Response::Unavailable { .. } => {
                 self.leaders.remove(&group);
-                self.pause(id, now);
+                self.schedule_retry(id, now);
                 None
             }
             answer => {
                 let member = operation.member;
                 self.operations.remove(&id);
                 self.leaders.insert(group, member);
-                Some(Conclusion::Answered(Box::new(answer)))
+                Some(OperationResult::Answered(Box::new(answer)))
             }
         }
     }
@@ -154,11 +154,11 @@
         let affected: Vec<OperationId> = self
             .operations
             .iter()
-            .filter(|(_, operation)| operation.member == member && operation.sent)
+            .filter(|(_, operation)| operation.member == member && operation.awaits_response)
             .map(|(id, _)| *id)
             .collect();
         for id in affected {
-            self.pause(id, now);
+            self.schedule_retry(id, now);
         }
     }
 
@@ -187,10 +187,10 @@
     }
 
     /// Gives every request more time.
-    pub(crate) fn postpone(&mut self, wait: Duration) {
+    pub(crate) fn extend_deadlines(&mut self, extension: Duration) {
         for operation in self.operations.values_mut() {
-            operation.attempt_deadline = operation.attempt_deadline.plus(wait);
-            operation.deadline = operation.deadline.plus(wait);
+            operation.attempt_deadline = operation.attempt_deadline.plus(extension);
+            operation.deadline = operation.deadline.plus(extension);
         }
     }
 
@@ -199,10 +199,10 @@
         self.operations.values().map(deadline).min()
     }
 
-    fn pause(&mut self, id: OperationId, now: Timestamp) {
+    fn schedule_retry(&mut self, id: OperationId, now: Timestamp) {
         if let Some(operation) = self.operations.get_mut(&id) {
-            operation.sent = false;
-            operation.attempt_deadline = now.plus(NO_LEADER_PAUSE);
+            operation.awaits_response = false;
+            operation.attempt_deadline = now.plus(NO_LEADER_RETRY_DELAY);
         }
     }
 
@@ -226,7 +226,7 @@
 
     fn send(&mut self, id: OperationId, now: Timestamp, actions: &mut Vec<Action>) {
         if let Some(operation) = self.operations.get_mut(&id) {
-            operation.sent = true;
+            operation.awaits_response = true;
             operation.attempt_deadline = now.plus(operation.attempt_timeout);
             actions.push(Action::Control {
                 member: operation.member,
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -4,7 +4,7 @@
 use crate::call::{ActiveCall, CallId};
 use crate::caller::TicketId;
 use crate::config::{DaemonConfig, DaemonConfigError};
-use crate::control_client::{Conclusion, ControlClient, OperationId};
+use crate::control_client::{ControlClient, OperationId, OperationResult};
 use crate::event::{EngineEvent, Event};
 use crate::lookup::{ActiveLookup, LookupId};
 use crate::pools::Pools;
@@ -121,9 +121,9 @@
     pub(crate) last_intent: u64,
     watch_member: usize,
     watch_due: Option<Timestamp>,
-    watch_failed: bool,
+    last_watch_failed: bool,
     renew_due: Timestamp,
-    ticked_at: Timestamp,
+    last_tick_at: Timestamp,
     draining: bool,
     drained: bool,
 }
@@ -135,13 +135,13 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Pause before a failed watch goes to another member.
-const WATCH_PAUSE: Duration = Duration::from_millis(150);
+const WATCH_RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Wait that is suggested to callers of a daemon that is starting or stopping.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A running process is never this late for its next timer: one that is was stopped meanwhile.
-const OWN_PAUSE_LIMIT: Duration = Duration::from_millis(500);
+const MAX_TICK_LATENESS: Duration = Duration::from_millis(500);
 
 /// Longest time between two looks at queues and deadlines.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
@@ -181,9 +181,9 @@
             // Daemons spread over the members, so that none of them feeds the whole fleet.
             watch_member: config.daemon.0 as usize % config.members.len(),
             watch_due: Some(now),
-            watch_failed: false,
+            last_watch_failed: false,
             renew_due: now.plus(config.renew_interval),
-            ticked_at: now,
+            last_tick_at: now,
             draining: false,
             drained: false,
             config,
@@ -194,8 +194,8 @@
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         let lateness = now.since(self.next_deadline());
         self.now = self.now.max(now);
-        if lateness > OWN_PAUSE_LIMIT {
-            self.forgive_own_pause(lateness);
+        if lateness > MAX_TICK_LATENESS {
+            self.extend_timeouts_after_pause(lateness);
         }
         self.dispatch_event(event);
         self.run_queue();
@@ -215,7 +215,7 @@
         }
         if !self.calls.is_empty() || !self.lookups.is_empty() || self.draining {
             // Counted from the last tick: a steady stream of other events must not put it off.
-            due = due.min(self.ticked_at.plus(TICK_INTERVAL));
+            due = due.min(self.last_tick_at.plus(TICK_INTERVAL));
         }
         due
     }
@@ -295,22 +295,22 @@
 
     /// This process itself stood still. What others said meanwhile waits to be read, so their
     /// silence proves nothing yet: every limit on it is put off by the pause.
-    fn forgive_own_pause(&mut self, pause: Duration) {
+    fn extend_timeouts_after_pause(&mut self, pause: Duration) {
         for call in self.calls.values_mut() {
-            call.silent_after = call.silent_after.plus(pause);
+            call.silence_deadline = call.silence_deadline.plus(pause);
         }
         for lookup in self.lookups.values_mut() {
-            lookup.postpone(pause);
+            lookup.extend_deadline(pause);
         }
-        self.control.postpone(pause);
+        self.control.extend_deadlines(pause);
     }
 
     fn on_tick(&mut self) {
-        self.ticked_at = self.now;
+        self.last_tick_at = self.now;
         let expired = self.control.tick(self.now, &mut self.actions);
         for operation in expired {
             if let Some(purpose) = self.operations.remove(&operation) {
-                self.conclude(purpose, Conclusion::GaveUp);
+                self.complete_operation(purpose, OperationResult::TimedOut);
             }
         }
         if self.watch_due.is_some_and(|due| self.now >= due) {
@@ -326,29 +326,29 @@
     }
 
     fn on_control(&mut self, operation: OperationId, response: Response) {
-        let conclusion = self
+        let result = self
             .control
             .on_response(operation, response, self.now, &mut self.actions);
-        if let Some(conclusion) = conclusion
+        if let Some(result) = result
             && let Some(purpose) = self.operations.remove(&operation)
         {
-            self.conclude(purpose, conclusion);
+            self.complete_operation(purpose, result);
         }
     }
 
-    fn conclude(&mut self, purpose: Purpose, conclusion: Conclusion) {
+    fn complete_operation(&mut self, purpose: Purpose, result: OperationResult) {
         match purpose {
-            Purpose::Create { ticket } => self.on_created(ticket, conclusion),
+            Purpose::Create { ticket } => self.on_created(ticket, result),
             Purpose::CreateOneShot { program } | Purpose::Acquire { program } => {
-                self.on_acquired(program, conclusion);
+                self.on_acquired(program, result);
             }
-            Purpose::View { ticket } => self.on_viewed(ticket, conclusion),
-            Purpose::End { ticket, program } => self.on_ended(ticket, program, conclusion),
-            Purpose::Begin { call } => self.on_begun(call, conclusion),
-            Purpose::Retry { call } => self.on_retry_recorded(call, conclusion),
-            Purpose::Finish { call } => self.on_finished(call, conclusion),
+            Purpose::View { ticket } => self.on_viewed(ticket, result),
+            Purpose::End { ticket, program } => self.on_ended(ticket, program, result),
+            Purpose::Begin { call } => self.on_begun(call, result),
+            Purpose::Retry { call } => self.on_retry_recorded(call, result),
+            Purpose::Finish { call } => self.on_finished(call, result),
             Purpose::Background => {}
-            Purpose::Watch => self.on_watch(conclusion),
+            Purpose::Watch => self.on_watch(result),
         }
     }
 
@@ -405,7 +405,7 @@
         self.watch_due = None;
         let member = self.config.members[self.watch_member];
         let known = self.configuration.revision();
-        let hold = !self.watch_failed;
+        let hold = !self.last_watch_failed;
         let timeout = if hold { WATCH_TIMEOUT } else { PROBE_TIMEOUT };
         let operation = self.control.submit_to(
             luglink_control::CONFIGURATION_GROUP,
@@ -419,14 +419,14 @@
         self.operations.insert(operation, Purpose::Watch);
     }
 
-    fn on_watch(&mut self, conclusion: Conclusion) {
-        let Conclusion::Answered(response) = conclusion else {
-            self.watch_failed = true;
+    fn on_watch(&mut self, result: OperationResult) {
+        let OperationResult::Answered(response) = result else {
+            self.last_watch_failed = true;
             self.watch_member = (self.watch_member + 1) % self.config.members.len();
-            self.watch_due = Some(self.now.plus(WATCH_PAUSE));
+            self.watch_due = Some(self.now.plus(WATCH_RETRY_DELAY));
             return;
         };
-        self.watch_failed = false;
+        self.last_watch_failed = false;
         if let Response::Configuration(catch_up) = *response
             && self.configuration.advance(catch_up)
         {
--- a/crates/daemon/src/lookup.rs
+++ b/crates/daemon/src/lookup.rs
@@ -28,8 +28,8 @@
 
 impl ActiveLookup {
     /// Gives the service more time.
-    pub(crate) fn postpone(&mut self, wait: Duration) {
-        self.deadline = self.deadline.plus(wait);
+    pub(crate) fn extend_deadline(&mut self, extension: Duration) {
+        self.deadline = self.deadline.plus(extension);
     }
 }
 
--- a/crates/daemon/src/outcomes.rs
+++ b/crates/daemon/src/outcomes.rs
@@ -1,7 +1,7 @@
 //! Outcomes: what follows a failed attempt, and how the end of a call becomes durable.
 
 use crate::call::{CallId, CurrentAttempt, Phase};
-use crate::control_client::Conclusion;
+use crate::control_client::OperationResult;
 use crate::daemon::{Daemon, Purpose};
 use crate::program::ServedProgram;
 use crate::programs::program_reply;
@@ -64,7 +64,7 @@
         self.submit_command(program, command, Purpose::Retry { call: id });
     }
 
-    pub(crate) fn on_retry_recorded(&mut self, id: CallId, conclusion: Conclusion) {
+    pub(crate) fn on_retry_recorded(&mut self, id: CallId, result: OperationResult) {
         let retrying = self
             .calls
             .get(&id)
@@ -72,7 +72,7 @@
         if !retrying {
             return;
         }
-        match program_reply(conclusion) {
+        match program_reply(result) {
             Ok(Reply::Begun(begun)) => {
                 if let Some(call) = self.calls.get_mut(&id) {
                     call.window = begun.window;
@@ -130,11 +130,11 @@
         self.submit_command(program, command, Purpose::Finish { call: id });
     }
 
-    pub(crate) fn on_finished(&mut self, id: CallId, conclusion: Conclusion) {
+    pub(crate) fn on_finished(&mut self, id: CallId, result: OperationResult) {
         let Some(class) = self.calls.get(&id).and_then(|call| call.outcome) else {
             return;
         };
-        match program_reply(conclusion) {
+        match program_reply(result) {
             Ok(Reply::Finished { next_sequence }) => {
                 self.on_outcome_durable(id, class, next_sequence)
             }
@@ -147,14 +147,14 @@
         match class {
             OutcomeClass::Completed => self.complete(id, next_sequence),
             OutcomeClass::Uncertain => {
-                let rerun = self.calls.get(&id).is_some_and(|call| {
+                let may_rerun = self.calls.get(&id).is_some_and(|call| {
                     call.request.repeatable
                         && !call.part_sent
                         && call.ticket.is_some()
                         && call.attempts < self.config.max_attempts
                 });
-                if rerun && self.retry_budget.try_withdraw() {
-                    return self.run_again(id, next_sequence);
+                if may_rerun && self.retry_budget.try_withdraw() {
+                    return self.rerun_call(id, next_sequence);
                 }
                 self.set_next_sequence(id, next_sequence);
                 self.close_refused(id, unknown_outcome());
@@ -213,7 +213,7 @@
                 - usage.cached_tokens.min(usage.prompt_tokens)
                 + usage.completion_tokens;
         }
-        self.note_cached_turn(program, engine);
+        self.record_cached_blocks(program, engine);
         self.close_answered(
             id,
             StoredAnswer {
@@ -226,7 +226,7 @@
     }
 
     /// The engine keeps the turn's blocks; its own event comes late or never.
-    fn note_cached_turn(&mut self, program: ProgramId, engine: Option<EngineId>) {
+    fn record_cached_blocks(&mut self, program: ProgramId, engine: Option<EngineId>) {
         let held = self.programs.get(&program).and_then(ServedProgram::held);
         let (Some(held), Some(engine)) = (held, engine) else {
             return;
@@ -238,7 +238,7 @@
 
     /// The caller allowed the call to run twice, and the first run is on record as uncertain:
     /// the intent is sent again under the same key.
-    fn run_again(&mut self, id: CallId, next_sequence: Sequence) {
+    fn rerun_call(&mut self, id: CallId, next_sequence: Sequence) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
--- a/crates/daemon/src/pools.rs
+++ b/crates/daemon/src/pools.rs
@@ -22,7 +22,7 @@
     zone: ZoneName,
     subset_size: usize,
     routers: BTreeMap<PoolName, Router>,
-    home: BTreeMap<EngineId, PoolName>,
+    pool_of_engine: BTreeMap<EngineId, PoolName>,
     leaving: BTreeSet<EngineId>,
 }
 
@@ -39,32 +39,35 @@
             zone,
             subset_size,
             routers: BTreeMap::new(),
-            home: BTreeMap::new(),
+            pool_of_engine: BTreeMap::new(),
             leaving: BTreeSet::new(),
         }
     }
 
     /// Takes the pools and services that the configuration now has.
     pub(crate) fn configure(&mut self, configuration: &ConfigurationView) {
-        let mut wanted: BTreeMap<PoolName, Vec<ReplicaInfo>> = BTreeMap::new();
+        let mut configured: BTreeMap<PoolName, Vec<ReplicaInfo>> = BTreeMap::new();
         for resource in configuration.resources() {
             match resource {
                 Resource::ModelPool(pool) => {
-                    wanted.insert(PoolName::Model(pool.name.clone()), infos(&pool.replicas));
+                    configured.insert(
+                        PoolName::Model(pool.name.clone()),
+                        replica_infos(&pool.replicas),
+                    );
                 }
                 Resource::Service(service) => {
                     let name = PoolName::Service(service.name.clone());
-                    wanted.insert(name, infos(&service.replicas));
+                    configured.insert(name, replica_infos(&service.replicas));
                 }
                 _ => {}
             }
         }
-        self.routers.retain(|name, _| wanted.contains_key(name));
-        self.home.clear();
-        for (name, replicas) in wanted {
+        self.routers.retain(|name, _| configured.contains_key(name));
+        self.pool_of_engine.clear();
+        for (name, replicas) in configured {
             let subset = choose_subset(&replicas, self.daemon, &self.zone, self.subset_size);
             for replica in &subset {
-                self.home.insert(replica.engine, name.clone());
+                self.pool_of_engine.insert(replica.engine, name.clone());
             }
             self.routers
                 .entry(name)
@@ -91,7 +94,7 @@
 
     /// The router that an engine belongs to.
     pub(crate) fn router_of(&mut self, engine: EngineId) -> Option<&mut Router> {
-        let name = self.home.get(&engine)?;
+        let name = self.pool_of_engine.get(&engine)?;
         self.routers.get_mut(name)
     }
 
@@ -123,14 +126,14 @@
 
     /// Takes the platform's list of leaving replicas.
     pub(crate) fn set_leaving(&mut self, engines: &[EngineId]) {
-        let next: BTreeSet<EngineId> = engines.iter().copied().collect();
-        let back: Vec<EngineId> = self.leaving.difference(&next).copied().collect();
-        for engine in back {
+        let leaving: BTreeSet<EngineId> = engines.iter().copied().collect();
+        let returned: Vec<EngineId> = self.leaving.difference(&leaving).copied().collect();
+        for engine in returned {
             if let Some(router) = self.router_of(engine) {
                 router.set_draining(engine, false);
             }
         }
-        self.leaving = next;
+        self.leaving = leaving;
         self.apply_leaving();
     }
 
@@ -143,7 +146,7 @@
     }
 }
 
-fn infos(replicas: &[Replica]) -> Vec<ReplicaInfo> {
+fn replica_infos(replicas: &[Replica]) -> Vec<ReplicaInfo> {
     let info = |replica: &Replica| ReplicaInfo {
         engine: replica.engine,
         address: replica.address.clone(),
--- a/crates/daemon/src/program.rs
+++ b/crates/daemon/src/program.rs
@@ -80,7 +80,7 @@
     pub(crate) current: Option<CallId>,
     /// Calls that wait for it.
     pub(crate) waiting: VecDeque<CallId>,
-    pub(crate) used_at: Timestamp,
+    pub(crate) last_used_at: Timestamp,
     /// Claims that were refused since the program was last held.
     pub(crate) refused_claims: u32,
 }
@@ -91,7 +91,7 @@
             ownership: Ownership::Acquiring,
             current: None,
             waiting: VecDeque::new(),
-            used_at: now,
+            last_used_at: now,
             refused_claims: 0,
         }
     }
--- a/crates/daemon/src/programs.rs
+++ b/crates/daemon/src/programs.rs
@@ -3,7 +3,7 @@
 use crate::action::Answer;
 use crate::call::{CallId, Phase};
 use crate::caller::{CreateRequest, TicketId};
-use crate::control_client::Conclusion;
+use crate::control_client::OperationResult;
 use crate::daemon::{Daemon, Purpose, control_unavailable};
 use crate::program::{HeldProgram, Ownership, ServedProgram};
 use luglink_control::{Request, Response};
@@ -22,7 +22,7 @@
         };
         // A helper belongs to a program that was admitted already.
         if request.parent.is_none()
-            && let Some(refusal) = self.refuses_admission(&spec.model)
+            && let Some(refusal) = self.admission_refusal(&spec.model)
         {
             return self.refuse(ticket, refusal);
         }
@@ -39,9 +39,9 @@
     /// When calls wait long for engines already, one more program would only make all of them
     /// late: it is refused at once, before anything ran, and told when to come back. Programs
     /// under way go on.
-    pub(crate) fn refuses_admission(&self, pool: &ModelName) -> Option<Refusal> {
-        let since = self.queue.waiting_longest(pool)?;
-        (self.now.since(since) > self.config.admission_wait).then(|| {
+    pub(crate) fn admission_refusal(&self, pool: &ModelName) -> Option<Refusal> {
+        let since = self.queue.oldest_queued_at(pool)?;
+        (self.now.since(since) > self.config.admission_wait_limit).then(|| {
             let detail = format!("calls of `{pool}` wait too long to take more programs");
             Refusal::not_run(RefusalCode::Overloaded, detail).retry_after(ADMISSION_RETRY_AFTER)
         })
@@ -63,8 +63,8 @@
         program
     }
 
-    pub(crate) fn on_created(&mut self, ticket: TicketId, conclusion: Conclusion) {
-        match program_reply(conclusion) {
+    pub(crate) fn on_created(&mut self, ticket: TicketId, result: OperationResult) {
+        match program_reply(result) {
             Ok(Reply::Owned(owned)) => {
                 let program = owned.program;
                 let served = self
@@ -103,12 +103,12 @@
         self.submit_command(program, command, Purpose::Acquire { program });
     }
 
-    pub(crate) fn on_acquired(&mut self, program: ProgramId, conclusion: Conclusion) {
-        match program_reply(conclusion) {
+    pub(crate) fn on_acquired(&mut self, program: ProgramId, result: OperationResult) {
+        match program_reply(result) {
             Ok(Reply::Owned(owned)) => {
                 if let Some(served) = self.programs.get_mut(&program) {
                     served.ownership = Ownership::Held(Box::new(HeldProgram::new(*owned)));
-                    served.used_at = self.now;
+                    served.last_used_at = self.now;
                     served.refused_claims = 0;
                 }
                 self.start_next_call(program);
@@ -118,7 +118,7 @@
                 // An ended program may still have answers to give for repeated keys: the
                 // state machine decides that call by call.
                 match refusal.code {
-                    RefusalCode::ProgramEnded => self.answer_calls_of_ended(program, &refusal),
+                    RefusalCode::ProgramEnded => self.resolve_calls_of_ended(program, &refusal),
                     RefusalCode::StaleOwner if self.may_claim_again(program) => {
                         self.acquire(program);
                     }
@@ -174,8 +174,8 @@
         self.submit(group, Request::View(program), timeout, purpose);
     }
 
-    pub(crate) fn on_viewed(&mut self, ticket: TicketId, conclusion: Conclusion) {
-        let Conclusion::Answered(response) = conclusion else {
+    pub(crate) fn on_viewed(&mut self, ticket: TicketId, result: OperationResult) {
+        let OperationResult::Answered(response) = result else {
             return self.refuse(ticket, control_unavailable());
         };
         match *response {
@@ -214,9 +214,9 @@
         &mut self,
         ticket: Option<TicketId>,
         program: ProgramId,
-        conclusion: Conclusion,
+        result: OperationResult,
     ) {
-        match program_reply(conclusion) {
+        match program_reply(result) {
             Ok(Reply::Done) => {
                 let refusal =
                     Refusal::not_run(RefusalCode::ProgramEnded, "the program has been ended");
@@ -247,7 +247,7 @@
             .filter(|(_, served)| served.is_idle())
             .filter_map(|(id, served)| {
                 let held = served.held()?;
-                Some((served.used_at, *id, held.history_bytes))
+                Some((served.last_used_at, *id, held.history_bytes))
             })
             .collect();
         let mut bytes: usize = idle.iter().map(|(_, _, size)| size).sum();
@@ -274,8 +274,8 @@
 const MAX_IDLE_PROGRAMS: usize = 20_000;
 
 /// The reply of a program group, or the refusal for the caller.
-pub(crate) fn program_reply(conclusion: Conclusion) -> Result<Reply, Refusal> {
-    let Conclusion::Answered(response) = conclusion else {
+pub(crate) fn program_reply(result: OperationResult) -> Result<Reply, Refusal> {
+    let OperationResult::Answered(response) = result else {
         return Err(control_unavailable());
     };
     match *response {
--- a/crates/daemon/src/queue.rs
+++ b/crates/daemon/src/queue.rs
@@ -41,7 +41,7 @@
 
     /// Calls in the order in which they should go: by priority with aging, then programs that
     /// have been served less, then by arrival.
-    pub(crate) fn in_order(&self, now: Timestamp) -> Vec<QueuedCall> {
+    pub(crate) fn by_urgency(&self, now: Timestamp) -> Vec<QueuedCall> {
         let mut ordered = self.calls.clone();
         ordered.sort_by_key(|queued| {
             (
@@ -61,7 +61,7 @@
     }
 
     /// Since when the longest waiting call of a pool has waited.
-    pub(crate) fn waiting_longest(&self, pool: &ModelName) -> Option<Timestamp> {
+    pub(crate) fn oldest_queued_at(&self, pool: &ModelName) -> Option<Timestamp> {
         let own = self.calls.iter().filter(|queued| queued.pool == *pool);
         own.map(|queued| queued.queued_at).min()
     }
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -120,12 +120,12 @@
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for action in self.daemon.handle(event, self.now) {
-                events.extend(self.carry_out(action));
+                events.extend(self.execute(action));
             }
         }
     }
 
-    fn carry_out(&mut self, action: Action) -> Option<Event> {
+    fn execute(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Answer { ticket, answer } => self.answers.push((ticket, answer)),
             Action::Dispatch(dispatch) => self.dispatches.push(*dispatch),
