--- a/crates/daemon-server/src/actor.rs
+++ b/crates/daemon-server/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the daemon's logic.
+//! Actor that drives the daemon's state machine.
 
 use crate::engines::EngineClient;
 use crate::metrics::DaemonMetrics;
@@ -13,13 +13,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
 
-/// Time between looks at timers.
+/// Time between two checks of the daemon's next deadline.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Messages that may wait for the actor before senders are held back.
+/// Maximum number of messages in the actor's mailbox before senders are held back.
 const MAILBOX_CAPACITY: usize = 65_536;
 
-/// The time in microseconds since the Unix epoch.
+/// Returns the system time in microseconds since the Unix epoch.
 fn now() -> Timestamp {
     let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -34,7 +34,7 @@
     first_part_seen: bool,
 }
 
-/// Owns the daemon, its links and its waiting callers.
+/// Actor that owns the daemon's state machine, its links and its waiting callers.
 pub(crate) struct DaemonActor {
     daemon: Daemon,
     hello: Hello,
@@ -125,7 +125,7 @@
         if matches!(answer, Answer::Completed { .. }) {
             self.metrics.call_seconds.observe(elapsed);
         }
-        // A caller that is gone has dropped its end; `CallerGone` follows.
+        // A disconnected caller has dropped its receiver; `CallerGone` follows.
         let _ = waiting.answers.send(answer);
         if !is_part {
             self.waiting.remove(&ticket);
@@ -136,7 +136,7 @@
         let body = match encode_body(request) {
             Ok(body) => body,
             Err(error) => {
-                tracing::error!(%error, "cannot encode a request");
+                tracing::error!(%error, "cannot encode a request to a control member");
                 return;
             }
         };
@@ -145,8 +145,8 @@
             .get(&member)
             .is_some_and(|link| link.send(Frame::request(operation.0, body)));
         if !sent {
-            // The logic waits and then asks another member.
-            tracing::debug!(%member, "control member not reachable");
+            // The daemon retries at another member after a timeout.
+            tracing::debug!(%member, "control member is unreachable");
         }
     }
 
@@ -184,7 +184,7 @@
     }
 }
 
-/// News of a link.
+/// An event of the link to a control member.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct MemberLinkEvent {
@@ -207,7 +207,9 @@
                     operation: OperationId(correlation),
                     response: Box::new(response),
                 }),
-                Err(error) => tracing::warn!(%error, "malformed response"),
+                Err(error) => {
+                    tracing::warn!(%error, "cannot decode the response of a control member")
+                }
             },
             LinkEvent::Frame(_) => tracing::warn!("unexpected frame from a control member"),
         }
@@ -237,7 +239,7 @@
     }
 }
 
-/// Any other event.
+/// An event for the daemon that is not a caller's request.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct DaemonEvent(pub(crate) Event);
@@ -259,7 +261,7 @@
     }
 }
 
-/// Asks whether the daemon can serve.
+/// Asks whether the daemon is ready to serve requests.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub(crate) struct IsReady;
@@ -296,13 +298,13 @@
     fn handle(&mut self, _: RenderMetrics, _: &mut Self::Context) -> Option<String> {
         let rendered = self.metrics.render(&self.daemon);
         if let Err(error) = &rendered {
-            tracing::error!(%error, "cannot write metrics");
+            tracing::error!(%error, "cannot render the metrics");
         }
         rendered.ok()
     }
 }
 
-/// Starts a planned stop; answered once every accepted request is.
+/// Starts a drain. The sender is notified once every accepted request is answered.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct Drain(pub(crate) oneshot::Sender<()>);
@@ -320,7 +322,7 @@
     }
 }
 
-/// Stops at once.
+/// Stops the actor at once, without answering waiting callers.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct Halt;
--- a/crates/daemon-server/src/api.rs
+++ b/crates/daemon-server/src/api.rs
@@ -1,11 +1,11 @@
-//! Bodies of luglink's own HTTP interface.
+//! Request and response bodies of luglink's HTTP interface.
 
 use luglink_engine_api::Usage;
 use luglink_program::{Owned, ProgramStatus, ProgramView, StoredAnswer};
 use luglink_types::{Budget, ChatMessage, Priority, ProgramId};
 use serde::{Deserialize, Serialize};
 
-/// `POST /v1/programs`.
+/// Body of `POST /v1/programs`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct CreateBody {
@@ -22,7 +22,7 @@
     pub(crate) parent: Option<String>,
 }
 
-/// `POST /v1/programs/{id}/calls`.
+/// Body of `POST /v1/programs/{id}/calls`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct CallBody {
@@ -35,7 +35,7 @@
     pub(crate) repeatable: bool,
 }
 
-/// A created program.
+/// Response to a created program.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ProgramCreated {
     pub(crate) program: String,
@@ -53,7 +53,7 @@
     }
 }
 
-/// A call's whole answer.
+/// Complete answer to a call.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct CallAnswer {
     pub(crate) program: String,
@@ -75,7 +75,7 @@
     }
 }
 
-/// `GET /v1/programs/{id}`.
+/// Response to `GET /v1/programs/{id}`.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ProgramBody {
     pub(crate) program: String,
@@ -92,7 +92,7 @@
     pub(crate) history: Vec<ChatMessage>,
 }
 
-/// A program's budget and what it has spent.
+/// Budget of a program, with the spent and reserved amounts.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct BudgetBody {
     pub(crate) ceiling: Budget,
--- a/crates/daemon-server/src/engine_events.rs
+++ b/crates/daemon-server/src/engine_events.rs
@@ -1,11 +1,11 @@
-//! What replicas publish of themselves, turned into events for the daemon.
+//! Conversion of the events that replicas publish into events for the daemon.
 
 use luglink_daemon::Event;
 use luglink_engine_api::{EngineEvents, EngineLoad};
 use luglink_routing::{BlockHash, LoadReport};
 use luglink_types::EngineId;
 
-/// How far the events of one replica have been read.
+/// Read position in the events of one replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineEventReader {
     incarnation: u64,
@@ -13,13 +13,13 @@
 }
 
 impl EngineEventReader {
-    /// Number of the last event that was read; the replica is asked for those after it.
+    /// Returns the number of the last event read. The next request asks for the events after it.
     #[must_use]
     pub fn last(&self) -> u64 {
         self.last
     }
 
-    /// Takes an answer of the replica and gives what it means for the daemon, in order.
+    /// Advances the read position and returns the load and cache events that the response contains.
     pub fn take(&mut self, engine: EngineId, events: EngineEvents) -> [Event; 2] {
         let restarted = events.incarnation != self.incarnation;
         self.incarnation = events.incarnation;
--- a/crates/daemon-server/src/engines.rs
+++ b/crates/daemon-server/src/engines.rs
@@ -1,4 +1,4 @@
-//! Requests to replicas, and what they publish of themselves.
+//! HTTP client for replicas: calls, lookups and published events.
 
 use crate::actor::{DaemonActor, DaemonEvent};
 use crate::engine_events::EngineEventReader;
@@ -18,16 +18,16 @@
 use std::time::Duration;
 use tracing::{Instrument, Span};
 
-/// Time within which a replica must answer a request's head. Streams may take longer.
+/// Time within which a replica must send the head of its response. The body may take longer.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// Time within which a connection must be made.
+/// Time within which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest response of a plain service, in bytes.
+/// Maximum size of a lookup's response or of a replica's event list, in bytes.
 const MAX_LOOKUP_BYTES: usize = 8 << 20;
 
-/// Talks to replicas on behalf of the actor.
+/// Client that sends the actor's requests to replicas and polls their events.
 pub(crate) struct EngineClient {
     daemon: Addr<DaemonActor>,
     http: Client,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Sends a request; its events go to the actor.
+    /// Sends a request in a task of its own, which passes the events to the actor.
     pub(crate) fn dispatch(&mut self, dispatch: Dispatch) {
         let attempt = dispatch.attempt;
         let http = self.http.clone();
@@ -77,19 +77,19 @@
         self.running.insert(attempt, task);
     }
 
-    /// Stops a request by closing its connection, which cancels it at the replica.
+    /// Cancels a request at the replica by closing its connection.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         if let Some(task) = self.running.remove(&attempt) {
             task.abort();
         }
     }
 
-    /// A request has ended.
+    /// Removes a request that has ended.
     pub(crate) fn forget(&mut self, attempt: AttemptId) {
         self.running.remove(&attempt);
     }
 
-    /// Follows the events of exactly these replicas.
+    /// Polls the events of exactly these replicas.
     pub(crate) fn watch(&mut self, replicas: Vec<ReplicaInfo>) {
         self.watched.retain(|_, watched| {
             let keep = replicas.contains(&watched.info);
@@ -122,7 +122,7 @@
     }
 }
 
-/// Names the program, call and attempt in every log line about a dispatch.
+/// Creates a span that adds the program, call and attempt to every log line about a dispatch.
 fn attempt_span(dispatch: &Dispatch) -> Span {
     let (program, sequence, number) = match &dispatch.body {
         DispatchBody::Chat(chat) => (
@@ -191,7 +191,7 @@
     }
 }
 
-/// What an engine's own error means.
+/// Converts an error that the engine reported.
 pub(crate) fn engine_error_event(code: EngineErrorCode) -> EngineEvent {
     match code {
         EngineErrorCode::Rejected | EngineErrorCode::Invalid => EngineEvent::Rejected,
@@ -199,9 +199,10 @@
     }
 }
 
-/// Only a connection that was never made proves that the request was not sent.
+/// Converts a send error. Only a connection that was never established proves that the request was
+/// not sent.
 fn classify_send_error(error: &SendRequestError) -> EngineEvent {
-    tracing::debug!(%error, "replica did not answer");
+    tracing::debug!(%error, "request to a replica failed");
     match error {
         SendRequestError::Connect(_) | SendRequestError::Url(_) => EngineEvent::NotSent,
         _ => EngineEvent::Broken,
@@ -239,7 +240,7 @@
     }
 }
 
-/// Asks one replica for its events again and again.
+/// Polls the events of one replica at `interval`.
 async fn follow_events(
     http: Client,
     daemon: Addr<DaemonActor>,
--- a/crates/daemon-server/src/errors.rs
+++ b/crates/daemon-server/src/errors.rs
@@ -4,28 +4,28 @@
 use luglink_telemetry::TelemetryError;
 use snafu::Snafu;
 
-/// A daemon cannot start.
+/// An error that prevents the start of a daemon.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DaemonServerError {
-    /// The settings cannot work.
+    /// The settings violate a rule.
     #[snafu(display("{source}"), context(false))]
     Config {
-        /// Why not.
+        /// The violated rule.
         source: DaemonConfigError,
     },
-    /// Metrics cannot be set up.
+    /// The metrics cannot be registered.
     #[snafu(display("{source}"), context(false))]
     Telemetry {
-        /// Why not.
+        /// The cause.
         source: TelemetryError,
     },
-    /// An address cannot be used.
+    /// The daemon cannot listen on its address.
     #[snafu(display("cannot listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: std::net::SocketAddr,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
 }
--- a/crates/daemon-server/src/http.rs
+++ b/crates/daemon-server/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP for callers.
+//! HTTP interface for callers.
 
 use crate::actor::{CallerRequest, DaemonActor, DaemonEvent, IsReady, RenderMetrics};
 use crate::api::{CallAnswer, CallBody, CreateBody, ProgramBody, ProgramCreated};
@@ -22,23 +22,24 @@
 const PROBLEM_JSON: &str = "application/problem+json";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// A request's body, or why it could not be read.
+/// Body of a request, or the error of reading it.
 type Body = Result<Bytes, actix_web::Error>;
 
-/// The body is too long, or the caller broke off in the middle.
+/// Response to a body that is too long or incomplete.
 fn body_error(error: &actix_web::Error) -> HttpResponse {
     let refusal = Refusal::not_run(RefusalCode::InvalidRequest, format!("body: {error}"));
     let status = error.as_response_error().status_code();
     problem_with_status(&refusal, status)
 }
 
-/// What every handler needs.
+/// State shared by all handlers.
 pub(crate) struct Shared {
     pub(crate) daemon: Addr<DaemonActor>,
     pub(crate) last_ticket: AtomicU64,
 }
 
-/// Answers to one request. Dropping it tells the daemon that the caller is gone.
+/// Answers to one request. If it is dropped before the final answer, the daemon is notified that
+/// the caller has disconnected.
 struct Answers {
     ticket: TicketId,
     receiver: mpsc::UnboundedReceiver<Answer>,
@@ -47,7 +48,7 @@
 }
 
 impl Answers {
-    /// The next answer; a refusal when the daemon stopped without one.
+    /// Returns the next answer, or a refusal if the daemon has stopped without sending one.
     async fn next(&mut self) -> Answer {
         let answer = self.receiver.recv().await.unwrap_or_else(daemon_stopped);
         self.record_final(&answer);
@@ -58,7 +59,7 @@
         self.finished |= !matches!(answer, Answer::Part(_));
     }
 
-    /// The final answer, parts left out.
+    /// Returns the final answer and discards parts.
     async fn final_answer(mut self) -> Answer {
         loop {
             let answer = self.next().await;
@@ -102,7 +103,7 @@
     }
 }
 
-/// The routes.
+/// Registers the routes.
 pub(crate) fn routes(config: &mut ServiceConfig) {
     config
         .route("/v1/programs", web::post().to(create_program))
@@ -202,7 +203,7 @@
         .await
 }
 
-/// Names the program and the caller's key in every log line about a call.
+/// Creates a span that adds the program and the caller's key to every log line about a call.
 fn call_span(call: &CallRequest) -> Span {
     let program = match &call.target {
         CallTarget::Existing(program) => program.to_string(),
@@ -235,12 +236,12 @@
     }
 }
 
-/// How a call's answer is written.
+/// Format of a call's answer.
 #[derive(Clone, Debug)]
 enum AnswerFormat {
-    /// luglink's own.
+    /// Format of luglink.
     Native,
-    /// As OpenAI publishes it.
+    /// OpenAI-compatible format.
     OpenAi { model: String, include_usage: bool },
 }
 
@@ -314,7 +315,8 @@
             }
         };
     }
-    // The status line waits for the first answer, so that a refusal is a problem and no stream.
+    // The status line is sent after the first answer, so that a refusal gets its own status code
+    // instead of an event in a stream.
     let first = answers.next().await;
     if let Answer::Refused(refusal) = &first {
         log_refusal(refusal);
@@ -442,18 +444,14 @@
 async fn not_found(request: HttpRequest) -> HttpResponse {
     let mut refusal = Refusal::not_run(
         RefusalCode::InvalidRequest,
-        format!(
-            "nothing is served at {} {}",
-            request.method(),
-            request.path()
-        ),
+        format!("no route for {} {}", request.method(), request.path()),
     );
     let end = refusal.detail.floor_char_boundary(MAX_DETAIL_BYTES);
     refusal.detail.truncate(end);
     problem_with_status(&refusal, StatusCode::NOT_FOUND)
 }
 
-/// Longest detail that repeats a caller's input, in bytes.
+/// Maximum length of a detail that contains the caller's input, in bytes.
 const MAX_DETAIL_BYTES: usize = 200;
 
 fn accepts_stream(request: &HttpRequest) -> bool {
@@ -471,7 +469,7 @@
     }
 }
 
-/// A refusal as problem JSON.
+/// Response with a refusal as problem JSON.
 pub(crate) fn problem_response(refusal: &Refusal) -> HttpResponse {
     let status = StatusCode::from_u16(refusal.code.http_status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/daemon-server/src/lib.rs
+++ b/crates/daemon-server/src/lib.rs
@@ -1,5 +1,5 @@
-//! The shell of a daemon: HTTP for callers, links to the control members, and requests to
-//! replicas, around [`luglink_daemon::Daemon`].
+//! Process of a daemon: drives [`luglink_daemon::Daemon`], serves HTTP to callers, holds the links
+//! to the control members and sends requests to replicas.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/daemon-server/src/metrics.rs
+++ b/crates/daemon-server/src/metrics.rs
@@ -4,7 +4,8 @@
 use luglink_telemetry::{Metrics, TelemetryError};
 use prometheus::{Gauge, Histogram, IntCounter, IntCounterVec};
 
-/// What a daemon counts. Counters follow those of the logic; gauges show its state.
+/// Metrics of a daemon. Most counters and all gauges are updated from the daemon's state when the
+/// metrics are rendered.
 #[derive(Clone, Debug)]
 pub(crate) struct DaemonMetrics {
     registry: Metrics,
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Brings the metrics up to the daemon's state and writes them.
+    /// Updates the metrics from the daemon's state and renders them.
     pub(crate) fn render(&mut self, daemon: &Daemon) -> Result<String, TelemetryError> {
         let counters = daemon.counters();
         let last_counters = self.last_counters;
--- a/crates/daemon-server/src/parse.rs
+++ b/crates/daemon-server/src/parse.rs
@@ -1,4 +1,4 @@
-//! Callers' input: headers, bodies and paths, with an error that names the field.
+//! Parsing of headers, bodies and paths of callers. Errors name the invalid field.
 
 use crate::api::{CallBody, CreateBody};
 use actix_web::HttpRequest;
@@ -13,20 +13,20 @@
 };
 use serde::de::DeserializeOwned;
 
-/// Tenant and class of calls that state none.
+/// Tenant and class of calls that do not state any.
 const DEFAULT_NAME: &str = "default";
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Messages of one call at the most.
+/// Maximum number of messages of one call.
 const MAX_MESSAGES: usize = 1_024;
 
 fn invalid(field: &str, rule: impl std::fmt::Display) -> Refusal {
     Refusal::not_run(RefusalCode::InvalidRequest, format!("{field}: {rule}"))
 }
 
-/// Reads a JSON body.
+/// Parses a JSON body.
 pub(crate) fn json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
     serde_json::from_slice(body).map_err(|error| invalid("body", error))
 }
@@ -69,7 +69,8 @@
     })
 }
 
-/// An OpenAI-compatible call: headers carry what the protocol has no field for.
+/// Parses an OpenAI-compatible call. Headers carry the parameters that the protocol has no field
+/// for.
 pub(crate) fn chat(request: &HttpRequest, body: ChatRequest) -> Result<CallRequest, Refusal> {
     check_messages(body.messages.len())?;
     let target = match header(request, HEADER_PROGRAM)? {
--- a/crates/daemon-server/src/platform.rs
+++ b/crates/daemon-server/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's list of live and leaving machines. It lags, so it only ever takes replicas
-//! out of choice; what works and what does not is seen from the replicas themselves.
+//! Polls the platform's list of live and leaving machines. The list is delayed, so it only excludes
+//! leaving replicas from routing. The health of replicas is judged from their own responses.
 
 use crate::actor::{DaemonActor, DaemonEvent};
 use actix::Addr;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// `GET /machines` of the platform.
+/// Response to `GET /machines` of the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
     /// Engines that are leaving.
@@ -18,10 +18,11 @@
     pub live: Vec<u32>,
 }
 
-/// Time between two looks. A leaving replica must get no new work after three seconds.
+/// Time between two polls. A replica must get no new work three seconds after it is listed as
+/// leaving.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Asks the platform again and again.
+/// Polls the platform's list and passes the leaving replicas to the daemon.
 pub(crate) async fn follow_machines(daemon: Addr<DaemonActor>, platform: SocketAddr) {
     let http = awc::Client::builder().timeout(POLL_INTERVAL * 2).finish();
     loop {
--- a/crates/daemon-server/src/server.rs
+++ b/crates/daemon-server/src/server.rs
@@ -22,7 +22,7 @@
 
 /// A running daemon.
 pub struct DaemonServer {
-    /// Address for callers.
+    /// Address that serves callers.
     pub address: SocketAddr,
     actor: Addr<DaemonActor>,
     server: ServerHandle,
@@ -30,13 +30,13 @@
     drain_timeout: Duration,
 }
 
-/// Time that a client has to send a request's head.
+/// Time within which a client must send the head of a request.
 const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts a daemon on the current actix thread.
 ///
 /// # Errors
-/// The settings cannot work or the address is taken.
+/// Returns an error if the settings violate a rule or the address cannot be used.
 pub fn start(settings: &DaemonSettings) -> Result<DaemonServer, DaemonServerError> {
     let seed = rand::rng().next_u64();
     let now = SystemTime::now()
@@ -113,12 +113,12 @@
 }
 
 impl DaemonServer {
-    /// Revision of the configuration that is in force here; `None` once the daemon has stopped.
+    /// Returns the revision of the configuration in force; `None` once the daemon has stopped.
     pub async fn configuration_revision(&self) -> Option<Revision> {
         self.actor.send(GetRevision).await.ok()
     }
 
-    /// Stops at once, as a crash would: nobody who waits gets an answer.
+    /// Stops at once, like a crash: waiting callers get no answer.
     pub async fn halt(mut self) {
         if let Some(platform) = self.platform.take() {
             platform.abort();
@@ -127,15 +127,15 @@
         self.server.stop(false).await;
     }
 
-    /// Takes no more work, answers every accepted request, and stops. Returns whether all of
-    /// them were answered in time.
+    /// Drains and stops: refuses new requests and answers every accepted one. Returns true if all of
+    /// them were answered within the drain timeout.
     pub async fn stop(self) -> bool {
         let (drained, waiting) = oneshot::channel();
         self.actor.do_send(Drain(drained));
         let in_time = actix_rt::time::timeout(self.drain_timeout, waiting)
             .await
             .is_ok();
-        // Answers that are decided may still be on their way to slow callers.
+        // Slow callers may still be receiving their answers.
         self.server.stop(true).await;
         if let Some(platform) = &self.platform {
             platform.abort();
--- a/crates/daemon-server/src/stream.rs
+++ b/crates/daemon-server/src/stream.rs
@@ -1,4 +1,4 @@
-//! An engine's streamed answer.
+//! Streamed answers of engines.
 
 use crate::engines::engine_error_event;
 use actix_web::web::Bytes;
@@ -8,11 +8,11 @@
 use luglink_daemon::EngineEvent;
 use luglink_engine_api::{ChatChunk, EngineErrorBody};
 
-/// Last event of a stream.
+/// Data of the last event of a stream.
 const DONE: &str = "[DONE]";
 
-/// Reads the stream to its end. The answer counts as whole only when the usage and the last
-/// event have come.
+/// Reads a stream to its end and returns the final event. An answer is complete only if both the
+/// usage and the last event have been received.
 pub(crate) async fn read_chat_stream(
     response: &mut (impl Stream<Item = Result<Bytes, PayloadError>> + Unpin),
     emit: &impl Fn(EngineEvent),
--- a/crates/daemon-server/tests/hostile.rs
+++ b/crates/daemon-server/tests/hostile.rs
@@ -1,4 +1,5 @@
-//! Hostile callers get a clear problem and harm nobody else.
+//! Tests with malformed and hostile requests: they are refused with a clear problem, and the daemon
+//! keeps serving.
 
 use awc::Client;
 use luglink_daemon_server::{DaemonServer, start};
@@ -10,19 +11,19 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longest body that the test daemon takes.
+/// Body limit of the test daemon, in bytes.
 const MAX_BODY_BYTES: usize = 10_000;
 
-/// A daemon whose control members are not there.
-fn daemon() -> DaemonServer {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
+/// Starts a daemon whose control members are unreachable.
+fn start_daemon() -> DaemonServer {
+    let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
     start(&DaemonSettings {
         id: 1,
         zone: "a".to_owned(),
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         members: vec![MemberAddress {
             id: 1,
-            address: nobody,
+            address: unreachable,
         }],
         program_groups: 2,
         platform: None,
@@ -73,8 +74,8 @@
 }
 
 #[actix_rt::test]
-async fn malformed_requests_are_named_and_refused() {
-    let server = daemon();
+async fn malformed_requests_are_refused_with_the_invalid_field() {
+    let server = start_daemon();
     let program = "prg_00000000000000010000000000000001";
     let calls = format!("/v1/programs/{program}/calls");
     let cases: [(&str, &str, u16, &str); 9] = [
@@ -120,8 +121,8 @@
 }
 
 #[actix_rt::test]
-async fn a_body_that_is_too_long_is_refused() {
-    let server = daemon();
+async fn too_long_body_is_refused() {
+    let server = start_daemon();
     let body = vec![b' '; MAX_BODY_BYTES + 1];
     let answer = post(&server, "/v1/programs", body).await;
     assert_eq!(answer.status, 413, "{}", answer.body);
@@ -130,8 +131,8 @@
 }
 
 #[actix_rt::test]
-async fn headers_that_make_no_sense_are_named() {
-    let server = daemon();
+async fn invalid_headers_are_refused() {
+    let server = start_daemon();
     let body = "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
     let long = "k".repeat(256);
     let cases: [(&str, &[u8]); 6] = [
@@ -156,14 +157,14 @@
 
 #[actix_rt::test]
 async fn without_control_members_a_call_is_not_run() {
-    let server = daemon();
+    let server = start_daemon();
     let body = "{\"model\":\"m\",\"messages\":[{\"role\":\"user\",\"content\":\"x\"}]}";
     let answer = post(&server, "/v1/chat/completions", body).await;
     assert_problem(&answer, 503, "configuration");
     assert_eq!(answer.body["code"], "control_unavailable");
 }
 
-/// Sends bytes as they are and reads what comes back within a moment.
+/// Sends raw bytes and reads the response until the connection closes or the read times out.
 fn send_raw(address: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream
@@ -177,8 +178,8 @@
 }
 
 #[actix_rt::test]
-async fn paths_with_odd_characters_are_answered() {
-    let server = daemon();
+async fn paths_with_non_ascii_characters_are_refused() {
+    let server = start_daemon();
     let path = "é".repeat(150);
     let request = format!("GET /{path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
     let address = server.address;
@@ -189,8 +190,8 @@
 }
 
 #[actix_rt::test]
-async fn garbage_on_the_wire_harms_nobody() {
-    let server = daemon();
+async fn random_bytes_are_refused_and_the_daemon_keeps_serving() {
+    let server = start_daemon();
     let config = proptest::test_runner::Config {
         rng_seed: proptest::test_runner::RngSeed::Fixed(23),
         ..proptest::test_runner::Config::default()
--- a/crates/daemon/src/action.rs
+++ b/crates/daemon/src/action.rs
@@ -1,4 +1,4 @@
-//! What a daemon wants done.
+//! Actions that a daemon requests.
 
 use crate::caller::TicketId;
 use crate::control_client::OperationId;
@@ -10,12 +10,12 @@
     Sequence, Timestamp,
 };
 
-/// Something to do.
+/// An action for the process or simulator that drives the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answer a caller. All but [`Answer::Part`] are final.
+    /// Answer a caller. Every answer except [`Answer::Part`] is final.
     Answer {
-        /// The request.
+        /// The caller's request.
         ticket: TicketId,
         /// The answer.
         answer: Answer,
@@ -24,37 +24,37 @@
     Control {
         /// The member.
         member: MemberId,
-        /// Given back with the response.
+        /// Identifier that the response must carry.
         operation: OperationId,
         /// The request.
         request: Box<Request>,
     },
     /// Send a request to a replica.
     Dispatch(Box<Dispatch>),
-    /// Stop a request at a replica; nobody wants its result.
+    /// Stop an attempt at a replica; its result is no longer needed.
     Cancel {
-        /// The request.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// Every accepted request of a draining daemon is answered: it may stop.
+    /// A draining daemon has answered every accepted request and may stop.
     Drained,
 }
 
 /// An answer to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// The program exists.
+    /// The program has been created or existed already under the same key.
     Created(Box<Owned>),
     /// Part of a streamed answer.
     Part(String),
-    /// The whole answer of a call.
+    /// The complete answer to a call.
     Completed {
         /// The program.
         program: ProgramId,
         /// The answer.
         answer: StoredAnswer,
     },
-    /// The program.
+    /// State of a program.
     View(Box<ProgramView>),
     /// The program has ended.
     Ended,
@@ -67,24 +67,24 @@
         /// Body.
         body: Vec<u8>,
     },
-    /// No answer, and why.
+    /// The request is refused for this reason.
     Refused(Refusal),
 }
 
 /// A request to a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
-    /// Given back with each event of the request.
+    /// Identifier that every event of the request must carry.
     pub attempt: AttemptId,
     /// The replica.
     pub engine: EngineId,
-    /// Its IP number and port.
+    /// The replica's IP address and port.
     pub address: String,
-    /// What to send.
+    /// The request's content.
     pub body: DispatchBody,
 }
 
-/// What to send to a replica.
+/// Content of a request to a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DispatchBody {
     /// A model call.
@@ -96,13 +96,13 @@
 /// A model call for an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatDispatch {
-    /// The program, which names the cached prefix at the engine.
+    /// The program, which identifies the cached prefix at the engine.
     pub program: ProgramId,
-    /// Fence: the engine refuses a lower epoch of the same program.
+    /// Fencing token: the engine refuses a lower epoch of the same program.
     pub epoch: Epoch,
-    /// Place of the call.
+    /// Sequence number of the call in the program.
     pub sequence: Sequence,
-    /// Place of the attempt.
+    /// Number of the attempt within the call.
     pub attempt_number: AttemptNumber,
     /// The model.
     pub model: ModelName,
@@ -110,11 +110,12 @@
     pub adapter: Option<String>,
     /// Priority.
     pub priority: Priority,
-    /// The whole prompt, history first.
+    /// The complete prompt: the history, then the call's messages.
     pub messages: Vec<ChatMessage>,
-    /// Ceiling of generated tokens.
+    /// Maximum number of generated tokens.
     pub max_output_tokens: u64,
-    /// The engine must refuse to start it later; see [`luglink_program::StartWindow`].
+    /// Latest start: the engine must refuse the call afterwards; see
+    /// [`luglink_program::StartWindow`].
     pub start_by: Timestamp,
 }
 
--- a/crates/daemon/src/attempts.rs
+++ b/crates/daemon/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of calls: routing, dispatch, and what engines do.
+//! Attempts of calls: routing, dispatch and handling of engine events.
 
 use crate::action::{Action, Answer, ChatDispatch, Dispatch, DispatchBody};
 use crate::call::{CallId, CurrentAttempt, Phase};
@@ -9,10 +9,11 @@
 use luglink_types::{EngineId, ModelName, OutcomeClass, Refusal, RefusalCode};
 use std::time::Duration;
 
-/// An engine may take this many times longer than predicted before its silence counts.
+/// Factor on the predicted duration. An engine that sends nothing for this long, plus the silence
+/// timeout, is considered hung.
 const PREDICTED_DURATION_FACTOR: u32 = 3;
 
-/// Longest predicted time that is believed, in seconds.
+/// Upper bound on a predicted duration, in seconds. Longer predictions are cut to it.
 const MAX_PREDICTED_SECONDS: f64 = 600.0;
 
 impl Daemon {
@@ -22,7 +23,7 @@
         Some(held.spec.model.clone())
     }
 
-    /// The prompt's blocks: history, then the call's messages.
+    /// Returns the prefix hashes of the prompt: the history, then the call's messages.
     fn prompt_prefix(&self, id: CallId) -> Option<PrefixHasher> {
         let call = self.calls.get(&id)?;
         let held = self.programs.get(&call.program)?.held()?;
@@ -33,7 +34,7 @@
         Some(prefix)
     }
 
-    /// Chooses an engine with room.
+    /// Chooses an engine that has free capacity.
     pub(crate) fn route_call(&mut self, id: CallId) -> Option<EngineId> {
         let pool = PoolName::Model(self.pool_of(id)?);
         let prefix = self.prompt_prefix(id)?;
@@ -58,7 +59,8 @@
         Some(choice.engine)
     }
 
-    /// A call keeps away from engines that failed it, as long as there are others at all.
+    /// Clears the call's excluded engines if no other engine is usable. Otherwise a call that every
+    /// engine has failed would wait for an engine that does not exist.
     fn clear_exclusions_if_all_failed(&mut self, id: CallId, pool: &PoolName) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Notes the chosen engine, so that its load counts from now on.
+    /// Registers the attempt at the chosen engine's router, so that its load counts from now on.
     pub(crate) fn reserve_attempt(&mut self, id: CallId, attempt: CurrentAttempt) {
         let Some(prefix) = self.prompt_prefix(id) else {
             return;
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Sends the call to its engine once its window has begun, unless it is over already.
+    /// Dispatches the call if its start window is open, delays it if the window has not begun, and
+    /// fails the attempt if the window has ended.
     pub(crate) fn dispatch_in_window(&mut self, id: CallId) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
@@ -110,7 +113,8 @@
         self.dispatch_call(id);
     }
 
-    /// While the intent became durable, the engine may have begun to leave: it gets nothing new.
+    /// Returns true if the chosen engine has started to drain since it was chosen, which can happen
+    /// while the intent is made durable. A draining engine gets no new calls.
     fn is_chosen_engine_draining(&mut self, id: CallId) -> bool {
         let Some(attempt) = self.calls.get(&id).and_then(|call| call.attempt) else {
             return false;
@@ -119,7 +123,7 @@
         router.is_some_and(|router| router.is_draining(attempt.engine))
     }
 
-    /// The attempt's intent is durable, but it will not be sent.
+    /// Fails an attempt whose intent is durable but that is not dispatched.
     fn fail_undispatched(&mut self, id: CallId) {
         if let Some(attempt) = self.calls.get(&id).and_then(|call| call.attempt) {
             self.attempts.remove(&attempt.id);
@@ -130,7 +134,7 @@
         self.on_attempt_failed(id, OutcomeClass::NotDispatched);
     }
 
-    /// Sends the call to its engine. Its intent is durable.
+    /// Dispatches the call to its engine. The intent must be durable.
     fn dispatch_call(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -143,7 +147,7 @@
             .router_of(attempt.engine)
             .and_then(|router| router.address(attempt.engine).map(str::to_owned));
         let Some(address) = address else {
-            // The configuration dropped the engine while the intent was on its way.
+            // The configuration removed the engine while the intent was being recorded.
             return self.fail_undispatched(id);
         };
         let Some(body) = self.chat_dispatch(id) else {
@@ -212,7 +216,7 @@
                 self.fail_attempt(id, current, OutcomeClass::EngineRetryable);
             }
             EngineEvent::Broken => self.fail_attempt(id, current, OutcomeClass::Uncertain),
-            // A model engine does not answer lookups.
+            // An engine sends no lookup response to a model call.
             EngineEvent::LookupDone { .. } => {
                 self.fail_attempt(id, current, OutcomeClass::Uncertain);
             }
@@ -250,7 +254,8 @@
         self.on_attempt_failed(id, class);
     }
 
-    /// The engine has said nothing for too long. It may still work, so the outcome is uncertain.
+    /// Cancels an attempt whose engine has exceeded the silence timeout. The engine may still be
+    /// working, so the outcome is uncertain.
     pub(crate) fn on_engine_silent(&mut self, id: CallId) {
         let Some(current) = self.calls.get(&id).and_then(|call| call.attempt) else {
             return;
@@ -261,7 +266,7 @@
         self.fail_attempt(id, current, OutcomeClass::Uncertain);
     }
 
-    /// Takes the call's attempt back, wherever it is.
+    /// Removes the call's attempt from the router and cancels it if it is running.
     pub(crate) fn cancel_attempt(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -281,8 +286,8 @@
         }
     }
 
-    /// The program's deadline has passed: the caller is told at once, an engine that works on
-    /// the call is stopped, and the outcome is recorded as uncertain.
+    /// Fails a call whose program's deadline has passed: refuses the caller at once and cancels a
+    /// running attempt, whose outcome is recorded as uncertain.
     pub(crate) fn fail_at_deadline(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -291,7 +296,7 @@
         let not_run = Refusal::not_run(RefusalCode::DeadlineExceeded, detail);
         let uncertain = Refusal::uncertain(RefusalCode::DeadlineExceeded, detail);
         match call.phase {
-            // The intent is on its way: its reply decides what to record.
+            // The intent or the outcome is being recorded: the reply decides how the call ends.
             Phase::Beginning | Phase::Finishing => return,
             Phase::Waiting | Phase::Queued => return self.close_refused(id, not_run),
             Phase::Delayed => {
--- a/crates/daemon/src/call.rs
+++ b/crates/daemon/src/call.rs
@@ -1,4 +1,4 @@
-//! A call that a daemon has accepted and not answered yet.
+//! Calls that a daemon has accepted and not answered yet.
 
 use crate::caller::{CallRequest, TicketId};
 use luglink_program::StartWindow;
@@ -9,30 +9,30 @@
 };
 use std::time::Duration;
 
-/// A call, numbered by its daemon.
+/// Number of a call, unique in its daemon's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct CallId(pub(crate) u64);
 
-/// How far a call is.
+/// Progress of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Waits for the program's earlier calls.
+    /// Waiting for earlier calls of the program or for ownership of the program.
     Waiting,
-    /// Waits for an engine.
+    /// Waiting for an engine.
     Queued,
-    /// Its intent is on the way to the control members.
+    /// The intent is being recorded by the control members.
     Beginning,
-    /// Waits until no lost attempt of the program can start any more.
+    /// Waiting until no lost attempt of the program can start any more.
     Delayed,
-    /// An engine works on it.
+    /// Dispatched to an engine.
     Running,
-    /// Its next attempt is on the way to the control members.
+    /// The next attempt is being recorded by the control members.
     Retrying,
-    /// Its outcome is on the way to the control members.
+    /// The outcome is being recorded by the control members.
     Finishing,
 }
 
-/// The attempt that a call has chosen an engine for.
+/// The current attempt of a call and the engine chosen for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CurrentAttempt {
     pub(crate) id: AttemptId,
@@ -40,11 +40,11 @@
     pub(crate) engine: EngineId,
 }
 
-/// A call.
+/// State of a call.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveCall {
     pub(crate) program: ProgramId,
-    /// Who waits for the answer; `None` once the caller is gone or answered.
+    /// The caller's request; `None` once the caller has disconnected or been answered.
     pub(crate) ticket: Option<TicketId>,
     pub(crate) request: CallRequest,
     pub(crate) key: IdempotencyKey,
@@ -54,11 +54,11 @@
     /// The program's deadline.
     pub(crate) deadline: Timestamp,
     pub(crate) phase: Phase,
-    /// When the attempt may start.
+    /// Time in which the attempt may start.
     pub(crate) window: StartWindow,
-    /// Predicted time to the last token at the chosen engine.
+    /// Predicted time until the last token at the chosen engine.
     pub(crate) predicted_duration: Duration,
-    /// When the engine counts as hung if nothing more is heard of it.
+    /// Time at which the engine is considered hung if it has sent no further event.
     pub(crate) silence_deadline: Timestamp,
     pub(crate) sequence: Option<Sequence>,
     pub(crate) attempt: Option<CurrentAttempt>,
@@ -66,20 +66,23 @@
     pub(crate) excluded: Vec<EngineId>,
     pub(crate) text: String,
     pub(crate) usage: TokenUsage,
-    /// The outcome that is being recorded.
+    /// Outcome that is being recorded.
     pub(crate) outcome: Option<OutcomeClass>,
-    /// Part of the answer has gone to the caller, so the call cannot start over unnoticed.
+    /// True if the caller has received part of the answer. The call cannot be restarted then,
+    /// because the caller would notice.
     pub(crate) part_sent: bool,
-    /// An engine may have run an earlier attempt: no refusal may say that nothing ran.
+    /// True if an engine may have run an earlier attempt. A refusal must not claim then that nothing
+    /// ran.
     pub(crate) may_have_run: bool,
-    /// Ownership was taken again because another daemon had it.
+    /// True if the call must not cause another takeover of its program, because it has caused one
+    /// already or the program has ended.
     pub(crate) reacquired: bool,
-    /// The program consists of this call only and ends with it.
+    /// True if the program consists of this call only and ends with it.
     pub(crate) one_shot: bool,
 }
 
 impl ActiveCall {
-    /// Forgets what a failed attempt produced.
+    /// Discards the output of a failed attempt.
     pub(crate) fn reset_output(&mut self) {
         self.text.clear();
         self.usage = TokenUsage::default();
--- a/crates/daemon/src/caller.rs
+++ b/crates/daemon/src/caller.rs
@@ -1,71 +1,72 @@
-//! What callers ask.
+//! Requests of callers.
 
 use luglink_types::{
     Budget, ChatMessage, ClassName, IdempotencyKey, ModelName, Priority, ProgramId, Sequence,
     ServiceName, TenantName,
 };
 
-/// One request of one caller, numbered by the shell. Answers carry it back.
+/// Number of a caller's request, assigned by the process that drives the daemon. Answers carry the
+/// same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(pub u64);
 
-/// Who a program belongs to and what it may do, as its caller states it.
+/// Parameters of a new program, as stated by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProgramDefaults {
-    /// Who pays.
+    /// Tenant that is charged.
     pub tenant: TenantName,
     /// Program class.
     pub class: ClassName,
     /// Model.
     pub model: ModelName,
-    /// Adapter on the model.
+    /// Adapter of the model.
     pub adapter: Option<String>,
-    /// Priority; the class's when not stated.
+    /// Priority; defaults to that of the class.
     pub priority: Option<Priority>,
-    /// Ceilings.
+    /// Limits on what the program may spend.
     pub budget: Budget,
 }
 
-/// Asks for a new program.
+/// A request to create a program.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CreateRequest {
-    /// What it is.
+    /// Parameters of the program.
     pub program: ProgramDefaults,
-    /// The program that starts it.
+    /// Program that starts this one as a sub-program.
     pub parent: Option<ProgramId>,
-    /// The caller's name for the request: the same one gives the same program.
+    /// Idempotency key: a repeated key returns the same program.
     pub key: Option<IdempotencyKey>,
 }
 
-/// The program a call belongs to.
+/// The program that a call belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallTarget {
-    /// One that exists.
+    /// An existing program.
     Existing(ProgramId),
-    /// A program of just this call.
+    /// A new program that consists of this call only.
     OneShot(Box<ProgramDefaults>),
 }
 
-/// Asks for a call.
+/// A request to run a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRequest {
     /// The program.
     pub target: CallTarget,
-    /// Place in the program, when the caller states it.
+    /// Sequence number in the program, if the caller states it.
     pub sequence: Option<Sequence>,
-    /// The caller's name for the call: the same one gives the same answer and no second run.
+    /// Idempotency key: a repeated key returns the same answer without a second run.
     pub key: Option<IdempotencyKey>,
     /// New messages.
     pub messages: Vec<ChatMessage>,
-    /// Ceiling of generated tokens; the pool's when not stated.
+    /// Maximum number of generated tokens; defaults to that of the pool.
     pub max_output_tokens: Option<u64>,
-    /// Whether it may run twice after a failure.
+    /// True if the call may run twice after a failure.
     pub repeatable: bool,
-    /// Whether the caller wants parts of the answer as they come.
+    /// True if the caller wants the answer streamed.
     pub stream: bool,
 }
 
-/// Asks a plain service.
+/// A request to a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LookupRequest {
     /// The service.
@@ -78,6 +79,6 @@
     pub content_type: Option<String>,
     /// Body.
     pub body: Vec<u8>,
-    /// Whether it may run twice.
+    /// True if the request may run twice.
     pub repeatable: bool,
 }
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -1,4 +1,5 @@
-//! Calls before they run: acceptance, order within the program, the queue, the intent.
+//! Calls before dispatch: acceptance, order within the program, queueing and the intent; and the
+//! end of calls: answers, refusals and timeouts.
 
 use crate::action::Answer;
 use crate::call::{ActiveCall, CallId, CurrentAttempt, Phase};
@@ -15,7 +16,7 @@
 };
 use std::time::Duration;
 
-/// Wait that is suggested to callers that are refused as overloaded.
+/// Retry delay suggested to callers that are refused as overloaded.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Daemon {
@@ -29,7 +30,7 @@
             return self.refuse(ticket, refusal);
         }
         if self.calls.len() >= self.config.max_queued_calls + self.max_running_calls() {
-            return self.refuse(ticket, overloaded("this daemon's calls"));
+            return self.refuse(ticket, overloaded("calls of this daemon"));
         }
         match request.target.clone() {
             CallTarget::Existing(program) => {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Calls that may be past the queue: what all replicas together take.
+    /// Returns the maximum number of dispatched calls: the capacity of all replicas together.
     fn max_running_calls(&self) -> usize {
         self.config.router.max_requests_per_replica * self.config.subset_size
     }
@@ -72,7 +73,7 @@
         self.counters.calls += 1;
         self.retry_budget.on_request();
         let id = self.next_call_id();
-        // Every call has a key, so that a repeated intent is known for what it is.
+        // Every call has a key, so that the control members recognise a repeated intent.
         let nonce = self.random_number();
         let key = request.key.clone().unwrap_or_else(|| {
             IdempotencyKey(format!("~{}-{nonce:x}-{}", self.config.daemon, id.0))
@@ -120,7 +121,7 @@
         served.waiting.push_back(id);
     }
 
-    /// Starts the program's next call, or asks for ownership first.
+    /// Starts the program's next call, or requests ownership if the program is not owned.
     fn ensure_served(&mut self, program: ProgramId) {
         let Some(served) = self.programs.get(&program) else {
             return;
@@ -151,7 +152,7 @@
         self.submit_command(program, command, Purpose::CreateOneShot { program });
     }
 
-    /// Moves the program's next waiting call into the queue, if its turn has come.
+    /// Moves the program's next waiting call into the queue if no other call of it is current.
     pub(crate) fn start_next_call(&mut self, program: ProgramId) {
         let Some(served) = self.programs.get(&program) else {
             return;
@@ -196,7 +197,7 @@
         self.requeue(id);
     }
 
-    /// Puts a call into the queue for an engine.
+    /// Adds a call to the queue.
     pub(crate) fn requeue(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -216,8 +217,8 @@
         });
     }
 
-    /// The waiting call whose turn it is: in order of arrival, but a call that states a later
-    /// sequence lets the ones before it come first, for a while.
+    /// Returns the next waiting call in order of arrival. A call that states a later sequence number
+    /// is passed over for up to `max_reorder_wait`, so that earlier ones can arrive.
     fn next_call_in_sequence(&self, served: &ServedProgram, next: Sequence) -> Option<CallId> {
         let max_wait = self.config.max_reorder_wait;
         let may_start = |id: &&CallId| {
@@ -232,7 +233,7 @@
         served.waiting.iter().find(may_start).copied()
     }
 
-    /// Gives engines to queued calls, the most urgent first, as long as there is room.
+    /// Starts queued calls, the most urgent first, until the pools have no free capacity.
     pub(crate) fn run_queue(&mut self) {
         if self.queue.len() == 0 {
             return;
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Chooses an engine and sends the intent. Returns whether there was room.
+    /// Chooses an engine and sends the intent. Returns false if no engine has free capacity.
     fn begin_call(&mut self, id: CallId) -> bool {
         let Some(engine) = self.route_call(id) else {
             return false;
@@ -351,7 +352,8 @@
             return self.reacquire(id);
         }
         if refusal.code == RefusalCode::ControlUnavailable {
-            // The intent may or may not be recorded; a new epoch will tell them apart.
+            // Whether the intent was recorded is unknown; the next takeover, under a new epoch,
+            // finds out.
             self.close_refused(id, refusal.clone());
             self.drop_program(program, &refusal);
             return;
@@ -359,8 +361,8 @@
         self.close_refused(id, refusal);
     }
 
-    /// Another daemon owned the program, or an intent of ours that we no longer know of is in
-    /// its way: takes it over under a new epoch and tries the call once more.
+    /// Takes the program over under a new epoch and retries the call. This is needed if another
+    /// daemon owns the program, or if an intent of this daemon that it no longer knows of blocks it.
     fn reacquire(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -376,7 +378,8 @@
         self.acquire(program);
     }
 
-    /// The program has ended: repeated keys still get their stored answers.
+    /// Requests the stored answers of an ended program for its waiting calls, since a repeated key
+    /// still gets its answer.
     pub(crate) fn resolve_calls_of_ended(&mut self, program: ProgramId, refusal: &Refusal) {
         let Some(served) = self.programs.get_mut(&program) else {
             return;
@@ -392,7 +395,7 @@
         self.programs.remove(&program);
     }
 
-    /// An intent for an ended program cannot start a run; it can only find a stored answer.
+    /// Sends an intent for an ended program. It cannot start a run, but finds a stored answer.
     fn request_stored_answer(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -419,7 +422,7 @@
         self.submit_command(program, command, Purpose::Begin { call: id });
     }
 
-    /// Answers a call in full and lets the program's next one start.
+    /// Answers a call and starts the program's next one.
     pub(crate) fn close_answered(&mut self, id: CallId, answer: luglink_program::StoredAnswer) {
         let Some(call) = self.remove_call(id) else {
             return;
@@ -437,7 +440,7 @@
         self.on_call_closed(&call);
     }
 
-    /// Refuses a call and lets the program's next one start.
+    /// Refuses a call and starts the program's next one.
     pub(crate) fn close_refused(&mut self, id: CallId, mut refusal: Refusal) {
         let Some(call) = self.remove_call(id) else {
             return;
@@ -476,7 +479,8 @@
         self.start_next_call(call.program);
     }
 
-    /// Answers calls whose time has run out, at once, and those no engine can take.
+    /// Handles timeouts of calls: deadlines, silent engines and pools without a usable engine. Also
+    /// starts calls whose start window has begun or whose reorder wait is over.
     pub(crate) fn expire_calls(&mut self) {
         let now = self.now;
         let overdue: Vec<CallId> = self
@@ -502,7 +506,8 @@
         }
     }
 
-    /// Dispatches calls that no lost attempt can overtake any more.
+    /// Dispatches delayed calls whose start window has begun, so that no lost attempt can start
+    /// after them.
     fn dispatch_delayed_calls(&mut self) {
         let delayed: Vec<CallId> = self
             .calls
@@ -515,8 +520,8 @@
         }
     }
 
-    /// An engine that accepted a call and says nothing may hang for ever: the call is taken back
-    /// and counts as broken there.
+    /// Cancels attempts at engines that have been silent for too long, since a hung engine may never
+    /// answer. Such an attempt counts as broken.
     fn expire_silent_attempts(&mut self) {
         let now = self.now;
         let silent: Vec<CallId> = self
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,64 +1,65 @@
-//! Limits and timing of a daemon.
+//! Limits and timeouts of a daemon.
 
 use luglink_routing::RouterConfig;
 use luglink_types::{DaemonId, MemberId, ZoneName};
 use snafu::{Snafu, ensure};
 use std::time::Duration;
 
-/// How a daemon runs.
+/// Configuration of a daemon.
 #[derive(Clone, Debug)]
 pub struct DaemonConfig {
-    /// This daemon.
+    /// Identifier of this daemon.
     pub daemon: DaemonId,
-    /// Its zone.
+    /// Zone of this daemon.
     pub zone: ZoneName,
     /// The control members.
     pub members: Vec<MemberId>,
-    /// Number of program groups; must equal the members'.
+    /// Number of program groups; must equal that of the control members.
     pub program_groups: u32,
-    /// Choice of replicas.
+    /// Configuration of the routers, which choose replicas.
     pub router: RouterConfig,
-    /// Replicas of one pool that this daemon talks to.
+    /// Maximum number of replicas of one pool that this daemon uses.
     pub subset_size: usize,
-    /// Calls that may wait at this daemon in all; more are refused as overloaded.
+    /// Maximum number of calls queued at this daemon; more are refused as overloaded.
     pub max_queued_calls: usize,
-    /// Calls of one program that may wait for each other.
+    /// Maximum number of waiting calls of one program.
     pub max_waiting_per_program: usize,
-    /// Wait of the longest waiting call from which on no new programs are admitted to its pool.
+    /// Time in the queue of a pool's oldest call above which no new programs are admitted to the
+    /// pool.
     pub admission_wait_limit: Duration,
-    /// Longest time a call waits for an engine when none is usable.
+    /// Longest time a call waits while no engine is usable.
     pub max_engine_wait: Duration,
-    /// Longest time a call waits for the calls that its sequence says come first.
+    /// Longest time a call waits for calls with lower sequence numbers.
     pub max_reorder_wait: Duration,
-    /// Silence of an engine, beyond the predicted time to its first token and between any two
-    /// tokens, after which a call counts as broken there.
+    /// Time without output after which an attempt counts as broken: between two tokens, and before
+    /// the first one in addition to a multiple of the predicted duration.
     pub engine_silence: Duration,
     /// Time after which a control request is sent to another member.
     pub control_attempt_timeout: Duration,
-    /// Time after which a control request is given up.
+    /// Time after which a control request is abandoned.
     pub control_timeout: Duration,
     /// Time between renewals of the leases of programs with calls in flight.
     pub renew_interval: Duration,
-    /// Bytes of history that are kept for programs without a call in flight.
+    /// Maximum size in bytes of the history kept for programs without a call in flight.
     pub history_cache_bytes: usize,
-    /// Attempts of one call at the most.
+    /// Maximum number of attempts of one call.
     pub max_attempts: u32,
     /// Retries that each request adds to the retry budget.
     pub retry_ratio: f64,
-    /// Retries that are in the budget at the start, and the most it holds.
+    /// Retries in the budget at the start, which is also its maximum.
     pub retry_reserve: f64,
 }
 
-/// A configuration that cannot work.
+/// A violated rule of [`DaemonConfig`].
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("{rule}"))]
 pub struct DaemonConfigError {
-    /// The rule that is broken.
+    /// The violated rule.
     pub rule: &'static str,
 }
 
 impl DaemonConfig {
-    /// Defaults for a daemon.
+    /// Returns the default configuration of a daemon.
     #[must_use]
     pub fn new(daemon: DaemonId, zone: ZoneName, members: Vec<MemberId>) -> Self {
         Self {
@@ -84,10 +85,10 @@
         }
     }
 
-    /// Checks that the values can work together.
+    /// Checks the values.
     ///
     /// # Errors
-    /// Names the first rule that is broken.
+    /// Returns the first violated rule.
     pub fn validate(&self) -> Result<(), DaemonConfigError> {
         let require = |condition: bool, rule: &'static str| {
             ensure!(condition, DaemonConfigSnafu { rule });
--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What the configuration says about a caller's request.
+//! Lookups in the configuration for a caller's request.
 
 use crate::caller::ProgramDefaults;
 use crate::daemon::Daemon;
@@ -6,11 +6,12 @@
 use luglink_types::{Budget, ProgramId, Refusal, RefusalCode};
 use std::time::Duration;
 
-/// Aging when operators have not configured the priority.
+/// Aging interval of a priority that is not configured.
 const DEFAULT_AGING: Duration = Duration::from_secs(10);
 
 impl Daemon {
-    /// Fills in what the caller left open and checks that everything named exists.
+    /// Resolves the parameters of a new program: checks that every named resource exists and fills
+    /// in defaults of the class.
     pub(crate) fn resolve_spec(
         &self,
         program: &ProgramDefaults,
@@ -51,19 +52,19 @@
         })
     }
 
-    /// The ceiling that the program's class has now.
+    /// Returns the current ceiling of the program's class.
     pub(crate) fn class_ceiling(&self, spec: &ProgramSpec) -> Budget {
         self.configuration.class_ceiling(spec.class.as_str())
     }
 
-    /// Waiting time after which a call of this priority counts as one priority higher.
+    /// Returns the waiting time after which a call of this priority is ranked one priority higher.
     pub(crate) fn aging(&self, spec: &ProgramSpec) -> Duration {
         self.configuration
             .priority(spec.priority)
             .map_or(DEFAULT_AGING, |level| Duration::from_millis(level.aging_ms))
     }
 
-    /// Calls of the program's class that may wait here.
+    /// Returns the limit on the queue length for calls of the program's class.
     pub(crate) fn class_queue_limit(&self, spec: &ProgramSpec) -> usize {
         self.configuration
             .class(spec.class.as_str())
--- a/crates/daemon/src/control_client.rs
+++ b/crates/daemon/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the control members: which member to ask, when to ask again, when to give up.
+//! Requests to the control members: choice of the member, retries and timeouts.
 
 use crate::action::Action;
 use luglink_control::{Request, Response};
@@ -6,19 +6,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One request to the control members, whichever of them answers it.
+/// Number of an operation: a request to the control members, including its retries at other
+/// members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperationId(pub u64);
 
-/// Pause before a request is sent again when nobody knows who leads.
+/// Delay before a request is sent again when the group's leader is unknown.
 const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// How a request ended.
+/// Result of an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum OperationResult {
     /// A member answered.
     Answered(Box<Response>),
-    /// No member answered in time. Whether the request took effect is not known.
+    /// No member answered in time. Whether the request took effect is unknown.
     TimedOut,
 }
 
@@ -30,11 +31,11 @@
     attempt_timeout: Duration,
     attempt_deadline: Timestamp,
     deadline: Timestamp,
-    /// The member has been given the request and may still answer.
+    /// True if the member has been sent the request and may still answer.
     awaits_response: bool,
 }
 
-/// Requests under way and what is known of the leaders.
+/// Operations in flight and the known leaders of the groups.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlClient {
     members: Vec<MemberId>,
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Sends a request to the group's leader, as far as it is known.
+    /// Sends a request to the group's leader, or to a guessed member if the leader is unknown.
     pub(crate) fn submit(
         &mut self,
         group: GroupId,
@@ -77,8 +78,8 @@
         )
     }
 
-    /// Sends a request to a given member, which may hold it for a while.
-    #[allow(clippy::too_many_arguments)] // Each is a separate fact of one request.
+    /// Sends a request to a given member, which may hold it until `attempt_timeout`.
+    #[allow(clippy::too_many_arguments)] // Independent parameters of one request.
     pub(crate) fn submit_to(
         &mut self,
         group: GroupId,
@@ -105,7 +106,8 @@
         id
     }
 
-    /// The member to ask about a group first.
+    /// Returns the known leader of a group, or a member guessed from the group's number, so that the
+    /// groups are spread over the members.
     pub(crate) fn leader_or_guess(&self, group: GroupId) -> MemberId {
         let guess = (group.0 as usize).saturating_sub(1) % self.members.len();
         self.leaders
@@ -114,7 +116,7 @@
             .unwrap_or(self.members[guess])
     }
 
-    /// Takes a response. `None` when the request goes on or is not known.
+    /// Handles a response. Returns `None` if the operation continues or is unknown.
     pub(crate) fn on_response(
         &mut self,
         id: OperationId,
@@ -148,7 +150,7 @@
         }
     }
 
-    /// A member is gone: whatever it was asked goes to the next one.
+    /// Schedules retries of all operations at an unreachable member.
     pub(crate) fn on_unreachable(&mut self, member: MemberId, now: Timestamp) {
         self.leaders.retain(|_, leader| *leader != member);
         let affected: Vec<OperationId> = self
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Sends again what waited long enough; gives back what is given up.
+    /// Resends operations whose attempt has timed out. Removes and returns expired operations.
     pub(crate) fn tick(&mut self, now: Timestamp, actions: &mut Vec<Action>) -> Vec<OperationId> {
         let expired: Vec<OperationId> = self
             .operations
@@ -186,7 +188,7 @@
         expired
     }
 
-    /// Gives every request more time.
+    /// Moves the deadlines of all operations back by `extension`.
     pub(crate) fn extend_deadlines(&mut self, extension: Duration) {
         for operation in self.operations.values_mut() {
             operation.attempt_deadline = operation.attempt_deadline.plus(extension);
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: its state, its one entrance, and what is due with time.
+//! State of the daemon, dispatch of events, and timers.
 
 use crate::action::{Action, Answer};
 use crate::call::{ActiveCall, CallId};
@@ -21,42 +21,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What an operation at the control members is for.
+/// Purpose of an operation at the control members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// A caller's program is being created.
+    /// Creates a caller's program.
     Create { ticket: TicketId },
-    /// A program of one call is being created.
+    /// Creates a program of one call.
     CreateOneShot { program: ProgramId },
-    /// Ownership is being taken.
+    /// Takes ownership of a program.
     Acquire { program: ProgramId },
-    /// A caller looks at a program.
+    /// Reads the state of a program for a caller.
     View { ticket: TicketId },
-    /// A program is being ended; nobody waits when there is no ticket.
+    /// Ends a program; without a ticket, no caller waits.
     End {
         ticket: Option<TicketId>,
         program: ProgramId,
     },
-    /// An intent is being recorded.
+    /// Records the intent of a call.
     Begin { call: CallId },
-    /// Another attempt is being recorded.
+    /// Records another attempt of a call.
     Retry { call: CallId },
-    /// An outcome is being recorded.
+    /// Records the outcome of a call.
     Finish { call: CallId },
-    /// Nobody waits for the result.
+    /// The result is ignored.
     Background,
-    /// News of the configuration.
+    /// Waits for a new configuration.
     Watch,
 }
 
-/// Work that an attempt belongs to.
+/// The call or lookup that an attempt belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptOwner {
     Call(CallId),
     Lookup(LookupId),
 }
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DaemonCounters {
     /// Calls accepted.
@@ -73,14 +73,14 @@
     pub acquired: u64,
     /// Plain lookups accepted.
     pub lookups: u64,
-    /// Prompt tokens that engines had cached.
+    /// Prompt tokens found in the engines' caches.
     pub cached_tokens: u64,
-    /// Prompt tokens in all.
+    /// Prompt tokens of completed calls.
     pub prompt_tokens: u64,
 }
 
 impl DaemonCounters {
-    /// The counts of two processes together.
+    /// Returns the sums of two processes' counters.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -97,7 +97,7 @@
     }
 }
 
-/// A daemon.
+/// State machine of a daemon.
 #[derive(Debug)]
 pub struct Daemon {
     pub(crate) config: DaemonConfig,
@@ -128,29 +128,31 @@
     drained: bool,
 }
 
-/// Time a control member may hold a watch, and a margin for the way.
+/// Timeout of a watch: the time a control member may hold it, plus a margin for the network.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Time a control member has to say at once whether there are news.
+/// Timeout of a watch that the control member must answer at once.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Pause before a failed watch goes to another member.
+/// Delay before a failed watch is sent to another member.
 const WATCH_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Wait that is suggested to callers of a daemon that is starting or stopping.
+/// Retry delay suggested to callers of a daemon that is starting or stopping.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// A running process is never this late for its next timer: one that is was stopped meanwhile.
+/// Longest time by which a running process overruns [`Daemon::next_deadline`]. A longer overrun
+/// means that the process was suspended.
 const MAX_TICK_LATENESS: Duration = Duration::from_millis(500);
 
-/// Longest time between two looks at queues and deadlines.
+/// Longest time between two checks of queues and deadlines.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Daemon {
-    /// A daemon that knows nothing yet; it asks the control members for the configuration.
+    /// Creates a daemon without a configuration. Its first action is to request one from the
+    /// control members.
     ///
     /// # Errors
-    /// The configuration cannot work.
+    /// Returns an error if `config` violates a rule.
     pub fn new(config: DaemonConfig, seed: u64, now: Timestamp) -> Result<Self, DaemonConfigError> {
         config.validate()?;
         let control = ControlClient::new(config.members.clone(), config.control_attempt_timeout);
@@ -178,7 +180,7 @@
             last_attempt: AttemptId::default(),
             last_lookup: LookupId::default(),
             last_intent: 0,
-            // Daemons spread over the members, so that none of them feeds the whole fleet.
+            // Daemons are spread over the members, so that no single member serves all watches.
             watch_member: config.daemon.0 as usize % config.members.len(),
             watch_due: Some(now),
             last_watch_failed: false,
@@ -190,7 +192,7 @@
         })
     }
 
-    /// Takes an event and gives out what follows from it.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Action> {
         let lateness = now.since(self.next_deadline());
         self.now = self.now.max(now);
@@ -203,7 +205,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// When [`Event::Tick`] next has something to do.
+    /// Returns the time at which the next [`Event::Tick`] is due.
     #[must_use]
     pub fn next_deadline(&self) -> Timestamp {
         let mut due = self.renew_due;
@@ -214,49 +216,49 @@
             due = due.min(control);
         }
         if !self.calls.is_empty() || !self.lookups.is_empty() || self.draining {
-            // Counted from the last tick: a steady stream of other events must not put it off.
+            // Counted from the last tick, so that a steady stream of other events cannot delay it.
             due = due.min(self.last_tick_at.plus(TICK_INTERVAL));
         }
         due
     }
 
-    /// Whether the daemon can serve: it has a configuration and is not stopping.
+    /// Returns true if the daemon has a configuration and is not stopping.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         !self.draining && self.configuration.revision() > Revision(0)
     }
 
-    /// The configuration that is in force here.
+    /// Returns the configuration in force at this daemon.
     #[must_use]
     pub fn configuration(&self) -> &ConfigurationView {
         &self.configuration
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start of the process.
     #[must_use]
     pub fn counters(&self) -> DaemonCounters {
         self.counters
     }
 
-    /// Calls that wait for an engine.
+    /// Returns the number of calls that wait for an engine.
     #[must_use]
     pub fn queued_calls(&self) -> usize {
         self.queue.len()
     }
 
-    /// Calls that are accepted and not answered.
+    /// Returns the number of calls accepted and not yet answered.
     #[must_use]
     pub fn active_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Programs that are held here.
+    /// Returns the number of programs that this daemon owns or is acquiring.
     #[must_use]
     pub fn held_programs(&self) -> usize {
         self.programs.len()
     }
 
-    /// The engines whose events this daemon should follow.
+    /// Returns the engines whose events this daemon must receive.
     #[must_use]
     pub fn engine_replicas(&self) -> Vec<luglink_routing::ReplicaInfo> {
         self.pools.engine_replicas()
@@ -293,8 +295,8 @@
         }
     }
 
-    /// This process itself stood still. What others said meanwhile waits to be read, so their
-    /// silence proves nothing yet: every limit on it is put off by the pause.
+    /// Extends all timeouts by the time that this process was suspended. Messages that arrived
+    /// meanwhile are still unread, so the silence of engines and control members proves nothing.
     fn extend_timeouts_after_pause(&mut self, pause: Duration) {
         for call in self.calls.values_mut() {
             call.silence_deadline = call.silence_deadline.plus(pause);
@@ -356,7 +358,7 @@
         match self.attempts.get(&attempt) {
             Some(AttemptOwner::Call(call)) => self.on_call_event(*call, attempt, event),
             Some(AttemptOwner::Lookup(lookup)) => self.on_lookup_event(*lookup, attempt, event),
-            // Late news of an attempt that was given up: it must reach nobody else.
+            // Late event of an abandoned attempt: it must not affect any other call.
             None => {}
         }
     }
@@ -369,7 +371,7 @@
         }
     }
 
-    /// Sends a program command to the group that holds the program.
+    /// Submits a program command to the program's group.
     pub(crate) fn submit_command(
         &mut self,
         program: ProgramId,
@@ -398,9 +400,9 @@
         self.operations.insert(operation, purpose);
     }
 
-    /// Asks one member for news; see [`Daemon::on_watch`]. After a watch that got no answer the
-    /// next member must answer at once: a daemon that has lost touch must not spend the time in
-    /// which a change has to be in force on waiting for silent members.
+    /// Sends a watch for a newer configuration to one member; see [`Daemon::on_watch`]. After a
+    /// failed watch, the next member must answer at once. Otherwise the daemon could spend the time
+    /// within which a change must be in force on waiting for unreachable members.
     fn watch_configuration(&mut self) {
         self.watch_due = None;
         let member = self.config.members[self.watch_member];
@@ -436,7 +438,8 @@
         self.watch_configuration();
     }
 
-    /// Keeps the control members from taking calls in flight for lost.
+    /// Renews the leases of programs with calls in flight, so that the control members do not
+    /// consider these calls lost.
     fn renew_leases(&mut self) {
         let mut by_group: BTreeMap<GroupId, Vec<(ProgramId, luglink_types::Epoch)>> =
             BTreeMap::new();
@@ -485,8 +488,8 @@
         })
     }
 
-    /// Refuses a request when the daemon is stopping, or has no configuration yet and so cannot
-    /// tell what exists from what does not.
+    /// Refuses a request if the daemon is stopping, or has no configuration yet and so does not know
+    /// which resources exist. Returns true if it refused the request.
     pub(crate) fn refuse_when_not_ready(&mut self, ticket: TicketId) -> bool {
         if self.is_ready() {
             return false;
@@ -531,14 +534,14 @@
         self.random.next_u64()
     }
 
-    /// The members this daemon may ask.
+    /// Returns the control members known to this daemon.
     #[must_use]
     pub fn members(&self) -> &[MemberId] {
         &self.config.members
     }
 }
 
-/// The refusal when the control members cannot be reached before anything was dispatched.
+/// Refusal for a request that no control member answered before anything was dispatched.
 pub(crate) fn control_unavailable() -> Refusal {
     Refusal::not_run(
         RefusalCode::ControlUnavailable,
--- a/crates/daemon/src/event.rs
+++ b/crates/daemon/src/event.rs
@@ -1,4 +1,4 @@
-//! What a daemon is told.
+//! Events that a daemon handles.
 
 use crate::caller::{CallRequest, CreateRequest, LookupRequest, TicketId};
 use crate::control_client::OperationId;
@@ -6,54 +6,54 @@
 use luglink_routing::{AttemptId, BlockHash, LoadReport};
 use luglink_types::{EngineId, MemberId, ProgramId, TokenUsage};
 
-/// Something that happened.
+/// An event for the daemon.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller wants a program.
+    /// A caller creates a program.
     Create {
-        /// The request.
+        /// Number of the caller's request.
         ticket: TicketId,
-        /// What it asks.
+        /// The request.
         request: CreateRequest,
     },
-    /// A caller wants a call.
+    /// A caller runs a call.
     Call {
-        /// The request.
+        /// Number of the caller's request.
         ticket: TicketId,
-        /// What it asks.
+        /// The request.
         request: CallRequest,
     },
-    /// A caller wants to see a program.
+    /// A caller reads the state of a program.
     View {
-        /// The request.
+        /// Number of the caller's request.
         ticket: TicketId,
         /// The program.
         program: ProgramId,
     },
     /// A caller ends a program.
     End {
-        /// The request.
+        /// Number of the caller's request.
         ticket: TicketId,
         /// The program.
         program: ProgramId,
-        /// Whether the caller gives it up rather than having finished it.
+        /// True if the caller abandons the program, false if it has finished it.
         abandoned: bool,
     },
-    /// A caller asks a plain service.
+    /// A caller sends a request to a plain service.
     Lookup {
-        /// The request.
+        /// Number of the caller's request.
         ticket: TicketId,
-        /// What it asks.
+        /// The request.
         request: LookupRequest,
     },
     /// A caller closed its connection before it was answered.
     CallerGone {
-        /// The request.
+        /// Number of the caller's request.
         ticket: TicketId,
     },
     /// A control member responded.
     Control {
-        /// The request.
+        /// The operation that the response belongs to.
         operation: OperationId,
         /// The response.
         response: Box<Response>,
@@ -63,11 +63,11 @@
         /// The member.
         member: MemberId,
     },
-    /// A replica did something for a request.
+    /// A replica made progress with an attempt, or the attempt failed.
     Engine {
-        /// The request.
+        /// The attempt.
         attempt: AttemptId,
-        /// What it did.
+        /// The event.
         event: EngineEvent,
     },
     /// A replica reported its load.
@@ -77,38 +77,37 @@
         /// The report.
         report: LoadReport,
     },
-    /// A replica stored or gave up cache blocks.
+    /// A replica stored or evicted cache blocks.
     Cache {
         /// The replica.
         engine: EngineId,
         /// Stored blocks.
         stored: Vec<BlockHash>,
-        /// Blocks that are gone.
+        /// Evicted blocks.
         removed: Vec<BlockHash>,
-        /// The replica began anew: nothing that was known of its cache holds. Events that were
-        /// merely missed change nothing: forgetting everything for them costs more than the few
-        /// blocks that are believed wrongly.
+        /// True if the replica has restarted, so that all knowledge of its cache is stale. Missed
+        /// events do not set it: discarding everything costs more than a few stale blocks.
         restarted: bool,
     },
-    /// The platform says that replicas are leaving.
+    /// The platform reports the replicas that are leaving.
     Leaving {
-        /// All that are leaving now.
+        /// All replicas that are leaving now.
         engines: Vec<EngineId>,
     },
-    /// Stop taking work; see [`crate::Action::Drained`].
+    /// The daemon must refuse new requests; [`crate::Action::Drained`] reports the end.
     Drain,
-    /// Time has passed.
+    /// A timer has expired.
     Tick,
 }
 
-/// What a replica does for a request.
+/// An event of an attempt at a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EngineEvent {
-    /// More of the answer.
+    /// Next part of the answer.
     Part(String),
     /// The end of the answer.
     Completed {
-        /// What the engine counted.
+        /// Token counts of the engine.
         usage: TokenUsage,
     },
     /// The response of a plain service.
@@ -120,12 +119,12 @@
         /// Body.
         body: Vec<u8>,
     },
-    /// The request never left this daemon: the connection was refused.
+    /// The request was not sent, for example because the connection was refused.
     NotSent,
-    /// The replica refused the request before working on it.
+    /// The replica refused the request before processing it.
     Rejected,
-    /// The replica says that the request failed and may be sent again.
+    /// The replica reported a failure after which the request may be retried.
     Retryable,
-    /// The connection broke after the request was sent.
+    /// The connection failed after the request was sent, or the response was invalid.
     Broken,
 }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,12 +1,12 @@
-//! A daemon as pure logic: the luglink process beside a caller.
+//! State machine of a daemon, the luglink process that runs beside a caller.
 //!
-//! [`Daemon`] takes [`Event`]s (caller requests, control responses, engine streams, reports, the
-//! time) and gives out [`Action`]s (answers, control requests, dispatches). It does no I/O,
-//! reads no clock and draws random numbers from the seed it is given. The shell in
-//! `luglink-daemon-server` and the simulator drive the same daemon.
+//! [`Daemon`] takes [`Event`]s (caller requests, control responses, engine streams, load reports,
+//! timer ticks) and returns [`Action`]s (answers, control requests, dispatches). It does no I/O,
+//! reads no clock and generates random numbers from a given seed. `luglink-daemon-server` and the
+//! simulator drive the same state machine.
 //!
-//! The way of a call: wait in the queue, choose an engine, make the intent durable, dispatch,
-//! make the outcome durable, answer.
+//! A call passes these steps: it waits in the queue, an engine is chosen, the intent is made
+//! durable, the call is dispatched, the outcome is made durable, the caller is answered.
 #![forbid(unsafe_code)]
 #![deny(missing_docs)]
 
--- a/crates/daemon/src/lookup.rs
+++ b/crates/daemon/src/lookup.rs
@@ -1,5 +1,5 @@
-//! Plain requests to services. They have no program and no history. One that may run twice is
-//! tried at another replica when a replica fails; any other is sent once.
+//! Lookups: plain requests to services, without program or history. After a failure, a lookup is
+//! retried at another replica if it may run twice or has certainly not run.
 
 use crate::action::{Action, Answer, Dispatch, DispatchBody, LookupDispatch};
 use crate::caller::{LookupRequest, TicketId};
@@ -10,11 +10,11 @@
 use luglink_types::{EngineId, Refusal, RefusalCode, Timestamp};
 use std::time::Duration;
 
-/// A lookup, numbered by its daemon.
+/// Number of a lookup, unique in its daemon's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LookupId(pub(crate) u64);
 
-/// A lookup that is not answered yet.
+/// State of a lookup that is not answered yet.
 #[derive(Clone, Debug)]
 pub(crate) struct ActiveLookup {
     ticket: TicketId,
@@ -27,16 +27,16 @@
 }
 
 impl ActiveLookup {
-    /// Gives the service more time.
+    /// Moves the deadline back by `extension`.
     pub(crate) fn extend_deadline(&mut self, extension: Duration) {
         self.deadline = self.deadline.plus(extension);
     }
 }
 
-/// Longest time a service may take.
+/// Time after which a lookup counts as failed.
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Lookups that one daemon has under way at the most.
+/// Maximum number of lookups in flight at one daemon.
 const MAX_LOOKUPS: usize = 4_096;
 
 impl Daemon {
@@ -45,7 +45,7 @@
             return;
         }
         if self.lookups.len() >= MAX_LOOKUPS {
-            let refusal = Refusal::not_run(RefusalCode::Overloaded, "too many lookups under way")
+            let refusal = Refusal::not_run(RefusalCode::Overloaded, "too many lookups in flight")
                 .retry_after(Duration::from_secs(1));
             return self.refuse(ticket, refusal);
         }
@@ -156,7 +156,7 @@
             lookup.excluded.push(lookup.engine);
             return self.send_lookup(lookup);
         }
-        let detail = format!("service `{}` failed", lookup.request.service);
+        let detail = format!("request to service `{}` failed", lookup.request.service);
         let refusal = if certainly_not_run {
             Refusal::not_run(RefusalCode::EngineFailed, detail)
         } else {
--- a/crates/daemon/src/outcomes.rs
+++ b/crates/daemon/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes: what follows a failed attempt, and how the end of a call becomes durable.
+//! Outcomes of calls: retries after failed attempts and durable recording of the outcome.
 
 use crate::call::{CallId, CurrentAttempt, Phase};
 use crate::control_client::OperationResult;
@@ -12,8 +12,8 @@
 };
 
 impl Daemon {
-    /// Decides what follows a failed attempt. Only classes that are safe to retry lead to
-    /// another attempt, within the call's, the program's and the daemon's retry bounds.
+    /// Retries a failed attempt or records its outcome. Only outcome classes that are safe to retry
+    /// lead to another attempt, within the retry limits of the call, the program and the daemon.
     pub(crate) fn on_attempt_failed(&mut self, id: CallId, class: OutcomeClass) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -83,8 +83,8 @@
             Err(refusal) => {
                 self.cancel_attempt(id);
                 if refusal.code == RefusalCode::ControlUnavailable {
-                    // Whether the attempt was recorded is not known, so the call stays open
-                    // under this epoch; the next owner will find it uncertain.
+                    // Whether the attempt was recorded is unknown, so the call stays open under
+                    // this epoch, and the next owner records it as uncertain.
                     let program = self.calls.get(&id).map(|call| call.program);
                     self.close_refused(id, unknown_outcome());
                     if let Some(program) = program {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Makes the outcome durable; the caller is answered afterwards.
+    /// Sends the outcome to the control members. The caller is answered once it is durable.
     pub(crate) fn record_outcome(&mut self, id: CallId, class: OutcomeClass) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -178,7 +178,7 @@
             unknown_outcome()
         };
         self.close_refused(id, answer);
-        // What this daemon holds of the program is no longer what the group holds.
+        // This daemon's copy of the program no longer matches that of the group.
         if let Some(program) = program {
             self.drop_program(program, refusal);
         }
@@ -225,7 +225,8 @@
         );
     }
 
-    /// The engine keeps the turn's blocks; its own event comes late or never.
+    /// Records that the engine caches the call's blocks, since the engine's own event may arrive
+    /// late or never.
     fn record_cached_blocks(&mut self, program: ProgramId, engine: Option<EngineId>) {
         let held = self.programs.get(&program).and_then(ServedProgram::held);
         let (Some(held), Some(engine)) = (held, engine) else {
@@ -236,8 +237,8 @@
         }
     }
 
-    /// The caller allowed the call to run twice, and the first run is on record as uncertain:
-    /// the intent is sent again under the same key.
+    /// Queues a repeatable call again after its first run was recorded as uncertain. The intent is
+    /// sent again under the same key.
     fn rerun_call(&mut self, id: CallId, next_sequence: Sequence) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -263,7 +264,7 @@
 }
 
 fn engine_failed(class: OutcomeClass) -> Refusal {
-    let detail = "the engines failed and no retry is left";
+    let detail = "every attempt failed and no retry is left";
     let refusal = if class.spent_nothing() {
         Refusal::not_run(RefusalCode::EngineFailed, detail)
     } else {
@@ -275,6 +276,6 @@
 fn unknown_outcome() -> Refusal {
     Refusal::uncertain(
         RefusalCode::OutcomeUnknown,
-        "nobody can tell whether the request ran; the program keeps its place",
+        "it is unknown whether the request ran; the program can continue",
     )
 }
--- a/crates/daemon/src/pools.rs
+++ b/crates/daemon/src/pools.rs
@@ -1,11 +1,11 @@
-//! The routers of all pools and services, kept in step with the configuration.
+//! Routers of all model pools and services in the configuration.
 
 use luglink_resources::{ConfigurationView, Replica, Resource};
 use luglink_routing::{BlockHash, LoadReport, ReplicaInfo, Router, RouterConfig, choose_subset};
 use luglink_types::{DaemonId, EngineId, ModelName, ServiceName, Timestamp, ZoneName};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names a router.
+/// Name of a router.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PoolName {
     /// Engines of a model.
@@ -14,7 +14,7 @@
     Service(ServiceName),
 }
 
-/// All routers of a daemon.
+/// Routers of a daemon.
 #[derive(Clone, Debug)]
 pub(crate) struct Pools {
     config: RouterConfig,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes the pools and services that the configuration now has.
+    /// Applies the pools and services of a new configuration.
     pub(crate) fn configure(&mut self, configuration: &ConfigurationView) {
         let mut configured: BTreeMap<PoolName, Vec<ReplicaInfo>> = BTreeMap::new();
         for resource in configuration.resources() {
@@ -81,7 +81,7 @@
         self.routers.get_mut(name)
     }
 
-    /// Every replica of a model pool in this daemon's subsets.
+    /// Returns all replicas of model pools in this daemon's subsets.
     pub(crate) fn engine_replicas(&self) -> Vec<ReplicaInfo> {
         let models = self
             .routers
@@ -92,7 +92,7 @@
             .collect()
     }
 
-    /// The router that an engine belongs to.
+    /// Returns the router that an engine belongs to.
     pub(crate) fn router_of(&mut self, engine: EngineId) -> Option<&mut Router> {
         let name = self.pool_of_engine.get(&engine)?;
         self.routers.get_mut(name)
@@ -124,7 +124,8 @@
         }
     }
 
-    /// Takes the platform's list of leaving replicas.
+    /// Sets the platform's list of leaving replicas. Replicas that are no longer listed are used
+    /// again.
     pub(crate) fn set_leaving(&mut self, engines: &[EngineId]) {
         let leaving: BTreeSet<EngineId> = engines.iter().copied().collect();
         let returned: Vec<EngineId> = self.leaving.difference(&leaving).copied().collect();
--- a/crates/daemon/src/program.rs
+++ b/crates/daemon/src/program.rs
@@ -1,4 +1,4 @@
-//! A program as its owner holds it.
+//! State of programs at the daemon that owns them.
 
 use crate::call::CallId;
 use luglink_program::{Owned, ProgramSpec};
@@ -6,7 +6,7 @@
 use luglink_types::{ChatMessage, EngineId, Epoch, Sequence, Timestamp};
 use std::collections::VecDeque;
 
-/// What the owner knows.
+/// State of an owned program.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldProgram {
     pub(crate) epoch: Epoch,
@@ -37,7 +37,7 @@
         held
     }
 
-    /// Adds messages to the history.
+    /// Appends messages to the history.
     pub(crate) fn append(&mut self, messages: impl IntoIterator<Item = ChatMessage>) {
         for message in messages {
             self.prefix.push(&message);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes the group's history in place of this copy.
+    /// Replaces the history with the one stored by the program's group.
     pub(crate) fn replace_history(&mut self, history: Vec<ChatMessage>) {
         self.prefix = PrefixHasher::new(self.spec.model.as_str(), self.spec.adapter.as_deref());
         self.history.clear();
@@ -54,7 +54,7 @@
         self.append(history);
     }
 
-    /// The program's deadline, if it has one.
+    /// Returns the program's deadline, or `Timestamp::MAX` if it has none.
     pub(crate) fn deadline(&self) -> Timestamp {
         self.spec
             .budget
@@ -63,25 +63,25 @@
     }
 }
 
-/// Whether the daemon owns the program yet.
+/// State of the daemon's ownership of a program.
 #[derive(Clone, Debug)]
 pub(crate) enum Ownership {
-    /// The control members have been asked.
+    /// A claim has been sent to the control members.
     Acquiring,
     /// The daemon owns it.
     Held(Box<HeldProgram>),
 }
 
-/// A program that the daemon serves or wants to serve.
+/// A program that the daemon owns or is acquiring.
 #[derive(Clone, Debug)]
 pub(crate) struct ServedProgram {
     pub(crate) ownership: Ownership,
-    /// The call that is past waiting.
+    /// Call that is queued or in flight.
     pub(crate) current: Option<CallId>,
-    /// Calls that wait for it.
+    /// Calls that wait for the current one or for ownership.
     pub(crate) waiting: VecDeque<CallId>,
     pub(crate) last_used_at: Timestamp,
-    /// Claims that were refused since the program was last held.
+    /// Refused claims since the program was last owned.
     pub(crate) refused_claims: u32,
 }
 
--- a/crates/daemon/src/programs.rs
+++ b/crates/daemon/src/programs.rs
@@ -1,4 +1,4 @@
-//! Programs: creation, ownership, views and ends.
+//! Creation, ownership, views and ends of programs.
 
 use crate::action::Answer;
 use crate::call::{CallId, Phase};
@@ -20,7 +20,7 @@
             Ok(spec) => spec,
             Err(refusal) => return self.refuse(ticket, refusal),
         };
-        // A helper belongs to a program that was admitted already.
+        // A sub-program belongs to a program that has been admitted already.
         if request.parent.is_none()
             && let Some(refusal) = self.admission_refusal(&spec.model)
         {
@@ -36,9 +36,9 @@
         self.submit_command(program, command, Purpose::Create { ticket });
     }
 
-    /// When calls wait long for engines already, one more program would only make all of them
-    /// late: it is refused at once, before anything ran, and told when to come back. Programs
-    /// under way go on.
+    /// Returns a refusal if the pool's oldest queued call has waited longer than
+    /// `admission_wait_limit`: another program would only delay all of them. The refusal comes
+    /// before anything runs and carries a retry delay. Active programs continue.
     pub(crate) fn admission_refusal(&self, pool: &ModelName) -> Option<Refusal> {
         let since = self.queue.oldest_queued_at(pool)?;
         (self.now.since(since) > self.config.admission_wait_limit).then(|| {
@@ -47,7 +47,8 @@
         })
     }
 
-    /// A key gives the same program at every daemon; a sub-program shares its root's family.
+    /// Returns the identifier of a new program. A key yields the same identifier at every daemon; a
+    /// sub-program belongs to the family of its root.
     fn new_program_id(&mut self, request: &CreateRequest) -> ProgramId {
         let tenant = request.program.tenant.as_str();
         let mut program = match &request.key {
@@ -87,7 +88,7 @@
         Claim(self.random_number())
     }
 
-    /// Starts to take ownership of a program.
+    /// Sends a claim to the ownership of a program.
     pub(crate) fn acquire(&mut self, program: ProgramId) {
         let served = self
             .programs
@@ -115,8 +116,8 @@
             }
             Ok(_) => self.drop_program(program, &control_unavailable()),
             Err(refusal) => {
-                // An ended program may still have answers to give for repeated keys: the
-                // state machine decides that call by call.
+                // An ended program may still have stored answers for repeated keys. The program
+                // group decides this for each call.
                 match refusal.code {
                     RefusalCode::ProgramEnded => self.resolve_calls_of_ended(program, &refusal),
                     RefusalCode::StaleOwner if self.may_claim_again(program) => {
@@ -128,8 +129,9 @@
         }
     }
 
-    /// Another daemon's claim came between the sending of a claim and its reply. The calls that
-    /// wait here are newer than that, so this daemon claims once more, a few times at the most.
+    /// Returns true if a refused claim may be repeated. It was refused because another daemon's claim
+    /// came after it was sent, but the calls that wait here are newer. The number of repetitions is
+    /// limited to [`MAX_REFUSED_CLAIMS`].
     fn may_claim_again(&mut self, program: ProgramId) -> bool {
         let Some(served) = self.programs.get_mut(&program) else {
             return false;
@@ -138,7 +140,7 @@
         !served.waiting.is_empty() && served.refused_claims <= MAX_REFUSED_CLAIMS
     }
 
-    /// Forgets a program and refuses every call that waits for it.
+    /// Removes a program and refuses its current and waiting calls.
     pub(crate) fn drop_program(&mut self, program: ProgramId, refusal: &Refusal) {
         let Some(served) = self.programs.remove(&program) else {
             return;
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Ends a call without an outcome. What an engine may still do for it reaches nobody.
+    /// Cancels a call without recording an outcome. Later events of its attempt are ignored.
     fn cancel_call(&mut self, id: CallId, refusal: &Refusal) {
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -183,7 +185,7 @@
             Response::View(None) => {
                 let refusal = Refusal::not_run(
                     RefusalCode::UnknownProgram,
-                    "no such program, or it is past its retention",
+                    "the program does not exist or is past its retention",
                 );
                 self.refuse(ticket, refusal);
             }
@@ -238,8 +240,8 @@
         }
     }
 
-    /// Gives up the history of programs that were not used for longest, until the cache is
-    /// within its bound. Their next call fetches it again under the same epoch.
+    /// Removes the least recently used idle programs until the history cache is within its limits.
+    /// The next call of such a program fetches the history again.
     pub(crate) fn trim_history_cache(&mut self) {
         let mut idle: Vec<(Timestamp, ProgramId, usize)> = self
             .programs
@@ -264,16 +266,16 @@
     }
 }
 
-/// Wait that is suggested to callers whose program is not admitted.
+/// Retry delay suggested to callers whose program is not admitted.
 const ADMISSION_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// Claims to one program that may be refused before its calls are.
+/// Refused claims to one program after which its waiting calls are refused.
 const MAX_REFUSED_CLAIMS: u32 = 3;
 
-/// Idle programs that are kept at the most, whatever their history's size.
+/// Maximum number of idle programs that are kept, whatever the size of their history.
 const MAX_IDLE_PROGRAMS: usize = 20_000;
 
-/// The reply of a program group, or the refusal for the caller.
+/// Returns the reply of a program group, or the refusal for the caller.
 pub(crate) fn program_reply(result: OperationResult) -> Result<Reply, Refusal> {
     let OperationResult::Answered(response) = result else {
         return Err(control_unavailable());
--- a/crates/daemon/src/queue.rs
+++ b/crates/daemon/src/queue.rs
@@ -1,29 +1,29 @@
-//! Calls that wait for an engine, and their order.
+//! Queue of calls that wait for an engine.
 
 use crate::call::CallId;
 use luglink_types::{ModelName, Priority, Timestamp};
 use std::time::Duration;
 
-/// A call that waits for an engine.
+/// A queued call.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedCall {
     pub(crate) call: CallId,
     pub(crate) pool: ModelName,
     pub(crate) priority: Priority,
-    /// Tokens that the program has been served so far.
+    /// Tokens that engines have processed for the program at this daemon.
     pub(crate) attained_tokens: u64,
     pub(crate) queued_at: Timestamp,
-    /// After waiting this long the call counts as one priority higher.
+    /// Waiting time after which the call is ranked one priority higher.
     pub(crate) aging: Duration,
 }
 
-/// The calls that wait at one daemon.
+/// Calls that wait for an engine at one daemon.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CallQueue {
     calls: Vec<QueuedCall>,
 }
 
-/// Tokens of attained service that make a program wait one class of its peers longer.
+/// Step of attained service in tokens. Programs within one step are ordered by queueing time.
 const SERVICE_STEP_TOKENS: u64 = 20_000;
 
 impl CallQueue {
@@ -39,8 +39,8 @@
         self.calls.retain(|queued| queued.call != call);
     }
 
-    /// Calls in the order in which they should go: by priority with aging, then programs that
-    /// have been served less, then by arrival.
+    /// Returns the calls in dispatch order: by priority with aging, then by attained service, least
+    /// first, then by queueing time.
     pub(crate) fn by_urgency(&self, now: Timestamp) -> Vec<QueuedCall> {
         let mut ordered = self.calls.clone();
         ordered.sort_by_key(|queued| {
@@ -54,13 +54,13 @@
         ordered
     }
 
-    /// Calls that have waited since `since` or longer.
+    /// Returns the calls queued at `since` or earlier.
     pub(crate) fn waiting_since(&self, since: Timestamp) -> Vec<CallId> {
         let old = self.calls.iter().filter(|queued| queued.queued_at <= since);
         old.map(|queued| queued.call).collect()
     }
 
-    /// Since when the longest waiting call of a pool has waited.
+    /// Returns the queueing time of the oldest call of a pool.
     pub(crate) fn oldest_queued_at(&self, pool: &ModelName) -> Option<Timestamp> {
         let own = self.calls.iter().filter(|queued| queued.pool == *pool);
         own.map(|queued| queued.queued_at).min()
@@ -78,7 +78,7 @@
     }
 }
 
-/// Priority plus one for each aging period waited, so that nothing waits for ever.
+/// Returns the priority's rank plus one for each aging period waited, which prevents starvation.
 fn effective_rank(queued: &QueuedCall, now: Timestamp) -> u64 {
     let waited = now.since(queued.queued_at).as_micros();
     let periods = waited / queued.aging.as_micros().max(1);
--- a/crates/daemon/src/retry_budget.rs
+++ b/crates/daemon/src/retry_budget.rs
@@ -1,6 +1,7 @@
-//! A bound on retries: a share of the requests, so that failures cannot multiply the load.
+//! Retry budget: limits retries to a ratio of the requests, so that failures cannot multiply the
+//! load.
 
-/// Each request deposits a share of a retry; each retry withdraws a whole one.
+/// Token bucket: each request deposits a fraction of a token, each retry withdraws a whole one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBudget {
     ratio: f64,
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A daemon with control members and a configuration that answer at once, and engines that do
-//! what a test says.
-#![allow(dead_code)] // Each test file uses some of it.
+//! Test harness: a daemon with a control plane that answers at once and engines scripted by the
+//! test.
+#![allow(dead_code)] // Each test file uses a part of this module.
 
 use luglink_control::{Request, Response};
 use luglink_daemon::{
@@ -19,13 +19,13 @@
 };
 use std::time::Duration;
 
-/// Engines of the one model.
+/// Number of engines of the only model.
 pub const ENGINES: u32 = 2;
 
-/// The plain service's only replica.
+/// The only replica of the plain service.
 pub const SERVICE: EngineId = EngineId(9);
 
-/// A daemon and everything around it.
+/// A daemon with its simulated environment and recorded actions.
 pub struct Harness {
     pub daemon: Daemon,
     pub store: ProgramStore,
@@ -35,9 +35,9 @@
     pub cancelled: Vec<AttemptId>,
     pub answers: Vec<(TicketId, Answer)>,
     pub drained: bool,
-    /// Responses of the control members are kept back while this is set.
+    /// Holds back the responses of the control members while true.
     pub hold_control: bool,
-    held: Vec<(OperationId, Response)>,
+    held_responses: Vec<(OperationId, Response)>,
     tickets: u64,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Harness {
-    /// A daemon that has its configuration.
+    /// Starts a daemon that has received its configuration.
     pub fn start(config: DaemonConfig) -> Self {
         let mut harness = Self::without_configuration(config);
         harness.configure();
@@ -69,7 +69,7 @@
             answers: Vec::new(),
             drained: false,
             hold_control: false,
-            held: Vec::new(),
+            held_responses: Vec::new(),
             tickets: 0,
         }
     }
@@ -115,7 +115,7 @@
         });
     }
 
-    /// Lets something happen, and everything that follows from it.
+    /// Handles an event and all events that follow from it.
     pub fn event(&mut self, event: Event) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
@@ -136,7 +136,7 @@
             } => {
                 let response = self.respond(*request)?;
                 if self.hold_control {
-                    self.held.push((operation, response));
+                    self.held_responses.push((operation, response));
                     return None;
                 }
                 return Some(Event::Control {
@@ -160,10 +160,10 @@
         }
     }
 
-    /// Gives out the responses that were kept back.
+    /// Delivers the responses that were held back.
     pub fn release_control(&mut self) {
         self.hold_control = false;
-        for (operation, response) in std::mem::take(&mut self.held) {
+        for (operation, response) in std::mem::take(&mut self.held_responses) {
             self.event(Event::Control {
                 operation,
                 response: Box::new(response),
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Lets time pass in steps, as a running process does.
+    /// Advances the time in steps with a tick each, like a running process.
     pub fn pass(&mut self, time: Duration) {
         let end = self.now.plus(time);
         while self.now < end {
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Sends a call of a program.
+    /// Sends a call of a program and returns its ticket.
     pub fn call(&mut self, program: ProgramId, key: &str, repeatable: bool) -> TicketId {
         let ticket = self.ticket();
         let request = CallRequest {
@@ -218,7 +218,7 @@
         ticket
     }
 
-    /// An engine answers a dispatch in full.
+    /// Lets the engine answer a dispatch completely.
     pub fn complete(&mut self, dispatch: &Dispatch) {
         let attempt = dispatch.attempt;
         self.engine(attempt, EngineEvent::Part("whole ".to_owned()));
@@ -238,7 +238,7 @@
         self.event(Event::Engine { attempt, event });
     }
 
-    /// The final answer to a request, if it has come.
+    /// Returns the final answer to a request, if any.
     pub fn answer_of(&self, ticket: TicketId) -> Option<Answer> {
         let own = self.answers.iter().filter(|(other, _)| *other == ticket);
         own.map(|(_, answer)| answer.clone())
--- a/crates/daemon/tests/daemon.rs
+++ b/crates/daemon/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon between callers, control members and engines.
+//! Tests of a daemon with callers, control members and scripted engines.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 #[test]
-fn an_answer_reaches_its_caller_and_a_repeated_key_gets_it_again() {
+fn repeated_key_returns_the_stored_answer() {
     let mut harness = Harness::start(config());
     let program = harness.create();
     let first = harness.call(program, "k", false);
@@ -19,11 +19,11 @@
     assert!(harness.is_completed(first));
     let again = harness.call(program, "k", false);
     assert!(harness.is_completed(again));
-    assert_eq!(harness.dispatches.len(), 1, "nothing runs twice");
+    assert_eq!(harness.dispatches.len(), 1, "the call must not run twice");
 }
 
 #[test]
-fn the_calls_of_a_program_run_one_after_the_other() {
+fn calls_of_a_program_run_in_sequence() {
     let mut harness = Harness::start(config());
     let program = harness.create();
     let tickets: Vec<_> = (0..3)
@@ -37,10 +37,10 @@
     }
 }
 
-/// At four times what engines and queue hold, the rest is refused as not run, at once, and what
-/// was admitted is served.
+/// At four times the capacity of engines and queue, the excess is refused at once as not run, and
+/// the admitted calls are served.
 #[test]
-fn overload_is_refused_as_not_run_and_what_is_admitted_is_served() {
+fn overload_is_refused_as_not_run_and_admitted_calls_are_served() {
     let mut small = config();
     small.router.max_requests_per_replica = 2;
     small.max_queued_calls = 6;
@@ -67,7 +67,7 @@
         assert_eq!(refusal.executed, Executed::No);
         assert!(
             refusal.retry_after.is_some(),
-            "callers are told when to come back"
+            "the refusal must carry a retry delay"
         );
     }
     let mut served = 0;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_silent_engine_loses_the_call_and_only_a_repeatable_one_runs_again() {
+fn only_repeatable_calls_are_rerun_after_engine_silence() {
     let mut harness = Harness::start(config());
     let (first, second) = (harness.create(), harness.create());
     let once = harness.call(first, "once", false);
@@ -100,21 +100,27 @@
     assert!(harness.is_completed(twice));
 }
 
-/// Every engine has failed the call once. It must not wait for engines that are not there.
+/// A call that every engine has failed once must be retried at one of them, not wait for an engine
+/// that does not exist.
 #[test]
-fn a_call_that_every_engine_failed_is_tried_again_and_then_given_up() {
+fn call_that_every_engine_failed_is_retried_up_to_the_limit() {
     let mut harness = Harness::start(config());
     let program = harness.create();
     let ticket = harness.call(program, "k", true);
     harness.pass(Duration::from_secs(60));
-    assert_eq!(harness.dispatches.len(), 4, "the limit of attempts");
+    assert_eq!(
+        harness.dispatches.len(),
+        4,
+        "the maximum number of attempts"
+    );
     assert_eq!(harness.refusal_of(ticket).executed, Executed::Unknown);
     assert_eq!(harness.daemon.active_calls(), 0);
 }
 
-/// While calls wait long for engines, new programs are refused at once; those under way go on.
+/// While calls wait too long for engines, new programs are refused at once, and active programs may
+/// still start sub-programs.
 #[test]
-fn a_saturated_daemon_admits_no_more_programs() {
+fn saturated_daemon_admits_no_new_programs() {
     let mut small = config();
     small.router.max_requests_per_replica = 1;
     small.engine_silence = Duration::from_secs(60);
@@ -137,20 +143,20 @@
     assert_eq!(refusal.code, RefusalCode::Overloaded);
     assert_eq!(refusal.executed, Executed::No);
     assert!(refusal.retry_after.is_some());
-    let helper = harness.ticket();
+    let sub_program = harness.ticket();
     let request = create(Some(programs[0]));
     let event = Event::Create {
-        ticket: helper,
+        ticket: sub_program,
         request,
     };
     harness.event(event);
-    let admitted = harness.answer_of(helper);
+    let admitted = harness.answer_of(sub_program);
     assert!(matches!(admitted, Some(luglink_daemon::Answer::Created(_))));
 }
 
-/// What an engine says after the call was taken from it reaches nobody.
+/// Events of an attempt that was cancelled must not produce an answer.
 #[test]
-fn late_answers_reach_nobody() {
+fn late_engine_events_are_ignored() {
     let mut harness = Harness::start(config());
     let program = harness.create();
     let ticket = harness.call(program, "k", false);
@@ -162,9 +168,10 @@
     assert_eq!(harness.refusal_of(ticket).executed, Executed::Unknown);
 }
 
-/// The intent takes long, and meanwhile the chosen engine begins to leave: it must get nothing.
+/// The chosen engine starts to leave while the intent is being recorded. The call must go to another
+/// engine.
 #[test]
-fn an_engine_that_leaves_while_the_intent_is_on_its_way_gets_nothing() {
+fn engine_that_leaves_while_the_intent_is_recorded_gets_no_call() {
     let mut harness = Harness::start(config());
     let program = harness.create();
     harness.hold_control = true;
@@ -178,7 +185,7 @@
     let dispatch = harness
         .dispatches
         .last()
-        .expect("another engine serves it")
+        .expect("another engine must get the call")
         .clone();
     assert_ne!(dispatch.engine, chosen);
     harness.complete(&dispatch);
@@ -195,7 +202,7 @@
 }
 
 #[test]
-fn a_draining_replica_gets_no_new_calls() {
+fn draining_replica_gets_no_new_calls() {
     let mut harness = Harness::start(config());
     for engine in 0..ENGINES {
         let report = LoadReport {
@@ -213,7 +220,7 @@
 }
 
 #[test]
-fn draining_answers_what_was_accepted_and_refuses_the_rest() {
+fn draining_daemon_answers_accepted_calls_and_refuses_new_ones() {
     let mut harness = Harness::start(config());
     let program = harness.create();
     let accepted = harness.call(program, "k", false);
@@ -230,7 +237,7 @@
 }
 
 #[test]
-fn without_configuration_nothing_is_judged() {
+fn requests_are_refused_before_the_first_configuration() {
     let mut harness = Harness::without_configuration(config());
     let ticket = harness.ticket();
     let request = CreateRequest {
@@ -244,9 +251,10 @@
     assert_eq!(refusal.executed, Executed::No);
 }
 
-/// The process stood still; what the engine said meanwhile is read before the engine is judged.
+/// After the process was suspended, events of engines that arrived meanwhile are still unread. They
+/// must be handled before an engine counts as silent.
 #[test]
-fn a_daemon_that_stood_still_does_not_blame_its_engines() {
+fn suspended_daemon_does_not_time_out_engines() {
     let mut harness = Harness::start(config());
     let program = harness.create();
     let ticket = harness.call(program, "k", false);
@@ -259,7 +267,7 @@
 }
 
 #[test]
-fn rejected_calls_go_elsewhere_and_broken_ones_do_not() {
+fn rejected_calls_are_retried_and_broken_ones_are_not() {
     let mut harness = Harness::start(config());
     let program = harness.create();
     let ticket = harness.call(program, "k", false);
@@ -269,13 +277,18 @@
     let second = harness.dispatches[1].clone();
     assert_ne!(second.engine, first.engine);
     harness.engine(second.attempt, EngineEvent::Broken);
-    assert_eq!(harness.dispatches.len(), 2, "it may have run");
+    assert_eq!(
+        harness.dispatches.len(),
+        2,
+        "the call may have run and must not be retried"
+    );
     assert_eq!(harness.refusal_of(ticket).executed, Executed::Unknown);
 }
 
-/// A call without a program is a program of its own; the same key finds its answer afterwards.
+/// A call without a program creates a program of its own. A repeated key returns its answer after
+/// that program has ended.
 #[test]
-fn a_call_without_a_program_is_found_again_by_its_key() {
+fn repeated_key_returns_the_answer_of_a_one_shot_call() {
     let mut harness = Harness::start(config());
     let request = |stream| CallRequest {
         target: CallTarget::OneShot(Box::new(defaults())),
