--- a/crates/daemon-server/src/server.rs
+++ b/crates/daemon-server/src/server.rs
@@ -127,8 +127,8 @@
         self.server.stop(false).await;
     }
 
-    /// Drains and stops: refuses new requests and answers every accepted one. Returns true if all of
-    /// them were answered within the drain timeout.
+    /// Drains and stops: refuses new requests and answers every accepted one. Returns true if all
+    /// of them were answered within the drain timeout.
     pub async fn stop(self) -> bool {
         let (drained, waiting) = oneshot::channel();
         self.actor.do_send(Drain(drained));
--- a/crates/daemon/src/call.rs
+++ b/crates/daemon/src/call.rs
@@ -71,8 +71,8 @@
     /// True if the caller has received part of the answer. The call cannot be restarted then,
     /// because the caller would notice.
     pub(crate) part_sent: bool,
-    /// True if an engine may have run an earlier attempt. A refusal must not claim then that nothing
-    /// ran.
+    /// True if an engine may have run an earlier attempt. A refusal must not claim then that
+    /// nothing ran.
     pub(crate) may_have_run: bool,
     /// True if the call must not cause another takeover of its program, because it has caused one
     /// already or the program has ended.
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -217,8 +217,8 @@
         });
     }
 
-    /// Returns the next waiting call in order of arrival. A call that states a later sequence number
-    /// is passed over for up to `max_reorder_wait`, so that earlier ones can arrive.
+    /// Returns the next waiting call in order of arrival. A call that states a later sequence
+    /// number is passed over for up to `max_reorder_wait`, so that earlier ones can arrive.
     fn next_call_in_sequence(&self, served: &ServedProgram, next: Sequence) -> Option<CallId> {
         let max_wait = self.config.max_reorder_wait;
         let may_start = |id: &&CallId| {
@@ -362,7 +362,7 @@
     }
 
     /// Takes the program over under a new epoch and retries the call. This is needed if another
-    /// daemon owns the program, or if an intent of this daemon that it no longer knows of blocks it.
+    /// daemon owns the program, or if a forgotten intent of this daemon blocks the call.
     fn reacquire(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -520,8 +520,8 @@
         }
     }
 
-    /// Cancels attempts at engines that have been silent for too long, since a hung engine may never
-    /// answer. Such an attempt counts as broken.
+    /// Cancels attempts at engines that have been silent for too long, since a hung engine may
+    /// never answer. Such an attempt counts as broken.
     fn expire_silent_attempts(&mut self) {
         let now = self.now;
         let silent: Vec<CallId> = self
--- a/crates/daemon/src/control_client.rs
+++ b/crates/daemon/src/control_client.rs
@@ -106,8 +106,8 @@
         id
     }
 
-    /// Returns the known leader of a group, or a member guessed from the group's number, so that the
-    /// groups are spread over the members.
+    /// Returns the known leader of a group. If it is unknown, returns a member chosen by the
+    /// group's number, which spreads the groups over the members.
     pub(crate) fn leader_or_guess(&self, group: GroupId) -> MemberId {
         let guess = (group.0 as usize).saturating_sub(1) % self.members.len();
         self.leaders
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -69,7 +69,7 @@
     pub dispatched: u64,
     /// Attempts beyond the first.
     pub retries: u64,
-    /// Ownerships taken.
+    /// Claims sent to take the ownership of a program.
     pub acquired: u64,
     /// Plain lookups accepted.
     pub lookups: u64,
@@ -488,8 +488,8 @@
         })
     }
 
-    /// Refuses a request if the daemon is stopping, or has no configuration yet and so does not know
-    /// which resources exist. Returns true if it refused the request.
+    /// Refuses a request if the daemon is stopping, or has no configuration yet and so does not
+    /// know which resources exist. Returns true if the request is refused.
     pub(crate) fn refuse_when_not_ready(&mut self, ticket: TicketId) -> bool {
         if self.is_ready() {
             return false;
--- a/crates/daemon/src/programs.rs
+++ b/crates/daemon/src/programs.rs
@@ -88,7 +88,7 @@
         Claim(self.random_number())
     }
 
-    /// Sends a claim to the ownership of a program.
+    /// Sends a claim to take the ownership of a program.
     pub(crate) fn acquire(&mut self, program: ProgramId) {
         let served = self
             .programs
@@ -129,9 +129,9 @@
         }
     }
 
-    /// Returns true if a refused claim may be repeated. It was refused because another daemon's claim
-    /// came after it was sent, but the calls that wait here are newer. The number of repetitions is
-    /// limited to [`MAX_REFUSED_CLAIMS`].
+    /// Returns true if a refused claim may be repeated. Another daemon's claim came between this
+    /// claim and its reply, but the calls that wait here are newer. [`MAX_REFUSED_CLAIMS`] limits
+    /// the repetitions.
     fn may_claim_again(&mut self, program: ProgramId) -> bool {
         let Some(served) = self.programs.get_mut(&program) else {
             return false;
@@ -269,7 +269,7 @@
 /// Retry delay suggested to callers whose program is not admitted.
 const ADMISSION_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// Refused claims to one program after which its waiting calls are refused.
+/// Maximum number of refused claims to one program that are repeated.
 const MAX_REFUSED_CLAIMS: u32 = 3;
 
 /// Maximum number of idle programs that are kept, whatever the size of their history.
