--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -92,7 +92,7 @@
         let limit = self.resolution_time();
         self.desk.follow_zones(self.now, limit);
         let has_neighbours = !self.neighbours().is_empty();
-        self.desk.replica_stats.set_has_neighbours(has_neighbours);
+        self.desk.replica_stats.set_has_zone_peers(has_neighbours);
         let sights_limit = self.sights_limit();
         self.desk.replica_stats.expire(self.now, sights_limit);
         let now = self.now;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -5,7 +5,7 @@
     DocumentStore, RetireResponse, StoreCommand, StoreRegistry, VersionedDocument,
 };
 use luglink_program::{Command, ProgramStore, RefundRule, Reply};
-use luglink_resources::{Change, ChangeAnswer, ResourceStore};
+use luglink_resources::{Change, ChangeResponse, ResourceStore};
 use luglink_types::{GroupId, Timestamp};
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
@@ -32,7 +32,7 @@
     /// Of a program group.
     Program(Reply),
     /// Of the configuration group.
-    Change(ChangeAnswer),
+    Change(ChangeResponse),
     /// Of a document: the version that is held now.
     Document(u64),
     /// Of the registry of turn stores.
--- a/crates/control/src/member_plan.rs
+++ b/crates/control/src/member_plan.rs
@@ -47,7 +47,7 @@
         peer != self.raft.me()
             && self
                 .raft
-                .silence_of(peer)
+                .time_since_contact(peer)
                 .is_none_or(|silence| silence >= self.managed.member_silence)
     }
 
@@ -122,7 +122,7 @@
         learners
             .find(|peer| {
                 self.raft
-                    .silence_of(*peer)
+                    .time_since_contact(*peer)
                     .is_some_and(|silence| silence >= self.managed.forget_after)
             })
             .map(MembershipChange::Remove)
--- a/crates/control/src/observer_table.rs
+++ b/crates/control/src/observer_table.rs
@@ -23,7 +23,7 @@
     /// Its zone, when it is to be told what the gateways of that zone see.
     pub(crate) sights_of: Option<String>,
     /// Whether it counts on this member to be told of a new document at once.
-    pub(crate) sends_document_at_once: bool,
+    pub(crate) wants_document_at_once: bool,
     /// Its zone, when this member counts it.
     pub(crate) counted_in: Option<String>,
     pub(crate) until: Timestamp,
--- a/crates/control/src/observers.rs
+++ b/crates/control/src/observers.rs
@@ -92,7 +92,7 @@
             known: observation.known,
             known_incarnations: parts.known_incarnations,
             sights_of,
-            sends_document_at_once: observation.sends_document_at_once,
+            wants_document_at_once: observation.wants_document_at_once,
             counted_in,
             until: self.now.plus(self.observe_hold()),
         };
@@ -121,7 +121,7 @@
         if let Some(replica_stats) = replica_stats {
             self.desk
                 .replica_stats
-                .note_neighbour(replica_stats, self.now);
+                .note_zone_peer(replica_stats, self.now);
         }
         for word in words {
             self.desk.presence.note_relayed(word, self.now);
@@ -258,7 +258,7 @@
     /// that they can't. An observer that has just started is told by all.
     fn tells_document(&self, observer: &Observer) -> bool {
         let has_started = observer.known.is_current && observer.known.document_version > 0;
-        !has_started || observer.sends_document_at_once || self.tells_document_to_all()
+        !has_started || observer.wants_document_at_once || self.tells_document_to_all()
     }
 
     fn tells_document_to_all(&self) -> bool {
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -5,7 +5,7 @@
 };
 use luglink_program::{Command, ProgramView, Reply};
 use luglink_raft::{LogIndex, Membership, MembershipChange, Peer, Term};
-use luglink_resources::{CatchUp, Change, ChangeAnswer};
+use luglink_resources::{CatchUp, Change, ChangeResponse};
 use luglink_types::{EngineId, GroupId, MemberId, ProgramId, Revision};
 use serde::{Deserialize, Serialize};
 
@@ -76,7 +76,7 @@
     /// The configuration after the client's revision.
     Configuration(CatchUp),
     /// The answer to a change.
-    Change(ChangeAnswer),
+    Change(ChangeResponse),
     /// How this member is.
     Status(MemberStatus),
     /// Done.
--- a/crates/control/tests/managed/observers.rs
+++ b/crates/control/tests/managed/observers.rs
@@ -63,7 +63,7 @@
     let ask = |fleet: &mut Fleet, name: &str, order: [u32; 3]| -> Vec<(u32, u64)> {
         let mut ask = |(place, member)| {
             let mut observation = observation(name, gateway(), current.clone());
-            observation.sends_document_at_once = place < 2;
+            observation.wants_document_at_once = place < 2;
             let request = Request::Observe(Box::new(observation));
             (member, fleet.input(member, request))
         };
@@ -361,7 +361,7 @@
     let is_told = |fleet: &Fleet, number: &u64| fleet.replies.contains_key(&(leader, *number));
     assert!(!asked.iter().any(|number| is_told(&fleet, number)));
     let mut observation = observation("first teller", gateway(), current.clone());
-    observation.sends_document_at_once = true;
+    observation.wants_document_at_once = true;
     let told_first = fleet.input(leader, Request::Observe(Box::new(observation)));
     fleet.input(leader, Request::PutDocument(document(2, "two")));
     fleet.run(0.1);
--- a/crates/control/tests/managed/support.rs
+++ b/crates/control/tests/managed/support.rs
@@ -284,7 +284,7 @@
             role,
         },
         known,
-        sends_document_at_once: false,
+        wants_document_at_once: false,
         is_counted_here: true,
     }
 }
--- a/crates/daemon-server/src/actor.rs
+++ b/crates/daemon-server/src/actor.rs
@@ -197,7 +197,7 @@
 
     fn handle(&mut self, message: MemberLinkEvent, _: &mut Self::Context) {
         match message.event {
-            LinkEvent::Lost => self.handle_event(Event::MemberUnreachable {
+            LinkEvent::Disconnected => self.handle_event(Event::MemberUnreachable {
                 member: message.member,
             }),
             LinkEvent::Frame(Frame::Response {
--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -53,8 +53,8 @@
     }
 
     /// Returns the current ceiling of the program's class.
-    pub(crate) fn class_ceiling(&self, spec: &ProgramSpec) -> Budget {
-        self.configuration.class_ceiling(spec.class.as_str())
+    pub(crate) fn class_budget(&self, spec: &ProgramSpec) -> Budget {
+        self.configuration.class_budget(spec.class.as_str())
     }
 
     /// Returns the waiting time after which a call of this priority is ranked one priority higher.
--- a/crates/fleet-client/src/observer.rs
+++ b/crates/fleet-client/src/observer.rs
@@ -251,7 +251,7 @@
                 members: self.members.borrow().stamp,
                 ..self.subject.known(source)
             },
-            sends_document_at_once: order < FIRST_TELLERS || is_lost,
+            wants_document_at_once: order < FIRST_TELLERS || is_lost,
             is_counted_here: order == 0,
         }));
         let parts = self.subject.parts(AskedMember {
--- a/crates/fleet-client/tests/observer.rs
+++ b/crates/fleet-client/tests/observer.rs
@@ -6,7 +6,7 @@
     ObserverUpdate, Presence, Role, StorePresence,
 };
 use luglink_fleet_client::{ListSource, Observer, ObserverConfig, ObserverDelegate};
-use luglink_net::{Accepted, FrameSender, serve};
+use luglink_net::{FrameSender, ListenerEvent, serve};
 use luglink_wire::{Frame, decode_body, encode_body};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,21 +43,21 @@
 }
 
 impl Member {
-    fn on_socket(&self, event: Accepted) {
+    fn on_socket(&self, event: ListenerEvent) {
         match event {
-            Accepted::Opened {
+            ListenerEvent::Opened {
                 connection, sender, ..
             } => {
                 self.clients.borrow_mut().insert(connection, sender);
             }
-            Accepted::Frame {
+            ListenerEvent::Frame {
                 connection,
                 frame: Frame::Request {
                     correlation, body, ..
                 },
             } => self.on_question(connection, correlation, &body),
-            Accepted::Frame { .. } => {}
-            Accepted::Closed { connection } => {
+            ListenerEvent::Frame { .. } => {}
+            ListenerEvent::Closed { connection } => {
                 self.clients.borrow_mut().remove(&connection);
             }
         }
@@ -68,7 +68,7 @@
             panic!("expected an observation");
         };
         self.asked.set(self.asked.get() + 1);
-        if observation.sends_document_at_once {
+        if observation.wants_document_at_once {
             self.asked_to_tell.set(self.asked_to_tell.get() + 1);
         }
         if self.manner.get() == Manner::Silent {
--- a/crates/fleet/src/news.rs
+++ b/crates/fleet/src/news.rs
@@ -32,7 +32,7 @@
     pub known: KnownVersions,
     /// Whether the member that is asked should tell it of a new document at once. Otherwise
     /// others do so first, and this member only when they have had time for it.
-    pub sends_document_at_once: bool,
+    pub wants_document_at_once: bool,
     /// Whether the member that is asked is the one that counts this process.
     pub is_counted_here: bool,
 }
--- a/crates/fleet/src/zone_stats.rs
+++ b/crates/fleet/src/zone_stats.rs
@@ -88,7 +88,7 @@
 
 impl StatsTable {
     /// Takes whether other members of the zone hear gateways that this one does not.
-    pub fn set_has_neighbours(&mut self, has_neighbours: bool) {
+    pub fn set_has_zone_peers(&mut self, has_neighbours: bool) {
         self.has_neighbours = has_neighbours;
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Takes another member's word of the gateways that it counts.
-    pub fn note_neighbour(&mut self, word: MemberStats, now: Timestamp) {
+    pub fn note_zone_peer(&mut self, word: MemberStats, now: Timestamp) {
         self.neighbours.insert(word.member, (word, now));
     }
 
--- a/crates/fleet/tests/zone_sights.rs
+++ b/crates/fleet/tests/zone_sights.rs
@@ -104,7 +104,7 @@
 fn members_of_a_large_zone_know_the_same_sum_and_count_nobody_twice() {
     let mut members: [StatsTable; 3] = Default::default();
     for member in &mut members {
-        member.set_has_neighbours(true);
+        member.set_has_zone_peers(true);
     }
     for gateway in 0..30_usize {
         let name = format!("g{gateway}");
@@ -125,7 +125,7 @@
             .collect();
         for (ip, member) in (0..).zip(&mut members) {
             for word in words.iter().filter(|word| word.member != ip) {
-                member.note_neighbour(word.clone(), now);
+                member.note_zone_peer(word.clone(), now);
             }
         }
     }
@@ -138,10 +138,10 @@
 #[test]
 fn a_neighbour_that_falls_silent_is_left_out() {
     let mut table = StatsTable::default();
-    table.set_has_neighbours(true);
+    table.set_has_zone_peers(true);
     let mut other = StatsTable::default();
     other.note(of("g1", true), StatsReport(vec![sight(7, 4, 0, 0)]), NOW);
-    table.note_neighbour(other.counted(2, later(300), LIMIT), later(300));
+    table.note_zone_peer(other.counted(2, later(300), LIMIT), later(300));
     assert_eq!(
         in_flight(&table.sum("z", later(300), LIMIT).replica_stats, 7),
         4
@@ -180,8 +180,8 @@
     let mut other = StatsTable::default();
     other.note(of("g1", true), StatsReport(vec![trouble(7, 10)]), NOW);
     let mut table = StatsTable::default();
-    table.set_has_neighbours(true);
-    table.note_neighbour(other.counted(2, later(500), LIMIT), later(500));
+    table.set_has_zone_peers(true);
+    table.note_zone_peer(other.counted(2, later(500), LIMIT), later(500));
     let sum = table.sum("z", later(800), LIMIT);
     assert_eq!(sum.replica_stats.0[0].failures_tenths, 20);
     assert_eq!(sum.age, Duration::from_millis(800));
--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -140,7 +140,7 @@
     let scale = Scale::of(gateway, service);
     let demand = state.demand(service, scale.gateways, now);
     let newcomer = NewProgram {
-        hash_fraction: place,
+        admission_hash: place,
         route: &inbound.route,
         tenant: inbound.caller.tenant().map(|tenant| &tenant.name),
         prompt_tokens: prompt_tokens(inbound),
--- a/crates/gateway-server/src/exchange.rs
+++ b/crates/gateway-server/src/exchange.rs
@@ -170,7 +170,7 @@
             return;
         }
         let now = gateway.now();
-        gateway.pool.borrow_mut().troubled(&backend.id, now);
+        gateway.pool.borrow_mut().note_failure(&backend.id, now);
     }
 }
 
--- a/crates/gateway-server/src/held.rs
+++ b/crates/gateway-server/src/held.rs
@@ -2,7 +2,7 @@
 //! let go. The decisions are those of [`HeldBytes`]; here they reach the requests concerned.
 
 use crate::metrics::GatewayMetrics;
-use luglink_scheduling::{Growth, HeldBound, HeldBytes, HeldCut, HolderId};
+use luglink_scheduling::{Growth, HeldAbort, HeldBytes, HeldBytesLimit, HolderId};
 use luglink_types::TenantName;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 struct Request {
     id: String,
-    cut: Cell<Option<HeldBound>>,
+    cut: Cell<Option<HeldBytesLimit>>,
     told: Notify,
 }
 
@@ -45,7 +45,7 @@
         id: &str,
         tenant: Option<TenantName>,
         announced: u64,
-    ) -> Result<Held, HeldBound> {
+    ) -> Result<Held, HeldBytesLimit> {
         let admitted = self.bytes.borrow_mut().admit(tenant, announced);
         let holder = admitted.inspect_err(|bound| {
             let reason = bound.as_str();
@@ -77,7 +77,7 @@
         self.metrics.held_bytes.set(total as f64);
     }
 
-    fn resize(&self, holder: HolderId, bytes: u64) -> Result<(), HeldBound> {
+    fn resize(&self, holder: HolderId, bytes: u64) -> Result<(), HeldBytesLimit> {
         let growth = self.bytes.borrow_mut().resize(holder, bytes);
         let denied = match growth {
             Growth::Granted(cuts) => {
@@ -90,7 +90,7 @@
         denied
     }
 
-    fn tell(&self, cut: &HeldCut) {
+    fn tell(&self, cut: &HeldAbort) {
         let Some(request) = self.requests.borrow_mut().remove(&cut.holder) else {
             return;
         };
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// The bound that leaves no room for them.
-    pub(crate) fn set_request(&self, bytes: u64) -> Result<(), HeldBound> {
+    pub(crate) fn set_request(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         self.resize(bytes)?;
         self.request_bytes.set(bytes);
         Ok(())
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     /// The bound that leaves no room for them.
-    pub(crate) fn add_prompt(&self, bytes: u64) -> Result<(), HeldBound> {
+    pub(crate) fn add_prompt(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         self.set_request(self.request_bytes.get().saturating_add(bytes))
     }
 
@@ -146,11 +146,11 @@
     ///
     /// # Errors
     /// The request has to let go of everything.
-    pub(crate) fn set_answer(&self, bytes: u64) -> Result<(), HeldBound> {
+    pub(crate) fn set_answer(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         self.resize(self.request_bytes.get().saturating_add(bytes))
     }
 
-    fn resize(&self, bytes: u64) -> Result<(), HeldBound> {
+    fn resize(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         if let Some(bound) = self.request.cut.get() {
             return Err(bound);
         }
@@ -159,13 +159,13 @@
     }
 
     /// Says whether the request can be cut: not while a replica may run it unseen.
-    pub(crate) fn set_can_be_cut(&self, can_be_cut: bool) {
+    pub(crate) fn set_abortable(&self, can_be_cut: bool) {
         let mut bytes = self.ledger.bytes.borrow_mut();
-        bytes.set_can_be_cut(self.holder, can_be_cut);
+        bytes.set_abortable(self.holder, can_be_cut);
     }
 
     /// Waits until the request has to let go of everything.
-    pub(crate) async fn cut(&self) -> HeldBound {
+    pub(crate) async fn cut(&self) -> HeldBytesLimit {
         loop {
             if let Some(bound) = self.request.cut.get() {
                 return bound;
--- a/crates/gateway-server/src/inbound.rs
+++ b/crates/gateway-server/src/inbound.rs
@@ -149,7 +149,7 @@
         body = read_body(gateway, incoming, limit, deadline, &held) => body?,
         _ = held.cut() => return Err(Refusal::memory_exhausted()),
     };
-    held.set_can_be_cut(false);
+    held.set_abortable(false);
     let program = program_fields(gateway, &caller, &head);
     let prompt = PromptParts::read(
         text(&head.headers, &headers.token_usage),
@@ -245,7 +245,7 @@
     let tenant = tenant_name(caller).cloned();
     let held = gateway.held.admit(id, tenant, announced);
     let held = held.map_err(|_| Refusal::memory_exhausted())?;
-    held.set_can_be_cut(true);
+    held.set_abortable(true);
     Ok(held)
 }
 
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -19,7 +19,7 @@
 use luglink_edge::{EventSplitter, Service, StreamEvent};
 use luglink_fleet::{Backend, BackendId};
 use luglink_http::{Body, BodySender, stream_body};
-use luglink_scheduling::{Expected, HeldBound, Work};
+use luglink_scheduling::{Expected, HeldBytesLimit, Work};
 use luglink_telemetry::milliseconds;
 use luglink_turns::TurnRecord;
 use std::rc::Rc;
@@ -163,7 +163,7 @@
         _in_flight: in_flight,
     };
     // What a caller gets from now on ends visibly when it is cut.
-    relay.inbound.held.set_can_be_cut(true);
+    relay.inbound.held.set_abortable(true);
     let source = Source {
         incoming,
         headers: head.headers,
@@ -204,7 +204,7 @@
     /// The replica has been silent for so long that the stream may move.
     Look,
     /// It holds more than there is room for.
-    Cut(HeldBound),
+    Cut(HeldBytesLimit),
 }
 
 /// Passes the events of one answer on.
@@ -311,7 +311,7 @@
         self.gateway
             .pool
             .borrow_mut()
-            .troubled(&source.backend.id, now);
+            .note_failure(&source.backend.id, now);
     }
 
     /// Notes the pause before an event that has just come.
@@ -347,7 +347,7 @@
         }
         let held = &self.inbound.held;
         let here = (self.output.len() + together.len()) as u64 + sender.waiting_bytes();
-        held.set_answer(here).map_err(HeldBound::as_str)?;
+        held.set_answer(here).map_err(HeldBytesLimit::as_str)?;
         if together.is_empty() {
             return Ok(());
         }
@@ -401,7 +401,7 @@
 
     /// Makes a turn last before its answer ends as complete.
     async fn complete(&mut self, backend: &Backend, sender: BodySender) -> &'static str {
-        self.inbound.held.set_can_be_cut(false);
+        self.inbound.held.set_abortable(false);
         if self.inbound.route.keeps_history && !self.keep(backend).await {
             return "not_kept";
         }
--- a/crates/gateway-server/src/turn_client.rs
+++ b/crates/gateway-server/src/turn_client.rs
@@ -7,7 +7,7 @@
 use luglink_fleet::{BackendId, StoreName, StoreState, StoreView};
 use luglink_quota::{QuotaOwner, QuotaRequest, QuotaResponse};
 use luglink_turns::{
-    Account, ChainWish, ProgramName, Replication, Spend, StoreRequest, StoreResponse, TurnId,
+    Account, ChainQuery, ProgramName, Replication, Spend, StoreRequest, StoreResponse, TurnId,
     TurnRecord,
 };
 use luglink_types::TenantName;
@@ -171,7 +171,7 @@
     ) -> Result<Begun, StoresUnavailable> {
         let owners = self.owners(program);
         let nearest = self.nearest(&owners);
-        let wish = previous.map(|turn| ChainWish { turn: turn.clone() });
+        let wish = previous.map(|turn| ChainQuery { turn: turn.clone() });
         let mut asking = FuturesUnordered::new();
         for owner in &owners {
             let chain = wish.clone().filter(|_| Some(owner) == nearest.as_ref());
@@ -228,7 +228,7 @@
     /// Looks for a chain on every store, beginning with the owners that are still to answer.
     async fn search(
         &self,
-        wish: ChainWish,
+        wish: ChainQuery,
         mut search: ChainSearch,
         asked: Option<StoreName>,
         mut owners_asking: FuturesUnordered<impl Future<Output = Answered>>,
--- a/crates/gateway-server/tests/gateway/overload.rs
+++ b/crates/gateway-server/tests/gateway/overload.rs
@@ -5,7 +5,7 @@
 use crate::support::{Fleet, configuration, wait_until};
 use futures_util::future::join_all;
 use luglink_scheduling::Features;
-use luglink_types::{Switch, Switches};
+use luglink_types::{FeatureMode, FeatureModes};
 use std::net::SocketAddr;
 
 /// Rounds of turns that wait in vain, and turns in each.
@@ -69,10 +69,10 @@
 
 /// Programs are let in by the memory that those under way need; one replica has 1,000 tokens.
 fn by_working_set() -> Features {
-    let switches = Switches {
-        working_set: Switch::On,
-        fair_shares: Switch::On,
-        ..Switches::default()
+    let switches = FeatureModes {
+        working_set: FeatureMode::On,
+        fair_shares: FeatureMode::On,
+        ..FeatureModes::default()
     };
     Features::new(switches, false)
 }
--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -142,7 +142,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct NewProgram<'request> {
     /// Stands for the program, the same on each try and at each gateway.
-    pub hash_fraction: u64,
+    pub admission_hash: u64,
     /// Its route.
     pub route: &'request Route,
     /// For whom it comes.
@@ -242,8 +242,8 @@
         let fullness = memory.max(slots) / limit;
         let share = share_at(fullness);
         let tenant_share = self.tenant_share(newcomer, fullness, fair_shares, now);
-        let drawn = drawn(newcomer.hash_fraction);
-        let place = drawn * self.favour(newcomer.hash_fraction, now);
+        let drawn = drawn(newcomer.admission_hash);
+        let place = drawn * self.favour(newcomer.admission_hash, now);
         // Coming back helps nobody beyond a fair share.
         let is_admitted = if tenant_share < share {
             drawn < tenant_share
@@ -256,7 +256,7 @@
             (false, false) if memory >= slots => Some(Shortage::Memory),
             (false, false) => Some(Shortage::Slots),
         };
-        self.remember(newcomer.hash_fraction, is_admitted, now);
+        self.remember(newcomer.admission_hash, is_admitted, now);
         AdmissionDecision {
             refused_for,
             fullness,
--- a/crates/scheduling/src/features.rs
+++ b/crates/scheduling/src/features.rs
@@ -1,7 +1,7 @@
 //! Which decisions under load a deployment calls for.
 
 use luglink_edge::{Configuration, Route, RouteKind};
-use luglink_types::Switches;
+use luglink_types::FeatureModes;
 
 /// Fewest replicas for one request with which operators say that another replica may do what a
 /// first one does not.
@@ -10,18 +10,18 @@
 /// Which decisions are taken, by the settings and the configuration in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Features {
-    switches: Switches,
+    modes: FeatureModes,
     /// Whether the deployment expects more work than its replicas can do.
-    expects_pressure: bool,
+    expects_overload: bool,
 }
 
 impl Features {
     /// Those of a process.
     #[must_use]
-    pub fn new(switches: Switches, expects_pressure: bool) -> Self {
+    pub fn new(modes: FeatureModes, expects_overload: bool) -> Self {
         Self {
-            switches,
-            expects_pressure,
+            modes,
+            expects_overload,
         }
     }
 
@@ -29,49 +29,49 @@
     /// a second replica, and the request may run again there.
     #[must_use]
     pub fn moves(&self, route: &Route) -> bool {
-        let called_for = route.kind == RouteKind::Streaming && allows_second(route);
-        route.is_repeatable() && allows_second(route) && self.switches.moves.holds(called_for)
+        let is_needed = route.kind == RouteKind::Streaming && allows_second(route);
+        route.is_repeatable() && allows_second(route) && self.modes.moves.is_enabled(is_needed)
     }
 
     /// Whether requests with one whole answer go to a second replica earlier than the route's aim
     /// tells.
     #[must_use]
     pub fn early_hedge(&self, configuration: &Configuration) -> bool {
-        self.switches
+        self.modes
             .moves
-            .holds(any_stream_may_move(configuration))
+            .is_enabled(any_stream_may_move(configuration))
     }
 
     /// Whether gateways tell each other what they see of the replicas.
     #[must_use]
     pub fn load_view(&self, configuration: &Configuration) -> bool {
-        let called_for = self.expects_pressure || any_stream_may_move(configuration);
-        self.switches.load_view.holds(called_for)
+        let is_needed = self.expects_overload || any_stream_may_move(configuration);
+        self.modes.load_view.is_enabled(is_needed)
     }
 
     /// Whether replicas are chosen by when a request is expected to be finished.
     #[must_use]
     pub fn expected_finish(&self, configuration: &Configuration) -> bool {
-        let called_for = self.expects_pressure || any_stream_may_move(configuration);
-        self.switches.expected_finish.holds(called_for)
+        let is_needed = self.expects_overload || any_stream_may_move(configuration);
+        self.modes.expected_finish.is_enabled(is_needed)
     }
 
     /// Whether programs are let in by the memory that those under way need until they end.
     #[must_use]
     pub fn working_set(&self) -> bool {
-        self.switches.working_set.holds(self.expects_pressure)
+        self.modes.working_set.is_enabled(self.expects_overload)
     }
 
     /// Whether tenants and kinds of request get fair shares while room is short.
     #[must_use]
     pub fn fair_shares(&self) -> bool {
-        self.switches.fair_shares.holds(self.expects_pressure)
+        self.modes.fair_shares.is_enabled(self.expects_overload)
     }
 
     /// Whether bytes held for slow readers are bounded.
     #[must_use]
     pub fn held_bytes(&self) -> bool {
-        self.switches.held_bytes.holds(true)
+        self.modes.held_bytes.is_enabled(true)
     }
 }
 
--- a/crates/scheduling/src/held_bytes.rs
+++ b/crates/scheduling/src/held_bytes.rs
@@ -22,7 +22,7 @@
 
 /// The bound that a request met.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldBound {
+pub enum HeldBytesLimit {
     /// Of one request.
     Request,
     /// Of the request's tenant.
@@ -31,7 +31,7 @@
     Process,
 }
 
-impl HeldBound {
+impl HeldBytesLimit {
     /// Its name in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -45,22 +45,22 @@
 
 /// A holder that is to let go of everything. Its bytes do not count any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldCut {
+pub struct HeldAbort {
     /// The holder.
     pub holder: HolderId,
     /// What it held.
     pub bytes: u64,
     /// The bound that was met.
-    pub bound: HeldBound,
+    pub bound: HeldBytesLimit,
 }
 
 /// Whether a holder may hold what it asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Growth {
     /// It may, once these have let go.
-    Granted(Vec<HeldCut>),
+    Granted(Vec<HeldAbort>),
     /// It may not, and goes on holding what it had.
-    Denied(HeldBound),
+    Denied(HeldBytesLimit),
 }
 
 #[derive(Clone, Debug)]
@@ -133,16 +133,16 @@
         &mut self,
         tenant: Option<TenantName>,
         announced: u64,
-    ) -> Result<HolderId, HeldBound> {
+    ) -> Result<HolderId, HeldBytesLimit> {
         if announced > self.tenant_limit() {
-            return Err(HeldBound::Request);
+            return Err(HeldBytesLimit::Request);
         }
         let of_tenant = tenant.as_ref().map_or(0, |tenant| self.of_tenant(tenant));
         if of_tenant.saturating_add(announced) > self.tenant_limit() {
-            return Err(HeldBound::Tenant);
+            return Err(HeldBytesLimit::Tenant);
         }
         if self.total.saturating_add(announced) > self.limit {
-            return Err(HeldBound::Process);
+            return Err(HeldBytesLimit::Process);
         }
         let id = HolderId(self.next);
         self.next += 1;
@@ -158,7 +158,7 @@
 
     /// Says whether a holder can be cut from now on: not while a replica may run its request
     /// unseen.
-    pub fn set_can_be_cut(&mut self, id: HolderId, can_be_cut: bool) {
+    pub fn set_abortable(&mut self, id: HolderId, can_be_cut: bool) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.can_be_cut = can_be_cut;
         }
@@ -192,24 +192,28 @@
     }
 
     /// Who must let go for a wish to fit, or the bound that stands against it.
-    fn plan(&self, wish: &Wish, tenant: Option<&TenantName>) -> Result<Vec<HeldCut>, HeldBound> {
+    fn plan(
+        &self,
+        wish: &Wish,
+        tenant: Option<&TenantName>,
+    ) -> Result<Vec<HeldAbort>, HeldBytesLimit> {
         if wish.more == 0 {
             return Ok(Vec::new());
         }
         if wish.bytes > self.tenant_limit() {
-            return Err(HeldBound::Request);
+            return Err(HeldBytesLimit::Request);
         }
         let mut cuts = Vec::new();
         if let Some(name) = tenant {
             let after = self.of_tenant(name).saturating_add(wish.more);
             let excess = after.saturating_sub(self.tenant_limit());
             let of_tenant = |holder: &Holder| holder.tenant.as_ref() == tenant;
-            self.choose(wish, excess, HeldBound::Tenant, of_tenant, &mut cuts)?;
+            self.choose(wish, excess, HeldBytesLimit::Tenant, of_tenant, &mut cuts)?;
         }
         let freed: u64 = cuts.iter().map(|cut| cut.bytes).sum();
         let after = (self.total - freed).saturating_add(wish.more);
         let excess = after.saturating_sub(self.limit);
-        self.choose(wish, excess, HeldBound::Process, |_| true, &mut cuts)?;
+        self.choose(wish, excess, HeldBytesLimit::Process, |_| true, &mut cuts)?;
         Ok(cuts)
     }
 
@@ -219,19 +223,19 @@
         &self,
         wish: &Wish,
         excess: u64,
-        bound: HeldBound,
+        bound: HeldBytesLimit,
         is_meant: impl Fn(&Holder) -> bool,
-        cuts: &mut Vec<HeldCut>,
-    ) -> Result<(), HeldBound> {
+        cuts: &mut Vec<HeldAbort>,
+    ) -> Result<(), HeldBytesLimit> {
         if excess == 0 {
             return Ok(());
         }
         let is_left = |id: &HolderId| cuts.iter().all(|cut| cut.holder != *id);
-        let mut candidates: Vec<HeldCut> = self
+        let mut candidates: Vec<HeldAbort> = self
             .holders
             .iter()
             .filter(|(id, holder)| holder.can_be_cut && is_meant(holder) && is_left(id))
-            .map(|(id, holder)| HeldCut {
+            .map(|(id, holder)| HeldAbort {
                 holder: *id,
                 bytes: if *id == wish.id {
                     wish.bytes
--- a/crates/scheduling/src/pool/mod.rs
+++ b/crates/scheduling/src/pool/mod.rs
@@ -449,9 +449,9 @@
     }
 
     /// Notes that a replica failed a request that it answered, or keeps one for much too long.
-    pub fn troubled(&mut self, id: &BackendId, now: Timestamp) {
+    pub fn note_failure(&mut self, id: &BackendId, now: Timestamp) {
         if let Some(record) = self.record(id) {
-            record.troubled(now);
+            record.note_failure(now);
         }
     }
 
--- a/crates/scheduling/src/pool/record.rs
+++ b/crates/scheduling/src/pool/record.rs
@@ -135,7 +135,7 @@
         };
     }
 
-    pub(super) fn troubled(&mut self, now: Timestamp) {
+    pub(super) fn note_failure(&mut self, now: Timestamp) {
         let before = self.trouble_at(now);
         self.troubles = self.troubles_at(now) + 1.0;
         self.trouble = before + TROUBLE_WEIGHT * (1.0 - before);
@@ -144,7 +144,7 @@
 
     /// Returns until when the replica pauses.
     pub(super) fn failed(&mut self, now: Timestamp) -> Timestamp {
-        self.troubled(now);
+        self.note_failure(now);
         let doublings = self.failures.min(8);
         self.failures += 1;
         let pause = (FIRST_EJECTION * 2_u32.pow(doublings)).min(LONGEST_EJECTION);
--- a/crates/scheduling/src/waits.rs
+++ b/crates/scheduling/src/waits.rs
@@ -133,7 +133,7 @@
 
     /// What the quickest first events take, once enough are known.
     #[must_use]
-    pub fn quickest_first_event(&self, now: Timestamp) -> Option<Duration> {
+    pub fn fastest_first_event(&self, now: Timestamp) -> Option<Duration> {
         self.first_events.quantile(QUICKEST_SHARE, now)
     }
 
--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -164,7 +164,7 @@
 
 fn newcomer(route: &Route, place: f64) -> NewProgram<'_> {
     NewProgram {
-        hash_fraction: ((place * 4_294_967_296.0) as u64) << 32,
+        admission_hash: ((place * 4_294_967_296.0) as u64) << 32,
         route,
         tenant: None,
         prompt_tokens: 1_000,
--- a/crates/scheduling/tests/expected_finish.rs
+++ b/crates/scheduling/tests/expected_finish.rs
@@ -206,7 +206,7 @@
 fn a_replica_in_trouble_is_tried_again_after_a_while() {
     let mut pool = pool(true);
     for _ in 0..8 {
-        pool.troubled(&id(4), NOW);
+        pool.note_failure(&id(4), NOW);
     }
     let soon = pool.expected_at(&id(4), &work(1), NOW).unwrap();
     let later = NOW.plus(Duration::from_secs(30));
@@ -223,7 +223,7 @@
     for _ in 0..4 {
         pool.note_step(&id(1), Duration::from_millis(30), NOW);
     }
-    pool.troubled(&id(2), NOW);
+    pool.note_failure(&id(2), NOW);
     let replica_stats = pool.replica_stats(NOW).0;
     assert_eq!(replica_stats.len(), 2);
     let of = |engine| {
@@ -417,11 +417,11 @@
         let least = cost(state);
         prop_assert!(least.is_finite() && least > 0.0);
         let busier = cost(ReplicaState { requests: requests + more, ..state });
-        let troubled = cost(ReplicaState { trouble: trouble + 0.1, ..state });
+        let note_failure = cost(ReplicaState { trouble: trouble + 0.1, ..state });
         let reading = cost(ReplicaState { tokens_to_read: tokens_to_read + 500, ..state });
         let slower = cost(ReplicaState { pause_seconds: pause_seconds * 2.0, ..state });
         let farther = cost(ReplicaState { is_near: false, ..state });
         prop_assert!(busier >= least);
-        prop_assert!([troubled, reading, slower, farther].iter().all(|cost| *cost > least));
+        prop_assert!([note_failure, reading, slower, farther].iter().all(|cost| *cost > least));
     }
 }
--- a/crates/scheduling/tests/fleet/mod.rs
+++ b/crates/scheduling/tests/fleet/mod.rs
@@ -228,7 +228,7 @@
             .tenant
             .map(|tenant| TenantName::from(format!("t{tenant}").as_str()));
         let newcomer = NewProgram {
-            hash_fraction: xxh3_64(&id.to_le_bytes()),
+            admission_hash: xxh3_64(&id.to_le_bytes()),
             route: &route,
             tenant: tenant.as_ref(),
             prompt_tokens: wanted.kind.prompt,
--- a/crates/scheduling/tests/held_bytes.rs
+++ b/crates/scheduling/tests/held_bytes.rs
@@ -1,6 +1,6 @@
 //! Callers that stop reading, replayed: what a process holds stays within its bound.
 
-use luglink_scheduling::{Growth, HeldBound, HeldBytes, HolderId};
+use luglink_scheduling::{Growth, HeldBytes, HeldBytesLimit, HolderId};
 use luglink_types::TenantName;
 use proptest::prelude::*;
 
@@ -26,7 +26,7 @@
     let mut most = 0;
     for number in 0..STALLED_CALLERS {
         if let Ok(holder) = held.admit(of(number), BODY_BYTES) {
-            held.set_can_be_cut(holder, true);
+            held.set_abortable(holder, true);
             open.push(holder);
         }
         most = most.max(held.total());
@@ -67,7 +67,10 @@
     let mut held = HeldBytes::new(LIMIT);
     let (_, most) = replay(&mut held, |_| tenant(1));
     assert!(most <= LIMIT / 2, "{most}");
-    assert_eq!(held.admit(tenant(1), LIMIT / 2), Err(HeldBound::Tenant));
+    assert_eq!(
+        held.admit(tenant(1), LIMIT / 2),
+        Err(HeldBytesLimit::Tenant)
+    );
     assert!(held.admit(tenant(2), LIMIT / 2).is_ok());
 }
 
@@ -78,7 +81,7 @@
     let newer = held.admit(None, 300).unwrap();
     let small = held.admit(None, 50).unwrap();
     for holder in [old, newer, small] {
-        held.set_can_be_cut(holder, true);
+        held.set_abortable(holder, true);
     }
     held.admit(None, 340).unwrap();
     let Growth::Granted(cuts) = held.resize(small, 100) else {
@@ -95,18 +98,24 @@
     let mut held = HeldBytes::new(1_000);
     let old = held.admit(None, 450).unwrap();
     let newest = held.admit(None, 450).unwrap();
-    held.set_can_be_cut(old, true);
-    held.set_can_be_cut(newest, true);
+    held.set_abortable(old, true);
+    held.set_abortable(newest, true);
     let grown = held.resize(newest, 500);
     assert_eq!(grown, Growth::Granted(Vec::new()), "up to its bound it may");
     held.admit(None, 50).unwrap();
-    assert_eq!(held.resize(newest, 501), Growth::Denied(HeldBound::Request));
+    assert_eq!(
+        held.resize(newest, 501),
+        Growth::Denied(HeldBytesLimit::Request)
+    );
     let grown = held.resize(old, 480);
     assert!(matches!(grown, Growth::Granted(cuts) if cuts[0].holder == newest));
     let newest = held.admit(None, 400).unwrap();
-    held.set_can_be_cut(newest, true);
+    held.set_abortable(newest, true);
     held.admit(None, 70).unwrap();
-    assert_eq!(held.resize(newest, 480), Growth::Denied(HeldBound::Process));
+    assert_eq!(
+        held.resize(newest, 480),
+        Growth::Denied(HeldBytesLimit::Process)
+    );
     assert_eq!(held.of_holder(old), Some(480));
 }
 
@@ -117,12 +126,12 @@
     let growing = held.admit(None, 400).unwrap();
     assert_eq!(
         held.resize(growing, 501),
-        Growth::Denied(HeldBound::Request)
+        Growth::Denied(HeldBytesLimit::Request)
     );
     held.admit(None, 100).unwrap();
     assert_eq!(
         held.resize(growing, 450),
-        Growth::Denied(HeldBound::Process)
+        Growth::Denied(HeldBytesLimit::Process)
     );
     assert_eq!(held.of_holder(sent), Some(500));
     assert_eq!(held.of_holder(growing), Some(400));
@@ -178,7 +187,7 @@
                     held.release(holder);
                 },
                 Step::SetCanBeCut(at, can) => if let Some(holder) = pick(&at) {
-                    held.set_can_be_cut(holder, can);
+                    held.set_abortable(holder, can);
                 },
             }
             let sum = |of: Option<u64>| -> u64 {
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -5,7 +5,7 @@
     AwaitedEvent, ExtraSends, Features, MoveDecision, RerunLimits, Restart, Stay, Usual,
     WaitQuantiles, Waiting, Waits, cannot_meet_deadline, decide_move, hedge_after,
 };
-use luglink_types::{Switch, Switches, Timestamp};
+use luglink_types::{FeatureMode, FeatureModes, Timestamp};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -55,7 +55,7 @@
     /// All replicas are four times slower in each second stretch of that length.
     wave: Option<Duration>,
     /// Replicas that turns have moved away from, and when.
-    troubled: HashMap<u64, Timestamp>,
+    note_failure: HashMap<u64, Timestamp>,
 }
 
 impl Engines {
@@ -78,9 +78,10 @@
 
     /// Another one, of those that no turn has left lately if there are any.
     fn choose_besides(&mut self, first: u64, now: Timestamp) -> u64 {
-        self.troubled.insert(first, now);
-        self.troubled.retain(|_, at| now.since(*at) < TROUBLE_LASTS);
-        let sound = (0..REPLICAS).filter(|replica| !self.troubled.contains_key(replica));
+        self.note_failure.insert(first, now);
+        self.note_failure
+            .retain(|_, at| now.since(*at) < TROUBLE_LASTS);
+        let sound = (0..REPLICAS).filter(|replica| !self.note_failure.contains_key(replica));
         let sound: Vec<u64> = sound.collect();
         if sound.is_empty() {
             return (first + 1) % REPLICAS;
@@ -196,7 +197,7 @@
         silent,
         slower: 1.0,
         wave: None,
-        troubled: HashMap::new(),
+        note_failure: HashMap::new(),
     }
 }
 
@@ -340,9 +341,9 @@
     assert!(auto.moves(&movable) && auto.early_hedge(&configuration(&movable)));
     assert!(!auto.moves(&single) && !auto.early_hedge(&configuration(&single)));
     assert!(!auto.moves(&once));
-    let switches = Switches {
-        moves: Switch::Off,
-        ..Switches::default()
+    let switches = FeatureModes {
+        moves: FeatureMode::Off,
+        ..FeatureModes::default()
     };
     let off = Features::new(switches, false);
     assert!(!off.moves(&movable) && !off.early_hedge(&configuration(&movable)));
--- a/crates/scheduling/tests/pool.rs
+++ b/crates/scheduling/tests/pool.rs
@@ -173,7 +173,7 @@
     let now = Timestamp::from_millis(100_000);
     assert_eq!(chosen(&pool, &wish(), now).unwrap(), "grey", "it is nearer");
     for _ in 0..3 {
-        pool.troubled(&id("grey"), now);
+        pool.note_failure(&id("grey"), now);
         pool.succeeded(&id("grey"), Duration::from_millis(10));
     }
     // A success ends a pause, but not what is known of the failures.
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -221,7 +221,7 @@
                     self.pools[gateway].note_step(&id, pause, now)
                 }
                 Happened::First { gateway, wait } => self.pools[gateway].succeeded(&id, wait),
-                Happened::Silent { gateway } => self.pools[gateway].troubled(&id, now),
+                Happened::Silent { gateway } => self.pools[gateway].note_failure(&id, now),
                 Happened::Ended(turn) => {
                     self.pools[turn.gateway].end(&id);
                     self.seen.turn_ms.push(now_ms - turn.began_ms);
