--- a/crates/daemon-server/src/engines.rs
+++ b/crates/daemon-server/src/engines.rs
@@ -32,11 +32,11 @@
     daemon: Addr<DaemonActor>,
     http: Client,
     running: BTreeMap<AttemptId, actix_rt::task::JoinHandle<()>>,
-    watched: BTreeMap<EngineId, Watched>,
+    watched: BTreeMap<EngineId, WatchedReplica>,
     poll_interval: Duration,
 }
 
-struct Watched {
+struct WatchedReplica {
     info: ReplicaInfo,
     task: actix_rt::task::JoinHandle<()>,
 }
@@ -108,7 +108,8 @@
                 info.clone(),
                 self.poll_interval,
             ));
-            self.watched.insert(info.engine, Watched { info, task });
+            self.watched
+                .insert(info.engine, WatchedReplica { info, task });
         }
     }
 }
--- a/crates/daemon-server/src/parse.rs
+++ b/crates/daemon-server/src/parse.rs
@@ -134,7 +134,7 @@
     if count == 0 || count > MAX_MESSAGES {
         return Err(invalid(
             "messages",
-            format!("1 to {MAX_MESSAGES} messages, not {count}"),
+            format!("must be 1 to {MAX_MESSAGES} messages, not {count}"),
         ));
     }
     Ok(())
@@ -147,7 +147,7 @@
         .map(|value| {
             value
                 .to_str()
-                .map_err(|_| invalid(name, "must be plain text"))
+                .map_err(|_| invalid(name, "must be visible ASCII text"))
         })
         .transpose()
 }
@@ -157,7 +157,7 @@
         return Ok(None);
     };
     if text.is_empty() || text.len() > MAX_KEY_BYTES {
-        let rule = format!("1 to {MAX_KEY_BYTES} bytes");
+        let rule = format!("must be 1 to {MAX_KEY_BYTES} bytes");
         return Err(invalid(HEADER_IDEMPOTENCY_KEY, rule));
     }
     if text.starts_with('~') {
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns the maximum number of dispatched calls: the capacity of all replicas together.
+    /// Returns the maximum number of calls past the queue: the capacity of all replicas together.
     fn max_running_calls(&self) -> usize {
         self.config.router.max_requests_per_replica * self.config.subset_size
     }
@@ -555,7 +555,7 @@
                 if self.pool_of(id).as_ref() == Some(&pool) {
                     let refusal = Refusal::not_run(
                         RefusalCode::NoEngine,
-                        format!("no engine of `{pool}` is usable"),
+                        format!("no engine of model `{pool}` is usable"),
                     )
                     .retry_after(Duration::from_secs(2));
                     self.close_refused(id, refusal);
--- a/crates/daemon/src/lookup.rs
+++ b/crates/daemon/src/lookup.rs
@@ -91,7 +91,10 @@
         let Some((engine, address)) = choice else {
             let refusal = Refusal::not_run(
                 RefusalCode::NoEngine,
-                format!("no replica of `{}` is usable", lookup.request.service),
+                format!(
+                    "no replica of service `{}` is usable",
+                    lookup.request.service
+                ),
             )
             .retry_after(Duration::from_secs(1));
             return self.refuse(lookup.ticket, refusal);
--- a/crates/daemon/src/programs.rs
+++ b/crates/daemon/src/programs.rs
@@ -42,7 +42,7 @@
     pub(crate) fn admission_refusal(&self, pool: &ModelName) -> Option<Refusal> {
         let since = self.queue.oldest_queued_at(pool)?;
         (self.now.since(since) > self.config.admission_wait_limit).then(|| {
-            let detail = format!("calls of `{pool}` wait too long to take more programs");
+            let detail = format!("calls of model `{pool}` wait too long to admit new programs");
             Refusal::not_run(RefusalCode::Overloaded, detail).retry_after(ADMISSION_RETRY_AFTER)
         })
     }
