--- a/crates/daemon/src/programs.rs
+++ b/crates/daemon/src/programs.rs
@@ -241,7 +241,7 @@
     }
 
     /// Removes the least recently used idle programs until the history cache is within its limits.
-    /// The next call of such a program fetches the history again.
+    /// The next call of such a program takes it over again, which returns the history.
     pub(crate) fn trim_history_cache(&mut self) {
         let mut idle: Vec<(Timestamp, ProgramId, usize)> = self
             .programs
