--- a/crates/control-server/src/actor.rs
+++ b/crates/control-server/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the member's logic.
+//! The actor that owns the control node.
 
 use crate::peers::Peers;
 use crate::releases;
@@ -19,25 +19,25 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 
-/// The client number of requests that come from this process itself.
-const OWN_CLIENT: u64 = 0;
+/// Client number of requests from within this process.
+const LOCAL_CLIENT: u64 = 0;
 
-/// Time between looks at timers.
+/// Interval at which the timers of the node are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Messages that may wait for the actor before senders are held back.
+/// Capacity of the mailbox. While it is full, queries wait and operator calls are refused.
 const MAILBOX_CAPACITY: usize = 65_536;
 
-/// Release orders that are under way at once.
-const MAX_ORDERS_UNDER_WAY: usize = 256;
+/// Maximum number of release orders in flight at the same time.
+const MAX_RELEASES_IN_FLIGHT: usize = 256;
 
-/// Where this process's clock begins: the time of day, and the steady clock's at that moment.
-static ORIGIN: OnceLock<(Duration, Instant)> = OnceLock::new();
+/// Origin of the process's clock: the wall clock and the monotonic clock at the same moment.
+static CLOCK_ORIGIN: OnceLock<(Duration, Instant)> = OnceLock::new();
 
-/// The time in microseconds since the Unix epoch, as it was at the process's start and counted
-/// steadily from there: a step of the time of day must not run into leases and elections.
+/// Returns the time since the Unix epoch in microseconds: the wall clock when it was first read,
+/// advanced by the monotonic clock. A step of the wall clock must not affect leases and elections.
 pub(crate) fn now() -> Timestamp {
-    let (at_start, start) = ORIGIN.get_or_init(|| {
+    let (at_start, start) = CLOCK_ORIGIN.get_or_init(|| {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         (wall.unwrap_or_default(), Instant::now())
     });
@@ -45,47 +45,48 @@
     Timestamp::from_micros(u64::try_from(time.as_micros()).unwrap_or(u64::MAX))
 }
 
-/// Reads the member from its disk.
+/// Loads the node from its disk.
 pub(crate) type Reopen = Box<dyn Fn() -> Result<ControlNode<FileDisk>, ControlError>>;
 
-/// Time between tries to read the member from a disk that fails.
+/// Interval of attempts to load the node from a failing disk. The pause spares the disk further
+/// load.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Owns the node and the queues of its clients.
+/// Owns the node and the connections of its clients.
 pub(crate) struct ControlActor {
-    /// The member; `None` while its disk cannot be used.
+    /// The node; `None` while its disk cannot be used.
     node: Option<ControlNode<FileDisk>>,
     reopen: Option<Reopen>,
-    reopen_due: Timestamp,
+    reopen_at: Timestamp,
     peers: Peers,
     clients: BTreeMap<u64, FrameSender>,
-    own_requests: BTreeMap<u64, oneshot::Sender<Response>>,
-    last_own_request: u64,
+    local_requests: BTreeMap<u64, oneshot::Sender<Response>>,
+    last_local_request: u64,
     http: awc::Client,
-    orders_under_way: BTreeSet<(ProgramId, EngineId)>,
+    releases_in_flight: BTreeSet<(ProgramId, EngineId)>,
     flush_queued: bool,
-    /// The leadership that was last written to the log.
+    /// Leadership that was last logged.
     logged_leadership: Leadership,
     failed: Option<oneshot::Sender<ControlError>>,
 }
 
 impl ControlActor {
-    /// An actor that stops when its disk fails.
+    /// Creates an actor that stops when its disk fails.
     pub(crate) fn new(
         node: ControlNode<FileDisk>,
         peers: Peers,
         failed: oneshot::Sender<ControlError>,
     ) -> Self {
-        Self::with(Some(node), peers, Some(failed), None)
+        Self::build(Some(node), peers, Some(failed), None)
     }
 
-    /// An actor that reads its member anew from its disk when that fails, and until then answers
-    /// that it is not available. It may start without one.
-    pub(crate) fn reopening(peers: Peers, reopen: Reopen) -> Self {
-        Self::with(None, peers, None, Some(reopen))
+    /// Creates an actor without a node, which loads it from the disk at the start and after each
+    /// disk failure. While there is no node, all requests are answered as unavailable.
+    pub(crate) fn with_reopen(peers: Peers, reopen: Reopen) -> Self {
+        Self::build(None, peers, None, Some(reopen))
     }
 
-    fn with(
+    fn build(
         node: Option<ControlNode<FileDisk>>,
         peers: Peers,
         failed: Option<oneshot::Sender<ControlError>>,
@@ -94,38 +95,38 @@
         Self {
             node,
             reopen,
-            reopen_due: now(),
+            reopen_at: now(),
             peers,
             clients: BTreeMap::new(),
-            own_requests: BTreeMap::new(),
-            last_own_request: 0,
+            local_requests: BTreeMap::new(),
+            last_local_request: 0,
             http: awc::Client::default(),
-            orders_under_way: BTreeSet::new(),
+            releases_in_flight: BTreeSet::new(),
             flush_queued: false,
             logged_leadership: Leadership::default(),
             failed,
         }
     }
 
-    /// The member; `None` while its disk cannot be used.
+    /// Returns the node; `None` while its disk cannot be used.
     pub(crate) fn node(&self) -> Option<&ControlNode<FileDisk>> {
         self.node.as_ref()
     }
 
-    /// Gives the node an input. What it leads to comes out of the flush that is queued behind
-    /// everything that waits in the mailbox now.
-    fn take(&mut self, input: Input, context: &mut Context<Self>) {
+    /// Passes an input to the node. Its outputs are executed by a flush, which is queued behind all
+    /// messages that are in the mailbox now.
+    fn handle_input(&mut self, input: Input, context: &mut Context<Self>) {
         let Some(node) = self.node.as_mut() else {
-            self.refuse(input);
+            self.reject(input);
             return;
         };
         let result = node.handle(input, now());
-        self.check(result, context);
+        self.check_result(result, context);
         self.queue_flush(context);
     }
 
-    /// Without its disk the member knows nothing for certain.
-    fn refuse(&mut self, input: Input) {
+    /// Answers a request as unavailable: without its disk the member has no reliable state.
+    fn reject(&mut self, input: Input) {
         if let Input::Request { token, .. } | Input::ExtendedRequest { token, .. } = input {
             let reason = "this member's disk cannot be used".to_owned();
             let response = Response::Unavailable { reason };
@@ -133,21 +134,21 @@
         }
     }
 
-    /// Reads the member anew, after a pause that leaves a failing disk alone.
+    /// Loads the node again if there is none, at most once per `REOPEN_INTERVAL`.
     fn try_reopen(&mut self) {
         let Some(reopen) = self.reopen.as_ref() else {
             return;
         };
-        if self.node.is_some() || now() < self.reopen_due {
+        if self.node.is_some() || now() < self.reopen_at {
             return;
         }
-        self.reopen_due = now().plus(REOPEN_INTERVAL);
+        self.reopen_at = now().plus(REOPEN_INTERVAL);
         match reopen() {
             Ok(node) => {
-                tracing::info!(peer = %node.peer(), "the control member has read its disk");
+                tracing::info!(peer = %node.peer(), "control member loaded from disk");
                 self.node = Some(node);
             }
-            Err(error) => tracing::warn!(%error, "the control member cannot use its disk"),
+            Err(error) => tracing::warn!(%error, "cannot load the control member from disk"),
         }
     }
 
@@ -158,9 +159,9 @@
         }
     }
 
-    /// After a disk failure nobody can tell what is durable: the member stops, or forgets what
-    /// it holds in memory and goes on with what its disk gives back.
-    fn check<T>(
+    /// Handles a failure of the node. It is unknown then which writes are durable, so the actor
+    /// either stops, or discards the node and loads it from the disk again.
+    fn check_result<T>(
         &mut self,
         result: Result<T, ControlError>,
         context: &mut Context<Self>,
@@ -168,15 +169,15 @@
         match result {
             Ok(value) => Some(value),
             Err(error) if self.reopen.is_some() => {
-                tracing::error!(%error, "the control member lost its disk");
+                tracing::error!(%error, "control member failed, loading it from disk again");
                 self.node = None;
-                self.reopen_due = now().plus(REOPEN_INTERVAL);
-                // Those who wait for an answer of the lost state must not wait for ever.
-                self.own_requests.clear();
+                self.reopen_at = now().plus(REOPEN_INTERVAL);
+                // Their responses would come from the discarded node and never arrive.
+                self.local_requests.clear();
                 None
             }
             Err(error) => {
-                tracing::error!(%error, "the control member stops");
+                tracing::error!(%error, "control member failed, stopping it");
                 if let Some(failed) = self.failed.take() {
                     let _ = failed.send(error);
                 }
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Writes a changed leadership to the log.
+    /// Logs the leadership of the configuration group if it has changed.
     fn log_leadership(&mut self) {
         let Some(leadership) = self.node.as_ref().map(ControlNode::leadership) else {
             return;
@@ -200,11 +201,11 @@
             leader = leadership.leader.map(|leader| leader.to_string()),
             voters = leadership.voters,
             learners = leadership.learners,
-            "leadership of the configuration"
+            "leadership of the configuration group changed"
         );
     }
 
-    fn carry_out(&mut self, output: Output, context: &mut Context<Self>) {
+    fn execute_output(&mut self, output: Output, context: &mut Context<Self>) {
         match output {
             Output::Peer { group, envelope } => self.peers.send(group, &envelope),
             Output::Reply {
@@ -217,8 +218,8 @@
     }
 
     fn reply(&mut self, token: RequestToken, response: Response, parts: &ResponseParts) {
-        if token.client == OWN_CLIENT {
-            if let Some(waiting) = self.own_requests.remove(&token.request) {
+        if token.client == LOCAL_CLIENT {
+            if let Some(waiting) = self.local_requests.remove(&token.request) {
                 let _ = waiting.send(response);
             }
             return;
@@ -237,33 +238,33 @@
 
     fn start_release(&mut self, order: ReleaseOrder, context: &mut Context<Self>) {
         let subject = (order.program, order.engine);
-        let full = self.orders_under_way.len() >= MAX_ORDERS_UNDER_WAY;
-        if full || !self.orders_under_way.insert(subject) {
+        let full = self.releases_in_flight.len() >= MAX_RELEASES_IN_FLIGHT;
+        if full || !self.releases_in_flight.insert(subject) {
             return;
         }
-        let work = releases::order(self.http.clone(), order).into_actor(self);
+        let work = releases::send_order(self.http.clone(), order).into_actor(self);
         context.spawn(work.map(move |confirmed, actor, context| {
-            actor.orders_under_way.remove(&subject);
+            actor.releases_in_flight.remove(&subject);
             if let Some(request) = confirmed {
-                let token = actor.own_token();
+                let token = actor.local_token();
                 let request = Box::new(request);
-                actor.take(Input::Request { token, request }, context);
+                actor.handle_input(Input::Request { token, request }, context);
             }
         }));
     }
 
-    fn own_token(&mut self) -> RequestToken {
-        self.last_own_request += 1;
+    fn local_token(&mut self) -> RequestToken {
+        self.last_local_request += 1;
         RequestToken {
-            client: OWN_CLIENT,
-            request: self.last_own_request,
+            client: LOCAL_CLIENT,
+            request: self.last_local_request,
         }
     }
 
-    /// Answers a request that a newer build may have sent: its sender asks another member at once
-    /// instead of waiting for an answer that never comes.
-    fn decline_unknown(&mut self, token: RequestToken, error: &WireError) {
-        tracing::warn!(connection = token.client, %error, "a request cannot be understood");
+    /// Answers a request that cannot be decoded, which a newer build may have sent. Its sender then
+    /// retries with another member at once instead of running into its timeout.
+    fn reject_undecodable(&mut self, token: RequestToken, error: &WireError) {
+        tracing::warn!(connection = token.client, %error, "cannot decode a request");
         let reason = format!("this build does not know the request: {error}");
         self.reply(
             token,
@@ -278,9 +279,9 @@
                 Ok(envelope) => {
                     let group = GroupId(group);
                     let envelope = Box::new(envelope);
-                    self.take(Input::Peer { group, envelope }, context);
+                    self.handle_input(Input::Peer { group, envelope }, context);
                 }
-                Err(error) => tracing::warn!(%error, "malformed consensus message"),
+                Err(error) => tracing::warn!(%error, "cannot decode a consensus message"),
             },
             Frame::Request {
                 correlation, body, ..
@@ -292,28 +293,29 @@
                 match decode_with_parts(&body) {
                     Ok((request, parts)) => {
                         let request = Box::new(request);
-                        let parts = Box::new(read_parts(&parts));
+                        let parts = Box::new(decode_parts(&parts));
                         let input = Input::ExtendedRequest {
                             token,
                             request,
                             parts,
                         };
-                        self.take(input, context);
+                        self.handle_input(input, context);
                     }
-                    Err(error) => self.decline_unknown(token, &error),
+                    Err(error) => self.reject_undecodable(token, &error),
                 }
             }
             Frame::Hello(_) | Frame::Response { .. } => {
-                tracing::warn!(connection, "unexpected frame");
+                tracing::warn!(connection, "ignored an unexpected frame of a client");
             }
         }
     }
 }
 
-/// What follows a request. A part that cannot be read is passed over: the request stands without.
-fn read_parts(parts: &Parts) -> RequestParts {
+/// Decodes the optional parts of a request. If one cannot be decoded, the request is handled
+/// without parts.
+fn decode_parts(parts: &Parts) -> RequestParts {
     RequestParts::decode(parts).unwrap_or_else(|error| {
-        tracing::warn!(%error, "the parts behind a request cannot be read");
+        tracing::warn!(%error, "cannot decode the optional parts of a request");
         RequestParts::default()
     })
 }
@@ -332,14 +334,14 @@
                 .as_mut()
                 .filter(|node| time >= node.next_deadline());
             if let Some(result) = due.map(|node| node.tick(time)) {
-                actor.check(result, context);
+                actor.check_result(result, context);
                 actor.queue_flush(context);
             }
         });
     }
 }
 
-/// Makes everything that was taken durable and carries out what follows.
+/// Persists the handled inputs and executes the outputs.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct Flush;
@@ -352,17 +354,17 @@
         let Some(result) = self.node.as_mut().map(ControlNode::flush) else {
             return;
         };
-        let Some(outputs) = self.check(result, context) else {
+        let Some(outputs) = self.check_result(result, context) else {
             return;
         };
         for output in outputs {
-            self.carry_out(output, context);
+            self.execute_output(output, context);
         }
         self.log_leadership();
     }
 }
 
-/// Something happened on the listening socket.
+/// Event of the listening socket.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct SocketEvent(pub(crate) ListenerEvent);
@@ -384,32 +386,32 @@
             ListenerEvent::Frame { connection, frame } => self.on_frame(connection, frame, context),
             ListenerEvent::Closed { connection } => {
                 self.clients.remove(&connection);
-                self.take(Input::ClientGone { client: connection }, context);
+                self.handle_input(Input::ClientDisconnected { client: connection }, context);
             }
         }
     }
 }
 
-/// A request from this process.
+/// Request from within this process.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct OwnRequest {
+pub(crate) struct LocalRequest {
     pub(crate) request: Request,
     pub(crate) answer: oneshot::Sender<Response>,
 }
 
-impl Handler<OwnRequest> for ControlActor {
+impl Handler<LocalRequest> for ControlActor {
     type Result = ();
 
-    fn handle(&mut self, own: OwnRequest, context: &mut Self::Context) {
-        let token = self.own_token();
-        self.own_requests.insert(token.request, own.answer);
-        let request = Box::new(own.request);
-        self.take(Input::Request { token, request }, context);
+    fn handle(&mut self, local: LocalRequest, context: &mut Self::Context) {
+        let token = self.local_token();
+        self.local_requests.insert(token.request, local.answer);
+        let request = Box::new(local.request);
+        self.handle_input(Input::Request { token, request }, context);
     }
 }
 
-/// Stops the actor without a word to anyone, as a crash would.
+/// Stops the actor at once, as a crash would.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct Halt;
@@ -422,45 +424,45 @@
     }
 }
 
-/// What the leader told.
+/// Applies an update that the leader sent.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct TakeLeaderNews {
+pub(crate) struct ApplyLeaderUpdate {
     pub(crate) report: Option<BackendReport>,
     pub(crate) gateways: u32,
     pub(crate) incarnations: Vec<ReplicaIncarnation>,
 }
 
-impl Handler<TakeLeaderNews> for ControlActor {
+impl Handler<ApplyLeaderUpdate> for ControlActor {
     type Result = ();
 
-    fn handle(&mut self, news: TakeLeaderNews, context: &mut Self::Context) {
-        let TakeLeaderNews {
+    fn handle(&mut self, update: ApplyLeaderUpdate, context: &mut Self::Context) {
+        let ApplyLeaderUpdate {
             report,
             gateways,
             incarnations,
-        } = news;
-        self.take(Input::LeaderNews { report, gateways }, context);
+        } = update;
+        self.handle_input(Input::LeaderUpdate { report, gateways }, context);
         if !incarnations.is_empty() {
-            self.take(Input::LeaderIncarnations(incarnations), context);
+            self.handle_input(Input::LeaderIncarnations(incarnations), context);
         }
     }
 }
 
-/// The platform's list as it was just read.
+/// Applies the platform's list of replicas, as it was just read.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct TakeBackends {
+pub(crate) struct ApplyBackendList {
     pub(crate) list: BackendList,
-    /// Time since the reading began.
+    /// Time since the read began.
     pub(crate) age: Duration,
 }
 
-impl Handler<TakeBackends> for ControlActor {
+impl Handler<ApplyBackendList> for ControlActor {
     type Result = ();
 
-    fn handle(&mut self, taken: TakeBackends, context: &mut Self::Context) {
-        let TakeBackends { list, age } = taken;
-        self.take(Input::Backends { list, age }, context);
+    fn handle(&mut self, update: ApplyBackendList, context: &mut Self::Context) {
+        let ApplyBackendList { list, age } = update;
+        self.handle_input(Input::Backends { list, age }, context);
     }
 }
--- a/crates/control-server/src/list.rs
+++ b/crates/control-server/src/list.rs
@@ -1,9 +1,9 @@
-//! Reads the platform's list of replicas, at the member that leads, or at each of them in turn
-//! while none hears a leader.
+//! Reads the platform's list of replicas. The leader reads it for all. A member whose copy is stale,
+//! because no list of a leader arrives, reads it too; the members share a limit of the read rate.
 
-use crate::actor::{ControlActor, TakeBackends, now};
-use crate::looks::{FleetLook, LookAtFleet};
+use crate::actor::{ApplyBackendList, ControlActor, now};
 use crate::metrics::MemberMetrics;
+use crate::queries::{FleetStatus, GetFleetStatus};
 use actix::Addr;
 use luglink_edge::Dialect;
 use luglink_fleet::{ListReadLimits, ListReadSchedule, ListReader};
@@ -12,22 +12,22 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest time for one reading of a page; a list may have many.
-const READ_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout for one page of the list, which may have many pages.
+const PAGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Time between looks whether to read.
+/// Interval of the checks whether a read is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How the list is read.
+/// Source of the list and limits for reading it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PollConfig {
-    /// Where the platform serves it.
+    /// Address at which the platform serves the list.
     pub(crate) address: SocketAddr,
-    /// How often.
-    pub(crate) rates: ListReadLimits,
+    /// Limits of the read rate.
+    pub(crate) limits: ListReadLimits,
 }
 
-/// Reads the list for one member.
+/// Reader of the list for one member.
 #[derive(Debug)]
 pub(crate) struct Poller {
     pub(crate) control: Addr<ControlActor>,
@@ -36,71 +36,73 @@
     pub(crate) config: PollConfig,
 }
 
-/// Reads the list again and again, whenever it is this member's turn.
+/// Reads the list whenever a read by this member is due.
 pub(crate) async fn poll(poller: Poller) {
     let mut client = ListClient::new(poller.config.address);
-    let mut reading = ListReadSchedule::new(poller.config.rates);
-    let mut is_lost = false;
+    let mut schedule = ListReadSchedule::new(poller.config.limits);
+    let mut is_failing = false;
     loop {
         actix_rt::time::sleep(CHECK_INTERVAL).await;
-        let Ok(look) = poller.control.send(LookAtFleet).await else {
+        let Ok(status) = poller.control.send(GetFleetStatus).await else {
             return;
         };
-        poller.show_state(&look);
-        let reader = match look.leads_configuration {
+        poller.update_gauges(&status);
+        let reader = match status.leads_configuration {
             true => ListReader::Leader,
-            false => ListReader::Member(look.members),
+            false => ListReader::Member(status.members),
         };
-        reading.expect_replicas(look.replicas);
-        if !reading.is_due(reader, look.list_age, now(), rand::random()) {
+        schedule.expect_replicas(status.replicas);
+        if !schedule.is_due(reader, status.list_age, now(), rand::random()) {
             continue;
         }
-        let at_refusal = match reader {
+        let rate_limit_policy = match reader {
             ListReader::Leader => RateLimitPolicy::Wait,
             _ => RateLimitPolicy::GiveUp,
         };
         let began = now();
         let started = Instant::now();
-        let fetched = client.fetch(&*poller.dialect, READ_LIMIT, at_refusal);
+        let fetched = client.fetch(&*poller.dialect, PAGE_TIMEOUT, rate_limit_policy);
         match fetched.await {
             Ok(fetched) => {
-                reading.succeeded(fetched.pages, began, rand::random());
-                if is_lost {
+                schedule.succeeded(fetched.pages, began, rand::random());
+                if is_failing {
                     let replicas = fetched.list.len();
-                    tracing::info!(replicas, "list of replicas regained");
+                    tracing::info!(replicas, "reading the list of replicas succeeded again");
                 }
-                is_lost = false;
+                is_failing = false;
                 poller.count("read");
                 let skipped_entries = u64::from(fetched.skipped_entries);
                 poller.metrics.skipped_entries.inc_by(skipped_entries);
-                poller.control.do_send(TakeBackends {
+                poller.control.do_send(ApplyBackendList {
                     list: fetched.list,
                     age: started.elapsed(),
                 });
             }
             Err(error) => {
-                reading.failed(error.is_rate_limited(), began, rand::random());
+                schedule.failed(error.is_rate_limited(), began, rand::random());
                 poller.count("failed");
-                if !is_lost {
-                    tracing::warn!(%error, ?reader, "list of replicas lost");
+                if !is_failing {
+                    tracing::warn!(%error, ?reader, "cannot read the list of replicas");
                 }
-                is_lost = true;
+                is_failing = true;
             }
         }
     }
 }
 
 impl Poller {
-    fn count(&self, end: &str) {
-        self.metrics.list_reads.with_label_values(&[end]).inc();
+    fn count(&self, outcome: &str) {
+        self.metrics.list_reads.with_label_values(&[outcome]).inc();
     }
 
-    fn show_state(&self, look: &FleetLook) {
-        self.metrics.leads.set(f64::from(u8::from(look.leads)));
-        if let Some(age) = look.list_age {
+    fn update_gauges(&self, status: &FleetStatus) {
+        self.metrics
+            .leads
+            .set(f64::from(u8::from(status.is_fresh_leader)));
+        if let Some(age) = status.list_age {
             self.metrics.list_age.set(age.as_secs_f64());
         }
-        self.metrics.version.set(look.document_version as f64);
-        self.metrics.gateways.set(f64::from(look.ready_gateways));
+        self.metrics.version.set(status.document_version as f64);
+        self.metrics.gateways.set(f64::from(status.ready_gateways));
     }
 }
--- a/crates/control-server/src/operator.rs
+++ b/crates/control-server/src/operator.rs
@@ -1,8 +1,8 @@
-//! The operator's calls: the configuration as one document, and turn stores that are to go.
+//! Operator API: the configuration as one document, and the retirement of turn stores.
 
-use crate::actor::{ControlActor, OwnRequest};
-use crate::looks::LookAtFleet;
+use crate::actor::{ControlActor, LocalRequest};
 use crate::metrics::MemberMetrics;
+use crate::queries::GetFleetStatus;
 use crate::resolution::json;
 use actix::Addr;
 use http::{HeaderValue, Request, Response, StatusCode, header};
@@ -18,30 +18,32 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Longest body of a call, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Time after which a call that consensus has not decided gets an unclear answer.
-const DECISION_LIMIT: Duration = Duration::from_millis(1_500);
+/// Time after which a call without a decision by consensus fails with an unknown outcome.
+const DECISION_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Answers operators.
+/// Handler of the operator API.
 #[derive(Clone, Debug)]
 pub(crate) struct OperatorService {
     pub(crate) control: Addr<ControlActor>,
     pub(crate) dialect: Rc<dyn Dialect>,
-    /// Port of the operators' calls at every member.
+    /// Port of the operator API at every member, for redirects.
     pub(crate) port: u16,
     pub(crate) metrics: MemberMetrics,
 }
 
-/// Why a call has no result here.
-enum Elsewhere {
-    Leader(MemberId),
-    Nobody(&'static str),
+/// Cause for which a call has no result.
+enum CallFailure {
+    /// Another member leads.
+    NotLeader(MemberId),
+    /// The call cannot be served now.
+    Unavailable(&'static str),
 }
 
 impl OperatorService {
-    /// Answers a call.
+    /// Handles, counts and logs a call.
     pub(crate) async fn handle(self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
         let began = Instant::now();
         let (head, incoming) = request.into_parts();
@@ -74,12 +76,14 @@
         };
         match result {
             Ok(response) => response,
-            Err(Elsewhere::Leader(leader)) => self.redirect(leader, path),
-            Err(Elsewhere::Nobody(detail)) => self.problem(StatusCode::SERVICE_UNAVAILABLE, detail),
+            Err(CallFailure::NotLeader(leader)) => self.redirect(leader, path),
+            Err(CallFailure::Unavailable(detail)) => {
+                self.problem(StatusCode::SERVICE_UNAVAILABLE, detail)
+            }
         }
     }
 
-    async fn put(&self, incoming: Incoming) -> Result<Response<Body>, Elsewhere> {
+    async fn put(&self, incoming: Incoming) -> Result<Response<Body>, CallFailure> {
         let Ok(body) = Limited::new(incoming, MAX_BODY_BYTES).collect().await else {
             return Ok(self.problem(StatusCode::BAD_REQUEST, "the body is not whole"));
         };
@@ -94,32 +98,38 @@
             return Ok(self.invalid(&lines.join("; ")));
         }
         let version = configuration.version;
-        let look = self.control.send(LookAtFleet).await;
-        // What a member has applied was committed, so an overtaken document needs no entry.
-        let is_overtaken = look.is_ok_and(|look| look.leads && look.document_version >= version);
-        if !is_overtaken {
+        let status = self.control.send(GetFleetStatus).await;
+        // The version that a member has applied is committed, so a document that does not exceed it
+        // needs no log entry.
+        let is_superseded =
+            status.is_ok_and(|status| status.is_fresh_leader && status.document_version >= version);
+        if !is_superseded {
             let document = VersionedDocument {
                 version,
                 content: content.to_vec(),
             };
             match self.ask(ControlRequest::PutDocument(document)).await? {
                 ControlResponse::DocumentHeld { version: held } => {
-                    tracing::info!(version, held, "configuration taken");
+                    tracing::info!(version, held, "configuration document stored");
+                }
+                _ => {
+                    return Err(CallFailure::Unavailable(
+                        "the answer does not belong to the call",
+                    ));
                 }
-                _ => return Err(Elsewhere::Nobody("the answer does not belong to the call")),
             }
         }
         Ok(json(StatusCode::OK, b"{}".to_vec()))
     }
 
-    async fn get(&self) -> Result<Response<Body>, Elsewhere> {
+    async fn get(&self) -> Result<Response<Body>, CallFailure> {
         match self.ask(ControlRequest::ReadDocument).await? {
             ControlResponse::Document(Some(document)) => Ok(json(StatusCode::OK, document.content)),
-            _ => Err(Elsewhere::Nobody("there is no configuration yet")),
+            _ => Err(CallFailure::Unavailable("there is no configuration yet")),
         }
     }
 
-    async fn retire(&self, name: StoreName) -> Result<Response<Body>, Elsewhere> {
+    async fn retire(&self, name: StoreName) -> Result<Response<Body>, CallFailure> {
         let answer = self.ask(ControlRequest::Retire(name)).await?;
         Ok(match answer {
             ControlResponse::Retirement(RetireResponse::State(state)) => self.state(state),
@@ -130,7 +140,7 @@
         })
     }
 
-    async fn retirement(&self, name: StoreName) -> Result<Response<Body>, Elsewhere> {
+    async fn retirement(&self, name: StoreName) -> Result<Response<Body>, CallFailure> {
         let answer = self.ask(ControlRequest::ReadRetirement(name)).await?;
         Ok(match answer {
             ControlResponse::Retirement(RetireResponse::State(state)) => self.state(state),
@@ -138,22 +148,26 @@
         })
     }
 
-    async fn ask(&self, request: ControlRequest) -> Result<ControlResponse, Elsewhere> {
+    async fn ask(&self, request: ControlRequest) -> Result<ControlResponse, CallFailure> {
         let (answer, waiting) = oneshot::channel();
         self.control
-            .try_send(OwnRequest { request, answer })
-            .map_err(|_| Elsewhere::Nobody("this member is overloaded"))?;
-        let response = actix_rt::time::timeout(DECISION_LIMIT, waiting)
+            .try_send(LocalRequest { request, answer })
+            .map_err(|_| CallFailure::Unavailable("this member is overloaded"))?;
+        let response = actix_rt::time::timeout(DECISION_TIMEOUT, waiting)
             .await
-            .map_err(|_| Elsewhere::Nobody("no quorum answered in time"))?
-            .map_err(|_| Elsewhere::Nobody("this member is stopping"))?;
+            .map_err(|_| CallFailure::Unavailable("no quorum answered in time"))?
+            .map_err(|_| CallFailure::Unavailable("this member is stopping"))?;
         match response {
             ControlResponse::NotLeader {
                 leader: Some(leader),
                 ..
-            } => Err(Elsewhere::Leader(leader)),
-            ControlResponse::NotLeader { .. } => Err(Elsewhere::Nobody("no leader is known")),
-            ControlResponse::Unavailable { .. } => Err(Elsewhere::Nobody("not available now")),
+            } => Err(CallFailure::NotLeader(leader)),
+            ControlResponse::NotLeader { .. } => {
+                Err(CallFailure::Unavailable("no leader is known"))
+            }
+            ControlResponse::Unavailable { .. } => {
+                Err(CallFailure::Unavailable("not available now"))
+            }
             answer => Ok(answer),
         }
     }
@@ -172,7 +186,7 @@
     }
 
     fn invalid(&self, detail: &str) -> Response<Body> {
-        tracing::info!(detail, "invalid configuration");
+        tracing::info!(detail, "rejected an invalid configuration document");
         json(StatusCode::BAD_REQUEST, self.dialect.problem(detail))
     }
 
--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -1,11 +1,11 @@
-//! The member itself: takes inputs, drives its groups, gives out work.
+//! The control member: handles inputs, drives its groups and returns outputs.
 
 use crate::config::ControlConfig;
 use crate::errors::ControlError;
-use crate::fleet::FleetDesk;
+use crate::fleet::FleetState;
 use crate::group::Group;
 use crate::identity::Identity;
-use crate::machine::{CONFIGURATION_GROUP, LoggedCommand, Machine, decode, encode};
+use crate::machine::{CONFIGURATION_GROUP, LoggedCommand, StateMachine, decode, encode};
 use crate::parts::{RequestParts, ResponseParts};
 use crate::placement::initial_membership;
 use crate::protocol::{Fence, MemberStatus, ReleaseOrder, Request, RequestToken, Response};
@@ -20,91 +20,91 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Gives each group of a member its own seed.
+/// Multiplier that derives a distinct seed for each group from the seed of the member.
 const SEED_MIX: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Something that happened.
+/// An event that the member handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message of another member.
+    /// A consensus message of another member.
     Peer {
-        /// The group it is about.
+        /// The group that the message belongs to.
         group: GroupId,
         /// The message.
         envelope: Box<Envelope>,
     },
     /// A request of a client.
     Request {
-        /// To be given back with the response.
+        /// Token that the response carries.
         token: RequestToken,
         /// The request.
         request: Box<Request>,
     },
-    /// A request of a client that a newer build has added to.
+    /// A request of a client, with optional parts.
     ExtendedRequest {
-        /// To be given back with the response.
+        /// Token that the response carries.
         token: RequestToken,
         /// The request.
         request: Box<Request>,
-        /// What follows it.
+        /// Optional parts of the request.
         parts: Box<RequestParts>,
     },
     /// The platform's list of backends, as this member has just read it.
     Backends {
         /// The list.
         list: BackendList,
-        /// Time since the reading began.
+        /// Time since the read began.
         age: Duration,
     },
-    /// What the leader tells of the list of backends and of the number of gateways.
-    LeaderNews {
-        /// The list, when there is a newer one.
+    /// Update that the leader sent to this member.
+    LeaderUpdate {
+        /// Report of the list of backends, if the leader sent one.
         report: Option<BackendReport>,
-        /// The number of gateways; 0 while it is not known.
+        /// Number of ready gateways in the fleet; 0 if unknown.
         gateways: u32,
     },
-    /// Incarnations of replicas that the leader knows.
+    /// Incarnations of replicas, as the leader knows them.
     LeaderIncarnations(Vec<ReplicaIncarnation>),
-    /// A client is gone; what it waits for need not be answered.
-    ClientGone {
+    /// A client has disconnected; its open requests need no response.
+    ClientDisconnected {
         /// The client.
         client: u64,
     },
 }
 
-/// Something to do.
+/// An action that the caller must execute.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Send a message to another member.
+    /// Send a consensus message to another member.
     Peer {
-        /// The group it is about.
+        /// The group that the message belongs to.
         group: GroupId,
-        /// The message; its receiver is in it.
+        /// The message, including its receiver.
         envelope: Box<Envelope>,
     },
     /// Answer a request.
     Reply {
-        /// The request.
+        /// Token of the request.
         token: RequestToken,
         /// The response.
         response: Box<Response>,
-        /// What follows it.
+        /// Optional parts of the response.
         parts: Box<ResponseParts>,
     },
-    /// Order an engine to give up memory, until it confirms.
+    /// Send a release order to an engine. It is issued again until the engine confirms it.
     Release(ReleaseOrder),
 }
 
-/// Who leads the configuration group, and who belongs to it.
+/// Leader and size of the configuration group, as one member knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Leadership {
-    /// The term.
+    /// Current term.
     pub term: u64,
-    /// Its leader, when one is known.
+    /// Leader of the term, if known.
     pub leader: Option<Peer>,
-    /// Members whose votes count.
+    /// Number of voters.
     pub voters: usize,
-    /// Members that only receive.
+    /// Number of learners, which replicate the log without a vote.
     pub learners: usize,
 }
 
@@ -114,23 +114,26 @@
     pub(crate) config: ControlConfig,
     pub(crate) identity: Identity,
     pub(crate) groups: BTreeMap<GroupId, Group>,
-    pub(crate) desk: FleetDesk,
-    /// When this member began to lead the configuration group, while it does.
+    pub(crate) fleet: FleetState,
+    /// Time since which this member leads the configuration group; `None` if it does not.
     pub(crate) leads_since: Option<Timestamp>,
     pub(crate) store: MemberStore<D>,
     pub(crate) watches: Vec<Watch>,
     pub(crate) outputs: Vec<Output>,
     pub(crate) now: Timestamp,
     housekeeping_due: Timestamp,
-    pub(crate) configuration_heard_at: Timestamp,
+    /// Time of the last message of the configuration group's leader at which this member had
+    /// committed everything that the leader had.
+    pub(crate) configuration_confirmed_at: Timestamp,
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// Starts a member from its disk. `seed` drives election timeouts and, for a storage that
-    /// joins a running cluster, its incarnation: it must not repeat between starts.
+    /// Starts a member from its disk. `seed` randomizes the election timeouts and becomes the
+    /// incarnation of a storage that joins a running cluster. It must differ between starts.
     ///
     /// # Errors
-    /// The settings cannot work, or the disk is damaged, full, read-only or another member's.
+    /// Fails if the configuration is invalid, or if the disk is damaged, full, read-only or belongs
+    /// to another member.
     pub fn start(
         config: ControlConfig,
         mut disk: D,
@@ -152,34 +155,34 @@
             config,
             identity,
             groups,
-            desk: FleetDesk::default(),
+            fleet: FleetState::default(),
             leads_since: None,
             store,
             watches: Vec::new(),
             outputs: Vec::new(),
             now,
             housekeeping_due: now,
-            configuration_heard_at: Timestamp::ZERO,
+            configuration_confirmed_at: Timestamp::ZERO,
         })
     }
 
-    /// Who this member is.
+    /// Returns the id and the incarnation of this member.
     #[must_use]
     pub fn peer(&self) -> Peer {
         self.identity.peer
     }
 
-    /// The group that holds a program.
+    /// Returns the group that holds a program.
     #[must_use]
     pub fn group_of(&self, program: ProgramId) -> GroupId {
         program.group(self.config.program_groups)
     }
 
-    /// Takes an input. Its consequences come out of the next [`ControlNode::flush`], together
-    /// with those of other inputs and under one sync.
+    /// Handles an input. The next [`ControlNode::flush`] persists the effects of all inputs since
+    /// the last one with one sync, and returns the outputs.
     ///
     /// # Errors
-    /// A command cannot be encoded.
+    /// Fails if a command cannot be encoded.
     pub fn handle(&mut self, input: Input, now: Timestamp) -> Result<(), ControlError> {
         self.now = self.now.max(now);
         match input {
@@ -198,34 +201,34 @@
             Input::Backends { list, age } => {
                 let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
                 let seen = Timestamp::from_micros(self.now.as_micros().saturating_sub(age));
-                self.desk.list.replace(list, seen);
+                self.fleet.list.replace(list, seen);
                 Ok(())
             }
-            Input::LeaderNews { report, gateways } => {
+            Input::LeaderUpdate { report, gateways } => {
                 if let Some(report) = report {
-                    self.desk.list.follow(report, self.now);
+                    self.fleet.list.follow(report, self.now);
                 }
                 if gateways > 0 {
-                    self.desk.gateways = gateways;
+                    self.fleet.gateway_count = gateways;
                 }
                 Ok(())
             }
             Input::LeaderIncarnations(incarnations) => {
-                self.desk.list.merge_incarnations(&incarnations);
+                self.fleet.list.merge_incarnations(&incarnations);
                 Ok(())
             }
-            Input::ClientGone { client } => {
+            Input::ClientDisconnected { client } => {
                 self.watches.retain(|watch| watch.token.client != client);
-                self.desk.observers.forget_client(client);
+                self.fleet.observers.forget_client(client);
                 Ok(())
             }
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time and runs the timers that are due.
     ///
     /// # Errors
-    /// A command cannot be encoded.
+    /// Fails if a command cannot be encoded.
     pub fn tick(&mut self, now: Timestamp) -> Result<(), ControlError> {
         self.now = self.now.max(now);
         for group in self.groups.values_mut() {
@@ -236,45 +239,46 @@
         self.expire_watches();
         if self.now >= self.housekeeping_due {
             self.housekeeping_due = self.now.plus(self.config.housekeeping_interval);
-            self.keep_house()?;
-            self.keep_fleet()?;
+            self.run_housekeeping()?;
+            self.maintain_fleet()?;
         }
         Ok(())
     }
 
-    /// When [`ControlNode::tick`] next has something to do.
+    /// Returns the time at which [`ControlNode::tick`] next has a timer to run.
     #[must_use]
     pub fn next_deadline(&self) -> Timestamp {
         let groups = self.groups.values().map(|group| group.raft.next_deadline());
-        let watches = self.watches.iter().map(|watch| watch.until);
+        let watches = self.watches.iter().map(|watch| watch.deadline);
         groups
             .chain(watches)
-            .chain(self.desk.observers.next_deadline())
+            .chain(self.fleet.observers.next_deadline())
             .chain([self.housekeeping_due])
             .min()
             .unwrap_or(self.now)
     }
 
-    /// Makes everything durable that must be, and gives out the work.
+    /// Persists pending entries and returns the outputs.
     ///
     /// # Errors
-    /// The disk failed: the member must stop, because nobody can tell what is durable.
+    /// Fails if the disk fails. The member must stop then, because it is unknown which writes are
+    /// durable.
     pub fn flush(&mut self) -> Result<Vec<Output>, ControlError> {
-        // Persisting may commit entries of a group with a single voter, which gives more work.
+        // In a group with a single voter, persisting commits entries, which produces further work.
         while self.flush_once()? {}
-        self.note_leadership();
+        self.update_leads_since();
         self.answer_watches();
         self.answer_observers();
         Ok(std::mem::take(&mut self.outputs))
     }
 
-    /// How this member is.
+    /// Returns the status of this member and of its groups.
     #[must_use]
     pub fn status(&self) -> MemberStatus {
         let stores = || {
             self.groups
                 .values()
-                .filter_map(|group| group.machine.programs())
+                .filter_map(|group| group.state_machine.programs())
         };
         let led = self.groups.values().filter(|group| group.raft.is_leader());
         MemberStatus {
@@ -287,30 +291,31 @@
         }
     }
 
-    /// Revision of the configuration that this member has applied.
+    /// Returns the revision of the configuration that this member has applied.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.configuration()
-            .and_then(|group| group.machine.configuration())
+            .and_then(|group| group.state_machine.configuration())
             .map_or_else(
                 Revision::default,
                 luglink_resources::ResourceStore::revision,
             )
     }
 
-    /// The programs of one group, for checks.
+    /// Returns the programs of one group, for checks in tests.
     #[must_use]
     pub fn programs(&self, group: GroupId) -> Option<&luglink_program::ProgramStore> {
-        self.groups.get(&group)?.machine.programs()
+        self.groups.get(&group)?.state_machine.programs()
     }
 
-    /// The configuration after `known` as this member has applied it, for checks.
+    /// Returns the changes of the configuration after `known` that this member has applied, for
+    /// checks in tests.
     #[must_use]
     pub fn configuration_after(&self, known: Revision) -> CatchUp {
         self.catch_up(known)
     }
 
-    /// Whether this member leads a group.
+    /// Returns true if this member leads the group.
     #[must_use]
     pub fn leads(&self, group: GroupId) -> bool {
         self.groups
@@ -318,7 +323,7 @@
             .is_some_and(|group| group.raft.is_leader())
     }
 
-    /// Who leads the configuration group as far as this member knows.
+    /// Returns leader and size of the configuration group, as this member knows them.
     #[must_use]
     pub fn leadership(&self) -> Leadership {
         let Some(group) = self.configuration() else {
@@ -332,23 +337,23 @@
         }
     }
 
-    /// Syncs of the log so far.
+    /// Returns the number of syncs of the log so far.
     #[must_use]
     pub fn syncs(&self) -> u64 {
         self.store.syncs()
     }
 
-    /// The disk, for bringing faults about.
+    /// Returns the disk, for fault injection.
     pub fn disk_mut(&mut self) -> &mut D {
         self.store.disk_mut()
     }
 
-    /// Gives the disk back, as a crash leaves it.
+    /// Consumes the member and returns its disk, as after a crash.
     pub fn into_disk(self) -> D {
         self.store.into_disk()
     }
 
-    fn note_leadership(&mut self) {
+    fn update_leads_since(&mut self) {
         if !self.leads(CONFIGURATION_GROUP) {
             self.leads_since = None;
         } else if self.leads_since.is_none() {
@@ -370,11 +375,12 @@
             return;
         };
         member_group.raft.step(envelope, now);
-        // Hearing the leader is not enough: a member whose log lags has old news to give.
+        // A message of the leader alone is not enough: a member whose log lags would serve stale
+        // state.
         let is_current =
             leader_commit.is_some_and(|commit| member_group.raft.commit_index() >= commit);
         if group == CONFIGURATION_GROUP && is_current {
-            self.configuration_heard_at = now;
+            self.configuration_confirmed_at = now;
         }
     }
 
@@ -405,7 +411,7 @@
                 Some(self.change_membership(group, change))
             }
             Request::TransferLeadership => {
-                self.hand_over();
+                self.transfer_all_leadership();
                 Some(Response::Done)
             }
             Request::PutDocument(document) => {
@@ -413,12 +419,12 @@
                 self.propose(CONFIGURATION_GROUP, command, Some(token))
             }
             Request::ReadDocument => self.read(CONFIGURATION_GROUP, Request::ReadDocument, token),
-            Request::Observe(observation) => {
-                self.on_observe(token, *observation, parts);
+            Request::Observe(observer_request) => {
+                self.on_observe(token, *observer_request, parts);
                 None
             }
-            Request::HearGateways(words) => {
-                self.on_words(words, parts.member_stats);
+            Request::RelayGatewayPresences(presences) => {
+                self.on_relayed_presences(presences, parts.member_stats);
                 Some(Response::Done)
             }
             Request::Join(peer) => Some(self.on_join(peer)),
@@ -492,9 +498,9 @@
         }
     }
 
-    /// Hands leadership of every group to the voter that was heard from last, before others to one
-    /// whose machine is not to be taken away.
-    fn hand_over(&mut self) {
+    /// Transfers leadership of every group to the voter that was heard from last. Voters on
+    /// machines that are being taken out of service are only used if there is no other.
+    fn transfer_all_leadership(&mut self) {
         let now = self.now;
         let leaving = self.leaving_members();
         for group in self
@@ -505,20 +511,21 @@
             let stays = |peer: Peer| !leaving.contains(&peer.member);
             let successor = group.raft.successor(stays);
             if let Some(successor) = successor.or_else(|| group.raft.successor(|_| true)) {
-                // A refusal means that leadership is already being handed over.
+                // Fails only while a transfer of leadership is already in progress.
                 let _ = group.raft.transfer_leadership(successor, now);
             }
         }
     }
 
-    fn keep_house(&mut self) -> Result<(), ControlError> {
+    /// Expires overdue programs and issues release orders, in the groups that this member leads.
+    fn run_housekeeping(&mut self) -> Result<(), ControlError> {
         let now = self.now;
         let overdue: Vec<GroupId> = self
             .groups
             .values()
             .filter(|group| group.raft.is_leader())
             .filter(|group| {
-                let programs = group.machine.programs();
+                let programs = group.state_machine.programs();
                 programs.is_some_and(|store| store.has_overdue(now))
             })
             .map(|group| group.id)
@@ -531,7 +538,7 @@
         Ok(())
     }
 
-    /// Repeats every release order that no engine has confirmed yet.
+    /// Issues every release order that its engine has not confirmed yet.
     fn order_releases(&mut self) {
         let mut orders = Vec::new();
         let addresses = self.engine_addresses();
@@ -563,7 +570,7 @@
     fn engine_addresses(&self) -> BTreeMap<EngineId, String> {
         let resources = self
             .configuration()
-            .and_then(|group| group.machine.configuration())
+            .and_then(|group| group.state_machine.configuration())
             .map(|store| store.resources().values());
         let pools = resources
             .into_iter()
@@ -578,6 +585,7 @@
             .collect()
     }
 
+    /// Answers the pending commands of all groups that this member no longer leads.
     pub(crate) fn abandon_pending(&mut self) {
         let answers: Vec<(RequestToken, Response)> = self
             .groups
@@ -619,12 +627,12 @@
     if untouched && identity.bootstrapped {
         state.snapshot.membership = initial_membership(config, &identity.founders, id);
     }
-    let machine = if state.snapshot.state.is_empty() {
-        Machine::new(id, config.refund)
+    let state_machine = if state.snapshot.state.is_empty() {
+        StateMachine::new(id, config.refund)
     } else {
         decode("a snapshot's state", &state.snapshot.state)?
     };
     let group_seed = seed ^ u64::from(id.0 + 1).wrapping_mul(SEED_MIX);
     let raft = RaftNode::new(identity.peer, config.raft.clone(), state, group_seed, now);
-    Ok(Group::new(id, raft, machine))
+    Ok(Group::new(id, raft, state_machine))
 }
--- a/crates/control/src/persistence.rs
+++ b/crates/control/src/persistence.rs
@@ -1,4 +1,5 @@
-//! From consensus to disk and back: what a member makes durable, sends and applies.
+//! Processes the pending work of consensus: persists entries, sends messages, applies committed
+//! entries.
 
 use crate::errors::ControlError;
 use crate::machine::encode;
@@ -9,6 +10,7 @@
 use luglink_types::GroupId;
 
 impl<D: Disk> ControlNode<D> {
+    /// Processes the pending work of all groups. Returns false if there was none.
     pub(crate) fn flush_once(&mut self) -> Result<bool, ControlError> {
         let mut work: Vec<(GroupId, Ready)> = Vec::new();
         for (id, group) in &mut self.groups {
@@ -33,7 +35,7 @@
         Ok(true)
     }
 
-    /// Makes the work of all groups durable with one sync.
+    /// Persists the hard states and entries of all groups with one sync.
     fn persist(&mut self, work: &[(GroupId, Ready)]) -> Result<(), ControlError> {
         let mut records = Vec::new();
         for (group, ready) in work {
@@ -73,7 +75,8 @@
         self.snapshot_if_due(id, ready.committed.last().map(|entry| entry.index))
     }
 
-    /// Writes the group's state as a snapshot once the log has grown long.
+    /// Writes a snapshot of the group's state and compacts its log, if the log has reached
+    /// `snapshot_entries`.
     fn snapshot_if_due(
         &mut self,
         id: GroupId,
@@ -92,7 +95,7 @@
             index,
             term: group.raft.log().term_at(index).unwrap_or(0),
             membership: group.raft.log().membership_at(index).clone(),
-            state: encode("a group's state", &group.machine)?,
+            state: encode("a group's state", &group.state_machine)?,
         };
         self.store.save_snapshot(id, &snapshot)?;
         group.raft.compact(index);
@@ -104,7 +107,7 @@
             if let Message::InstallSnapshot { snapshot } = &mut envelope.message {
                 match self.store.read_snapshot(group)? {
                     Some(stored) => *snapshot = stored,
-                    // Nothing to send yet: the follower is offered the entries instead.
+                    // No snapshot is stored yet; the follower is sent the entries instead.
                     None if snapshot.index > 0 => continue,
                     None => {}
                 }
--- a/crates/gateway-server/src/exchange.rs
+++ b/crates/gateway-server/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request sent to one replica.
+//! A single send of a request to a replica, up to the head of the response.
 
 use crate::failure::Failure;
 use crate::gateway::Gateway;
@@ -14,33 +14,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Share of a replica's connections that gateways use together. The rest is for those that
-/// count fewer gateways than there are.
-const CONNECTION_SHARE: f64 = 0.85;
+/// Fraction of a replica's connection limit that all gateways share. The rest is a margin for
+/// gateways that know of fewer gateways than exist.
+const CONNECTION_RATIO: f64 = 0.85;
 
-/// Fewest connections to a replica that a gateway may have.
+/// Lower bound of one gateway's connection limit per replica.
 const MIN_CONNECTIONS: u32 = 2;
 
-/// Longest wait for a free connection to one replica, before another one is tried.
-const CONNECTION_PATIENCE: Duration = Duration::from_millis(50);
+/// Minimum timeout for acquiring a connection, after which another replica is tried. The timeout
+/// is an eighth of the request's remaining time if that is longer, and never exceeds the remaining
+/// time.
+const MIN_CONNECTION_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Times that a request is sent anew because a kept connection was closed before it.
-const MAX_REUSES: u32 = 4;
+/// Maximum number of connections tried when reused ones turn out to be closed.
+const MAX_CONNECTION_ATTEMPTS: u32 = 4;
 
-/// Wait for the head of an answer after which, and between which, a replica is suspected. Heads
-/// come at the first token at the latest, within tens of milliseconds on a replica that is well.
-const SUSPICION_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a replica that has not sent the response head is reported to the pool as
+/// stalled. A healthy replica sends the head with the first token at the latest, within tens of
+/// milliseconds.
+const STALL_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Times that one request makes its replica suspected at the most.
-const MAX_SUSPICIONS: u32 = 4;
+/// Maximum number of stall reports per send on one connection.
+const MAX_STALL_REPORTS: u32 = 4;
 
-/// Counts a request at a replica while it is there.
-pub(crate) struct AtReplica {
+/// Guard that counts a request as in flight at a replica until the guard is dropped.
+pub(crate) struct ReplicaGuard {
     gateway: Rc<Gateway>,
     id: BackendId,
 }
 
-impl AtReplica {
+impl ReplicaGuard {
     pub(crate) fn begin(gateway: &Rc<Gateway>, id: &BackendId) -> Self {
         gateway.pool.borrow_mut().begin(id);
         Self {
@@ -50,39 +53,39 @@
     }
 }
 
-impl Drop for AtReplica {
+impl Drop for ReplicaGuard {
     fn drop(&mut self) {
         self.gateway.pool.borrow_mut().end(&self.id);
     }
 }
 
-/// An answer whose head has arrived.
+/// Response of a replica whose head has arrived and whose body has not been read.
 pub(crate) struct Answer {
     pub(crate) response: Response<Incoming>,
     pub(crate) lease: Lease,
     pub(crate) backend: Backend,
-    pub(crate) at_replica: AtReplica,
+    pub(crate) replica_guard: ReplicaGuard,
 }
 
-/// What is sent besides the caller's request.
+/// Differences between the request that is sent and the caller's request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Extra {
-    /// Body in place of the caller's.
+pub(crate) struct SendOverrides {
+    /// Body to send in place of the caller's.
     pub(crate) body: Option<Bytes>,
-    /// Last event that the caller has.
+    /// Identifier of the last event passed on to the caller, after which the replica resumes.
     pub(crate) last_event_id: Option<String>,
 }
 
-/// Sends a request to a replica and waits for the head of its answer.
+/// Sends a request to a replica and waits for the head of its response.
 pub(crate) async fn send(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
     backend: &Backend,
-    extra: &Extra,
+    overrides: &SendOverrides,
 ) -> Result<Answer, Failure> {
-    let at_replica = AtReplica::begin(gateway, &backend.id);
+    let replica_guard = ReplicaGuard::begin(gateway, &backend.id);
     inbound.watch.note_sent(&backend.id);
-    let result = send_on_some_connection(gateway, inbound, backend, extra).await;
+    let result = send_with_reconnect(gateway, inbound, backend, overrides).await;
     let end = match &result {
         Ok(_) => "answered",
         Err(failure) => failure.as_str(),
@@ -94,18 +97,22 @@
         response,
         lease,
         backend: backend.clone(),
-        at_replica,
+        replica_guard,
     })
 }
 
 fn note_failure(gateway: &Gateway, backend: &Backend, failure: Failure) {
-    // A full replica is not a broken one; it is only passed over by this request.
+    // A replica without capacity is healthy; only this request skips it.
     if failure.is_full() || failure.outcome() == SendOutcome::Declined {
         return;
     }
     if gateway.pool.borrow().has_restarted(backend) {
         let reason = failure.as_str();
-        tracing::info!(replica = %backend.id, reason, "an earlier life of a replica failed");
+        tracing::info!(
+            replica = %backend.id,
+            reason,
+            "send failed at a replica that has restarted since"
+        );
         return;
     }
     let until = gateway.pool.borrow_mut().failed(&backend.id, gateway.now());
@@ -113,34 +120,34 @@
         replica = %backend.id,
         reason = failure.as_str(),
         paused_ms = until.map(|until| milliseconds(until.since(gateway.now()))),
-        "a replica failed"
+        "replica marked as failed"
     );
 }
 
-async fn send_on_some_connection(
+async fn send_with_reconnect(
     gateway: &Gateway,
     inbound: &InboundRequest,
     backend: &Backend,
-    extra: &Extra,
+    overrides: &SendOverrides,
 ) -> Result<(Response<Incoming>, Lease), Failure> {
     let limit = connection_limit(gateway, &inbound.service);
-    for _ in 0..MAX_REUSES {
-        let patience = inbound.remaining();
+    for _ in 0..MAX_CONNECTION_ATTEMPTS {
+        let remaining = inbound.remaining();
         let acquired = gateway
             .upstream
             .acquire(
                 backend,
                 limit,
-                patience.min(CONNECTION_PATIENCE.max(patience / 8)),
+                remaining.min(MIN_CONNECTION_TIMEOUT.max(remaining / 8)),
             )
             .await;
         let mut lease = acquired.map_err(|error| unreachable(&error))?;
-        let request = outgoing(gateway, inbound, backend, extra)?;
+        let request = build_request(gateway, inbound, backend, overrides)?;
         let was_reused = lease.is_reused;
-        let suspecting = suspect(gateway, backend);
-        let sending = send_on(&mut lease, inbound, request);
-        match unless_stuck(sending, suspecting).await {
-            Ok(response) => return judge_head(gateway, inbound, response, lease),
+        let stall_reports = report_stalls(gateway, backend);
+        let sending = send_on_connection(&mut lease, inbound, request);
+        match with_stall_reports(sending, stall_reports).await {
+            Ok(response) => return validate_head(gateway, inbound, response, lease),
             Err(failure) if failure.outcome() == SendOutcome::NotSent && was_reused => {}
             Err(failure) => return Err(failure),
         }
@@ -148,24 +155,24 @@
     Err(Failure::ConnectionsClosed)
 }
 
-/// Waits for an answer. Once that takes much too long, `suspecting` runs beside it.
-async fn unless_stuck<Answered>(
+/// Waits for `sending` while `stall_reports` runs concurrently.
+async fn with_stall_reports<Answered>(
     sending: impl Future<Output = Answered>,
-    suspecting: impl Future<Output = ()>,
+    stall_reports: impl Future<Output = ()>,
 ) -> Answered {
-    tokio::pin!(sending, suspecting);
+    tokio::pin!(sending, stall_reports);
     tokio::select! {
         biased;
         answered = &mut sending => answered,
-        () = &mut suspecting => sending.await,
+        () = &mut stall_reports => sending.await,
     }
 }
 
-/// Notes again and again that a replica keeps a request, so that others go elsewhere long before
-/// this one's time is over.
-async fn suspect(gateway: &Gateway, backend: &Backend) {
-    for _ in 0..MAX_SUSPICIONS {
-        actix_rt::time::sleep(SUSPICION_INTERVAL).await;
+/// Reports a stalled replica to the pool at every [`STALL_REPORT_INTERVAL`] without a response
+/// head, so that other requests avoid it long before this one reaches its deadline.
+async fn report_stalls(gateway: &Gateway, backend: &Backend) {
+    for _ in 0..MAX_STALL_REPORTS {
+        actix_rt::time::sleep(STALL_REPORT_INTERVAL).await;
         if gateway.pool.borrow().has_restarted(backend) {
             return;
         }
@@ -177,22 +184,22 @@
 fn unreachable(error: &AcquireError) -> Failure {
     match error {
         AcquireError::Unreachable { source } => {
-            tracing::debug!(error = %source, "a replica cannot be reached");
+            tracing::debug!(error = %source, "connecting to a replica failed");
             Failure::Unreachable
         }
-        AcquireError::Busy => Failure::NoFreeConnection,
+        AcquireError::LimitReached => Failure::NoFreeConnection,
     }
 }
 
-/// Connections to one replica of a service that this gateway may have.
+/// Returns the number of connections that this gateway may open to one replica of a service.
 pub(crate) fn connection_limit(gateway: &Gateway, service: &str) -> u32 {
     let limit = gateway.with_service(service, |service| service.connection_limit);
     let limit = limit.unwrap_or(MIN_CONNECTIONS);
-    let share = f64::from(limit) * CONNECTION_SHARE / f64::from(gateway.gateway_count.get().max(1));
+    let share = f64::from(limit) * CONNECTION_RATIO / f64::from(gateway.gateway_count.get().max(1));
     (share as u32).max(MIN_CONNECTIONS)
 }
 
-async fn send_on(
+async fn send_on_connection(
     lease: &mut Lease,
     inbound: &InboundRequest,
     request: Request<Body>,
@@ -205,15 +212,21 @@
         Ok(Ok(response)) => Ok(response),
         Ok(Err(SendError::NotSent { .. })) => Err(Failure::ConnectionClosed),
         Ok(Err(SendError::Broken { source })) => {
-            tracing::debug!(id = inbound.id, error = %source, "a send broke");
+            tracing::debug!(
+                id = inbound.id,
+                error = %source,
+                "connection broke after the request was sent"
+            );
             Err(Failure::Broken)
         }
         Err(_) => Err(Failure::NoAnswerInTime),
     }
 }
 
-/// Refuses an answer that is not this request's. The connection it came on is not used again.
-fn judge_head(
+/// Rejects a response that declines the request, names another request or none, is a success
+/// without a signature, or has a content encoding. The connection of a rejected response is reused
+/// only if the request was declined.
+fn validate_head(
     gateway: &Gateway,
     inbound: &InboundRequest,
     response: Response<Incoming>,
@@ -249,13 +262,16 @@
     Ok((response, lease))
 }
 
-fn outgoing(
+fn build_request(
     gateway: &Gateway,
     inbound: &InboundRequest,
     backend: &Backend,
-    extra: &Extra,
+    overrides: &SendOverrides,
 ) -> Result<Request<Body>, Failure> {
-    let body = extra.body.clone().unwrap_or_else(|| inbound.body.clone());
+    let body = overrides
+        .body
+        .clone()
+        .unwrap_or_else(|| inbound.body.clone());
     let mut request = Request::new(full_body(body.clone()));
     *request.method_mut() = inbound.head.method.clone();
     let target = inbound
@@ -273,22 +289,22 @@
     if !body.is_empty() || inbound.head.headers.contains_key(header::CONTENT_LENGTH) {
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
     }
-    // Rounded down: a replica must not go on beyond what the caller waits.
+    // Rounded down, so that the replica stops no later than the caller.
     let left = milliseconds(inbound.remaining());
     headers.insert(names.deadline_ms.clone(), HeaderValue::from(left.max(1)));
-    set(headers, &names.expected_replica, &backend.id.0).ok_or(Failure::Unsendable)?;
+    set_header(headers, &names.expected_replica, &backend.id.0).ok_or(Failure::Unsendable)?;
     if let Some(tenant) = inbound.caller.tenant() {
-        set(headers, &names.tenant, tenant.name.as_str()).ok_or(Failure::Unsendable)?;
+        set_header(headers, &names.tenant, tenant.name.as_str()).ok_or(Failure::Unsendable)?;
     }
-    let urgency = u64::from(inbound.caller.priority(&inbound.route).min(9));
-    headers.insert(names.priority.clone(), HeaderValue::from(urgency));
-    if let Some(last) = &extra.last_event_id {
-        set(headers, &names.last_event_id, last).ok_or(Failure::Unsendable)?;
+    let priority = u64::from(inbound.caller.priority(&inbound.route).min(9));
+    headers.insert(names.priority.clone(), HeaderValue::from(priority));
+    if let Some(last) = &overrides.last_event_id {
+        set_header(headers, &names.last_event_id, last).ok_or(Failure::Unsendable)?;
     }
     Ok(request)
 }
 
-fn set(headers: &mut http::HeaderMap, name: &HeaderName, value: &str) -> Option<()> {
+fn set_header(headers: &mut http::HeaderMap, name: &HeaderName, value: &str) -> Option<()> {
     headers.insert(name.clone(), HeaderValue::from_str(value).ok()?);
     Some(())
 }
--- a/crates/gateway-server/src/held.rs
+++ b/crates/gateway-server/src/held.rs
@@ -1,5 +1,7 @@
-//! The bytes that this gateway holds for callers and replicas: who holds how many, and who has to
-//! let go. The decisions are those of [`HeldBytes`]; here they reach the requests concerned.
+//! Accounting of the memory that request and response bodies occupy in this gateway.
+//!
+//! [`HeldBytes`] decides which requests are admitted and which are aborted; this module applies
+//! its decisions to the requests and exports them as metrics.
 
 use crate::metrics::GatewayMetrics;
 use luglink_scheduling::{Growth, HeldAbort, HeldBytes, HeldBytesLimit, HolderId};
@@ -9,24 +11,24 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// What all requests hold together.
+/// Bytes held by all requests of the gateway.
 #[derive(Debug)]
 pub(crate) struct HeldBytesLedger {
     bytes: RefCell<HeldBytes>,
-    requests: RefCell<HashMap<HolderId, Rc<Request>>>,
+    requests: RefCell<HashMap<HolderId, Rc<HeldRequest>>>,
     metrics: GatewayMetrics,
 }
 
-/// What a holder is told.
+/// State through which a request learns that it is aborted.
 #[derive(Debug)]
-struct Request {
+struct HeldRequest {
     id: String,
-    cut: Cell<Option<HeldBytesLimit>>,
-    told: Notify,
+    aborted_by: Cell<Option<HeldBytesLimit>>,
+    abort_signal: Notify,
 }
 
 impl HeldBytesLedger {
-    /// `limit` bytes may be held; with none, they are only counted.
+    /// Creates a ledger with a limit in bytes. Without a limit, bytes are only counted.
     pub(crate) fn new(limit: Option<u64>, metrics: GatewayMetrics) -> Rc<Self> {
         let bytes = limit.map_or_else(HeldBytes::unbounded, HeldBytes::new);
         Rc::new(Self {
@@ -36,16 +38,16 @@
         })
     }
 
-    /// Makes room for a request that announces a body of `announced` bytes.
+    /// Admits a request whose declared body length is `announced` bytes.
     ///
     /// # Errors
-    /// The bound that leaves none. Nothing of the request was read.
+    /// Returns the bound that the request would exceed. Nothing of its body was read.
     pub(crate) fn admit(
         self: &Rc<Self>,
         id: &str,
         tenant: Option<TenantName>,
         announced: u64,
-    ) -> Result<Held, HeldBytesLimit> {
+    ) -> Result<HeldBytesGuard, HeldBytesLimit> {
         let admitted = self.bytes.borrow_mut().admit(tenant, announced);
         let holder = admitted.inspect_err(|bound| {
             let reason = bound.as_str();
@@ -54,17 +56,23 @@
                 .with_label_values(&[reason])
                 .inc();
             let held = self.bytes.borrow().total();
-            tracing::info!(id, announced, held, reason, "no room for a request's body");
+            tracing::info!(
+                id,
+                announced,
+                held,
+                reason,
+                "request refused: its body would exceed a limit of held bytes"
+            );
         })?;
-        let request = Rc::new(Request {
+        let request = Rc::new(HeldRequest {
             id: id.to_owned(),
-            cut: Cell::new(None),
-            told: Notify::new(),
+            aborted_by: Cell::new(None),
+            abort_signal: Notify::new(),
         });
         let mut requests = self.requests.borrow_mut();
         requests.insert(holder, Rc::clone(&request));
-        self.show();
-        Ok(Held {
+        self.update_gauge();
+        Ok(HeldBytesGuard {
             ledger: Rc::clone(self),
             holder,
             request,
@@ -72,35 +80,35 @@
         })
     }
 
-    fn show(&self) {
+    fn update_gauge(&self) {
         let total = self.bytes.borrow().total();
         self.metrics.held_bytes.set(total as f64);
     }
 
     fn resize(&self, holder: HolderId, bytes: u64) -> Result<(), HeldBytesLimit> {
         let growth = self.bytes.borrow_mut().resize(holder, bytes);
-        let denied = match growth {
+        let result = match growth {
             Growth::Granted(cuts) => {
-                cuts.iter().for_each(|cut| self.tell(cut));
+                cuts.iter().for_each(|cut| self.abort(cut));
                 Ok(())
             }
             Growth::Denied(bound) => Err(bound),
         };
-        self.show();
-        denied
+        self.update_gauge();
+        result
     }
 
-    fn tell(&self, cut: &HeldAbort) {
+    fn abort(&self, cut: &HeldAbort) {
         let Some(request) = self.requests.borrow_mut().remove(&cut.holder) else {
             return;
         };
-        self.note_cut(&request.id, cut.bytes, cut.bound.as_str());
-        request.cut.set(Some(cut.bound));
-        request.told.notify_one();
+        self.note_aborted(&request.id, cut.bytes, cut.bound.as_str());
+        request.aborted_by.set(Some(cut.bound));
+        request.abort_signal.notify_one();
     }
 
-    /// Counts and logs a request that is cut.
-    fn note_cut(&self, id: &str, bytes: u64, reason: &str) {
+    /// Counts and logs an aborted request.
+    fn note_aborted(&self, id: &str, bytes: u64, reason: &str) {
         self.metrics.held_cuts.with_label_values(&[reason]).inc();
         let total = self.bytes.borrow().total();
         tracing::warn!(
@@ -108,85 +116,86 @@
             bytes,
             total,
             reason,
-            "a request is cut for what it holds"
+            "request aborted for the memory that it holds"
         );
     }
 }
 
-/// What one request holds. Dropping it lets go of everything.
+/// Bytes held by one request. Dropping the guard releases all of them.
 #[derive(Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldBytesGuard {
     ledger: Rc<HeldBytesLedger>,
     holder: HolderId,
-    request: Rc<Request>,
-    /// Of the request itself: its body and its prompt.
+    request: Rc<HeldRequest>,
+    /// Bytes of the request's body and prompt, without the response.
     request_bytes: Cell<u64>,
 }
 
-impl Held {
-    /// The request now has so many bytes in its body and its prompt.
+impl HeldBytesGuard {
+    /// Sets the size of the request's body and prompt.
     ///
     /// # Errors
-    /// The bound that leaves no room for them.
+    /// Returns the bound that the new size would exceed.
     pub(crate) fn set_request(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         self.resize(bytes)?;
         self.request_bytes.set(bytes);
         Ok(())
     }
 
-    /// The request holds `bytes` more for its prompt, the turns before it included.
+    /// Adds the size of the assembled prompt, which includes the previous turns.
     ///
     /// # Errors
-    /// The bound that leaves no room for them.
+    /// Returns the bound that the new size would exceed.
     pub(crate) fn add_prompt(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         self.set_request(self.request_bytes.get().saturating_add(bytes))
     }
 
-    /// So many bytes of its answer are here.
+    /// Sets the size of the buffered part of the response.
     ///
     /// # Errors
-    /// The request has to let go of everything.
+    /// Returns the exceeded bound. The request is aborted and must release its buffers.
     pub(crate) fn set_answer(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         self.resize(self.request_bytes.get().saturating_add(bytes))
     }
 
     fn resize(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
-        if let Some(bound) = self.request.cut.get() {
+        if let Some(bound) = self.request.aborted_by.get() {
             return Err(bound);
         }
         let grown = self.ledger.resize(self.holder, bytes);
-        grown.inspect_err(|bound| self.note_given_up(bound.as_str()))
+        grown.inspect_err(|bound| self.note_aborted(bound.as_str()))
     }
 
-    /// Says whether the request can be cut: not while a replica may run it unseen.
+    /// Sets whether the request may be aborted. It may not while a replica may be running it and
+    /// the caller has received nothing of the response, nor while its turn is being stored.
     pub(crate) fn set_abortable(&self, can_be_cut: bool) {
         let mut bytes = self.ledger.bytes.borrow_mut();
         bytes.set_abortable(self.holder, can_be_cut);
     }
 
-    /// Waits until the request has to let go of everything.
-    pub(crate) async fn cut(&self) -> HeldBytesLimit {
+    /// Waits until the request is aborted. Returns the bound that was exceeded.
+    pub(crate) async fn wait_for_abort(&self) -> HeldBytesLimit {
         loop {
-            if let Some(bound) = self.request.cut.get() {
+            if let Some(bound) = self.request.aborted_by.get() {
                 return bound;
             }
-            self.request.told.notified().await;
+            self.request.abort_signal.notified().await;
         }
     }
 
-    /// Counts and logs that the request is given up for what it holds: because it may hold no more,
-    /// or because nobody reads it.
-    pub(crate) fn note_given_up(&self, reason: &str) {
+    /// Counts and logs that the request is aborted for the memory that it holds: because it
+    /// exceeds a bound, or because the caller does not read the response.
+    pub(crate) fn note_aborted(&self, reason: &str) {
         let bytes = self.ledger.bytes.borrow().of_holder(self.holder);
         let bytes = bytes.unwrap_or_default();
-        self.ledger.note_cut(&self.request.id, bytes, reason);
+        self.ledger.note_aborted(&self.request.id, bytes, reason);
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldBytesGuard {
     fn drop(&mut self) {
         self.ledger.requests.borrow_mut().remove(&self.holder);
         self.ledger.bytes.borrow_mut().release(self.holder);
-        self.ledger.show();
+        self.ledger.update_gauge();
     }
 }
--- a/crates/gateway-server/src/proxy.rs
+++ b/crates/gateway-server/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The way of a request through the gateway.
+//! Entry point of callers' requests: configuration, dispatch by route kind, and logging.
 
 use crate::gateway::{ActiveConfiguration, Gateway};
 use crate::inbound::{self, InboundRequest};
@@ -14,21 +14,21 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Time between looks whether it knows its configuration.
-const START_CHECK: Duration = Duration::from_millis(10);
+/// Interval at which a starting gateway checks whether its configuration has arrived.
+const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Answers a caller's request.
+/// Handles a request of a caller.
 pub(crate) async fn handle(
     gateway: Rc<Gateway>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Abort> {
     let arrived = Instant::now();
     let in_flight = gateway.track_request();
-    let id = inbound::text(request.headers(), &gateway.dialect.headers().request_id)
+    let id = inbound::header_text(request.headers(), &gateway.dialect.headers().request_id)
         .unwrap_or_default()
         .to_owned();
     let path = request.uri().path().to_owned();
-    let result = answer(&gateway, request, in_flight).await;
+    let result = dispatch(&gateway, request, in_flight).await;
     let list_age_ms = gateway.list_age().map(milliseconds);
     let mut response = match result {
         Ok(response) => response,
@@ -39,7 +39,11 @@
                 status = refusal.status.as_u16(),
                 detail = refusal.detail,
                 retry_after_ms = refusal.retry_after.map(milliseconds),
-                version = gateway.in_force.borrow().as_ref().map(|held| held.version),
+                version = gateway
+                    .in_force
+                    .borrow()
+                    .as_ref()
+                    .map(|active| active.version),
                 list_age_ms,
                 ms = milliseconds(arrived.elapsed()),
                 "refused"
@@ -60,13 +64,15 @@
     Ok(response)
 }
 
-/// The configuration in force. A gateway that has just started is told it within moments; a
-/// request that comes meanwhile waits for that rather than spend one of its caller's tries.
-async fn current(
+/// Waits until the current configuration is known and a quorum of the turn stores is available. A
+/// gateway that has just started gets both shortly; refusing requests until then would use up
+/// their callers' few retries. After [`max_startup_wait`], returns the configuration even without
+/// a quorum, or `None` if the current one is still not known.
+async fn wait_for_configuration(
     gateway: &Gateway,
     request: &Request<Incoming>,
 ) -> Option<Rc<ActiveConfiguration>> {
-    let deadline = Instant::now() + max_startup_wait(allowed_time(gateway, request));
+    let deadline = Instant::now() + max_startup_wait(caller_timeout(gateway, request));
     loop {
         if let Some(in_force) = gateway.in_force().filter(|_| gateway.turns.has_quorum()) {
             return Some(in_force);
@@ -74,37 +80,39 @@
         if Instant::now() >= deadline {
             return gateway.in_force();
         }
-        actix_rt::time::sleep(START_CHECK).await;
+        actix_rt::time::sleep(STARTUP_CHECK_INTERVAL).await;
     }
 }
 
-/// Time that a request's caller gives it, as far as it says so.
-fn allowed_time(gateway: &Gateway, request: &Request<Incoming>) -> Option<Duration> {
+/// Returns the timeout that the caller states, if any.
+fn caller_timeout(gateway: &Gateway, request: &Request<Incoming>) -> Option<Duration> {
     let name = &gateway.dialect.headers().deadline_ms;
-    inbound::number(request.headers(), name).map(Duration::from_millis)
+    inbound::header_number(request.headers(), name).map(Duration::from_millis)
 }
 
-async fn answer(
+async fn dispatch(
     gateway: &Rc<Gateway>,
     request: Request<Incoming>,
     in_flight: crate::gateway::InFlight,
 ) -> Result<Response<Body>, Refusal> {
-    let in_force = current(gateway, &request)
+    let in_force = wait_for_configuration(gateway, &request)
         .await
-        .ok_or(Refusal::recovering("no configuration is known yet"))?;
+        .ok_or(Refusal::recovering(
+            "the current configuration is not known yet",
+        ))?;
     let inbound = inbound::read(gateway, &in_force, request).await?;
     drop(in_force);
     let watch = Rc::clone(&inbound.watch);
     let result = if inbound.route.kind == RouteKind::Streaming {
         stream::serve(gateway, inbound, in_flight).await
     } else {
-        answer_whole(gateway, &inbound).await
+        serve_unary(gateway, &inbound).await
     };
     watch.note_answered();
     result
 }
 
-async fn answer_whole(
+async fn serve_unary(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
 ) -> Result<Response<Body>, Refusal> {
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -1,15 +1,15 @@
-//! Requests answered by a series of events.
+//! Requests whose response is a stream of events.
 
 use crate::attempts::{Attempts, choose, next_replica};
-use crate::exchange::{Answer, AtReplica, Extra, send};
+use crate::exchange::{Answer, ReplicaGuard, SendOverrides, send};
 use crate::failure::Failure;
 use crate::first_event::FirstEventWait;
 use crate::gateway::{Gateway, InFlight};
 use crate::inbound::{InboundRequest, strip_hop_by_hop};
-use crate::move_watch::{MoveWatch, Sent, refuse_hopeless};
+use crate::move_watch::{MoveWatch, SendResult, refuse_unreachable_deadline};
 use crate::program::{self, PreparedTurn};
 use crate::refusal::Refusal;
-use crate::unary::whole;
+use crate::unary::read_whole_response;
 use crate::upstream::Lease;
 use crate::work;
 use bytes::Bytes;
@@ -25,76 +25,81 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Longest time for which a caller may leave its answer unread. A replica cuts an answer off that
-/// stays unread for some seconds: one that is given up before frees it for others.
-const UNREAD_LIMIT: Duration = Duration::from_secs(2);
+/// Time without a read by the caller after which its stream is aborted. Replicas drop a response
+/// that stays unread for some seconds; aborting earlier frees them for other requests.
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a stream ends whose caller does not read.
+/// End reason of a stream whose caller does not read it, used in logs and metrics.
 const CALLER_STALLED: &str = "caller_stalled";
 
-/// How often a stream goes on after a break.
+/// Maximum number of times that a broken stream is resumed.
 const MAX_RESUMPTIONS: u32 = 3;
 
-/// Pause before a stream goes on at the replica that broke it off.
-const RESUMPTION_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before a broken stream is resumed at the same replica.
+const RESUMPTION_DELAY: Duration = Duration::from_millis(10);
 
-/// Silence between events after which, and between which, a replica counts as in trouble. Shorter
-/// ones happen where a request is read again.
-const SILENCE: Duration = Duration::from_secs(1);
+/// Interval at which a replica that sends no data is reported to the pool as stalled. Shorter gaps
+/// also occur at healthy replicas, when a prompt is processed again.
+const DATA_STALL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Serves a streaming request. The answer's events are passed on by a task of their own.
+/// Serves a streaming request. A separate task forwards the response's events.
 pub(crate) async fn serve(
     gateway: &Rc<Gateway>,
     inbound: InboundRequest,
     in_flight: InFlight,
 ) -> Result<Response<Body>, Refusal> {
-    refuse_hopeless(gateway, &inbound)?;
-    let start = program::prepare_turn(gateway, &inbound).await?;
-    refuse_hopeless(gateway, &inbound)?;
-    let extra = Extra {
-        body: start.prompt.clone(),
+    refuse_unreachable_deadline(gateway, &inbound)?;
+    let prepared = program::prepare_turn(gateway, &inbound).await?;
+    refuse_unreachable_deadline(gateway, &inbound)?;
+    let overrides = SendOverrides {
+        body: prepared.prompt.clone(),
         last_event_id: None,
     };
     let wait = FirstEventWait::begin(gateway, &inbound);
-    let work = work::estimate_turn(gateway, &inbound, &start);
+    let work = work::estimate_turn(gateway, &inbound, &prepared);
     let mut attempts = Attempts::default().with_work(work);
-    let cached_at = cached_at(gateway, &inbound, &start);
+    let cached_at = cached_at(gateway, &inbound, &prepared);
     let tokens_per_event = tokens_per_event(gateway, &inbound);
-    let mut moves = MoveWatch::begin(gateway, &inbound, tokens_per_event);
-    let mut moves_to = None;
+    let mut move_watch = MoveWatch::begin(gateway, &inbound, tokens_per_event);
+    let mut move_target = None;
     let answer = loop {
-        let backend = match moves_to.take() {
+        let backend = match move_target.take() {
             Some(backend) => backend,
             None => next_replica(gateway, &inbound, &mut attempts, cached_at.as_ref()).await?,
         };
-        match moves.send(&inbound, &backend, &extra, &attempts).await {
-            Sent::Answered(answer) if answer.response.status().is_success() => break *answer,
-            Sent::Answered(answer) => match whole(gateway, &inbound, *answer).await {
-                Ok(response) => return Ok(response),
-                Err(failure) => attempts.note(&inbound, &backend, failure)?,
-            },
-            Sent::Failed(failure) => attempts.note(&inbound, &backend, failure)?,
-            Sent::GivenUpFor(other) => {
+        match move_watch
+            .send(&inbound, &backend, &overrides, &attempts)
+            .await
+        {
+            SendResult::Answered(answer) if answer.response.status().is_success() => break *answer,
+            SendResult::Answered(answer) => {
+                match read_whole_response(gateway, &inbound, *answer).await {
+                    Ok(response) => return Ok(response),
+                    Err(failure) => attempts.note_failure(&inbound, &backend, failure)?,
+                }
+            }
+            SendResult::Failed(failure) => attempts.note_failure(&inbound, &backend, failure)?,
+            SendResult::MovedTo(other) => {
                 attempts.note_moved(&backend);
-                moves_to = Some(other);
+                move_target = Some(other);
             }
         }
     };
     note_shared_part(gateway, work.as_ref(), &answer.backend);
     let expected = attempts.expected.take();
-    // What was expected counts from the only send.
+    // The prediction is only comparable if the request was sent once.
     let expected = expected.filter(|_| attempts.tried.is_empty());
-    let waited = Waited {
-        start,
-        extra,
+    let started = StartedStream {
+        prepared,
+        overrides,
         wait,
         attempts,
-        moves,
+        move_watch,
         tokens_per_event,
         work,
         expected,
     };
-    Ok(relay(gateway, inbound, in_flight, waited, answer))
+    Ok(relay(gateway, inbound, in_flight, started, answer))
 }
 
 fn note_shared_part(gateway: &Gateway, work: Option<&Work>, backend: &Backend) {
@@ -105,27 +110,27 @@
     pool.note_shared_part(&backend.id, part.id, gateway.now());
 }
 
-/// The replica that holds the prompt's beginning: the one that served the turn before, or the
-/// one that all gateways agree on for this program.
+/// Returns the replica that likely caches the beginning of the prompt: the one that served the
+/// previous turn, or else the program's home replica, which is the same for all gateways.
 fn cached_at(
     gateway: &Gateway,
     inbound: &InboundRequest,
-    start: &PreparedTurn,
+    prepared: &PreparedTurn,
 ) -> Option<BackendId> {
     let pool = gateway.pool.borrow();
-    let known = start.preferred_replica.clone();
+    let known = prepared.preferred_replica.clone();
     known
         .filter(|id| pool.usable(id).is_some())
         .or_else(|| pool.home(&inbound.service, inbound.affinity_hash))
 }
 
-/// A turn whose answer's head has arrived.
-struct Waited {
-    start: PreparedTurn,
-    extra: Extra,
+/// State of a turn whose response head has arrived.
+struct StartedStream {
+    prepared: PreparedTurn,
+    overrides: SendOverrides,
     wait: FirstEventWait,
     attempts: Attempts,
-    moves: MoveWatch,
+    move_watch: MoveWatch,
     tokens_per_event: u64,
     work: Option<Work>,
     expected: Option<Expected>,
@@ -135,26 +140,26 @@
     gateway: &Rc<Gateway>,
     inbound: InboundRequest,
     in_flight: InFlight,
-    waited: Waited,
+    started: StartedStream,
     answer: Answer,
 ) -> Response<Body> {
     let (sender, body) = stream_body();
     let (head, incoming) = answer.response.into_parts();
-    let mut shown = head.clone();
-    strip_hop_by_hop(&mut shown.headers);
-    shown.headers.remove(header::CONTENT_LENGTH);
+    let mut caller_head = head.clone();
+    strip_hop_by_hop(&mut caller_head.headers);
+    caller_head.headers.remove(header::CONTENT_LENGTH);
     let relay = Relay {
         gateway: Rc::clone(gateway),
         inbound,
-        start: waited.start,
-        extra: waited.extra,
-        wait: waited.wait,
-        attempts: waited.attempts,
-        moves: waited.moves,
-        work: waited.work,
-        expected: waited.expected,
-        event_at: None,
-        tokens_per_event: waited.tokens_per_event,
+        prepared: started.prepared,
+        overrides: started.overrides,
+        wait: started.wait,
+        attempts: started.attempts,
+        move_watch: started.move_watch,
+        work: started.work,
+        expected: started.expected,
+        last_event_at: None,
+        tokens_per_event: started.tokens_per_event,
         splitter: EventSplitter::default(),
         output: Vec::new(),
         events: 0,
@@ -162,17 +167,17 @@
         resumptions: 0,
         _in_flight: in_flight,
     };
-    // What a caller gets from now on ends visibly when it is cut.
+    // From here on the caller can tell an aborted response from a complete one.
     relay.inbound.held.set_abortable(true);
     let source = Source {
         incoming,
         headers: head.headers,
         lease: answer.lease,
         backend: answer.backend,
-        _at_replica: answer.at_replica,
+        _replica_guard: answer.replica_guard,
     };
     actix_rt::spawn(relay.run(source, sender));
-    Response::from_parts(shown, body)
+    Response::from_parts(caller_head, body)
 }
 
 fn tokens_per_event(gateway: &Gateway, inbound: &InboundRequest) -> u64 {
@@ -184,46 +189,46 @@
     tokens.unwrap_or(1).max(1)
 }
 
-/// Where events come from.
+/// Response body from which events are read, with its connection and its replica.
 struct Source {
     incoming: Incoming,
     headers: HeaderMap,
     lease: Lease,
     backend: Backend,
-    _at_replica: AtReplica,
+    _replica_guard: ReplicaGuard,
 }
 
-/// What the replica's side of a stream does next.
+/// Outcome of waiting for the replica, the caller or a timer of a stream.
 enum Step {
-    Part(Bytes),
+    Data(Bytes),
     End,
     Broken(&'static str),
-    Silent,
-    CallerGone,
+    ReplicaStalled,
+    CallerDisconnected,
     OutOfTime,
-    /// The replica has been silent for so long that the stream may move.
-    Look,
-    /// It holds more than there is room for.
-    Cut(HeldBytesLimit),
+    /// It is time to check whether the stream moves to another replica.
+    CheckMove,
+    /// The request is aborted because of the memory limit.
+    Aborted(HeldBytesLimit),
 }
 
-/// Passes the events of one answer on.
+/// Task that forwards the events of one response to the caller.
 struct Relay {
     gateway: Rc<Gateway>,
     inbound: InboundRequest,
-    start: PreparedTurn,
-    extra: Extra,
+    prepared: PreparedTurn,
+    overrides: SendOverrides,
     wait: FirstEventWait,
     attempts: Attempts,
-    moves: MoveWatch,
+    move_watch: MoveWatch,
     work: Option<Work>,
-    /// What was expected of its replica.
+    /// Prediction for the replica, kept only if the request was sent once.
     expected: Option<Expected>,
-    /// When the last event came, since the stream began or went on.
-    event_at: Option<Instant>,
+    /// Arrival time of the last event since the stream began or was last resumed.
+    last_event_at: Option<Instant>,
     tokens_per_event: u64,
     splitter: EventSplitter,
-    /// The answer as later prompts repeat it.
+    /// Text of the response as it is included in later prompts.
     output: Vec<u8>,
     events: u64,
     last_event_id: Option<String>,
@@ -234,17 +239,17 @@
 impl Relay {
     async fn run(mut self, mut source: Source, sender: BodySender) {
         let end = loop {
-            match self.step(&mut source, &sender).await {
-                Step::Part(bytes) => {
+            match self.next_step(&mut source, &sender).await {
+                Step::Data(bytes) => {
                     self.splitter.push(&bytes);
-                    if let Err(reason) = self.pass_events_on(&source, &sender).await {
-                        break self.finish_log(reason);
+                    if let Err(reason) = self.forward_events(&source, &sender).await {
+                        break self.log_end(reason);
                     }
                 }
                 Step::End if self.splitter.has_partial_event() => {
                     match self.resume(source, "cut_event").await {
                         Ok(next) => source = next,
-                        Err(reason) => break self.finish_log(reason),
+                        Err(reason) => break self.log_end(reason),
                     }
                 }
                 Step::End => {
@@ -256,54 +261,56 @@
                     } = source;
                     lease.give_back(&headers);
                     let end = self.complete(&backend, sender).await;
-                    self.finish_log(end);
+                    self.log_end(end);
                     return;
                 }
                 Step::Broken(reason) => match self.resume(source, reason).await {
                     Ok(next) => source = next,
-                    Err(reason) => break self.finish_log(reason),
+                    Err(reason) => break self.log_end(reason),
                 },
-                Step::Look => match self.look(source, &sender).await {
+                Step::CheckMove => match self.check_move(source, &sender).await {
                     Ok(same_or_next) => source = same_or_next,
-                    Err(reason) => break self.finish_log(reason),
+                    Err(reason) => break self.log_end(reason),
                 },
-                Step::Silent => self.note_silence(&source),
-                Step::CallerGone => break self.finish_log("caller_gone"),
-                Step::OutOfTime => break self.finish_log("out_of_time"),
-                Step::Cut(bound) => break self.finish_log(bound.as_str()),
+                Step::ReplicaStalled => self.report_stall(&source),
+                Step::CallerDisconnected => break self.log_end("caller_gone"),
+                Step::OutOfTime => break self.log_end("out_of_time"),
+                Step::Aborted(bound) => break self.log_end(bound.as_str()),
             }
         };
-        // Dropping the sender breaks the answer off, and dropping the source frees the replica.
-        tracing::debug!(id = self.inbound.id, end, "stream over");
+        // Dropping the sender aborts the response, and dropping the source closes the connection to
+        // the replica, which cancels the request there.
+        tracing::debug!(id = self.inbound.id, end, "stream ended before completion");
     }
 
-    async fn step(&self, source: &mut Source, sender: &BodySender) -> Step {
+    async fn next_step(&self, source: &mut Source, sender: &BodySender) -> Step {
         let left = self.inbound.remaining();
         tokio::select! {
             biased;
-            () = sender.gone() => Step::CallerGone,
-            bound = self.inbound.held.cut() => Step::Cut(bound),
+            () = sender.closed() => Step::CallerDisconnected,
+            bound = self.inbound.held.wait_for_abort() => Step::Aborted(bound),
             frame = source.incoming.frame() => match frame {
-                Some(Ok(frame)) => Step::Part(frame.into_data().unwrap_or_default()),
+                Some(Ok(frame)) => Step::Data(frame.into_data().unwrap_or_default()),
                 Some(Err(error)) => {
-                    tracing::debug!(id = self.inbound.id, %error, "a stream broke");
+                    tracing::debug!(id = self.inbound.id, %error, "reading a stream failed");
                     Step::Broken("broken")
                 }
                 None => Step::End,
             },
-            () = self.moves.until_look() => Step::Look,
-            () = actix_rt::time::sleep(left.min(SILENCE)) => {
+            () = self.move_watch.wait_for_check() => Step::CheckMove,
+            () = actix_rt::time::sleep(left.min(DATA_STALL_INTERVAL)) => {
                 if self.inbound.remaining().is_zero() {
                     Step::OutOfTime
                 } else {
-                    Step::Silent
+                    Step::ReplicaStalled
                 }
             }
         }
     }
 
-    /// Lets others go elsewhere while a replica keeps this stream.
-    fn note_silence(&self, source: &Source) {
+    /// Reports the replica to the pool as stalled, so that other requests avoid it. Does nothing
+    /// where replicas are not chosen by expected finish.
+    fn report_stall(&self, source: &Source) {
         if self.work.is_none() {
             return;
         }
@@ -314,10 +321,10 @@
             .note_failure(&source.backend.id, now);
     }
 
-    /// Notes the pause before an event that has just come.
+    /// Records the pause before an event that has just arrived.
     fn note_pause(&mut self, source: &Source) {
         let at = Instant::now();
-        if let Some(before) = self.event_at.replace(at) {
+        if let Some(before) = self.last_event_at.replace(at) {
             let mut pool = self.gateway.pool.borrow_mut();
             pool.note_step(&source.backend.id, at - before, self.gateway.now());
         }
@@ -334,62 +341,63 @@
         metrics.expectation_error_seconds.observe(error);
     }
 
-    /// Passes whole events on, or says why no more can be.
-    async fn pass_events_on(
+    /// Forwards complete events to the caller. Returns the end reason if the stream cannot
+    /// continue.
+    async fn forward_events(
         &mut self,
         source: &Source,
         sender: &BodySender,
     ) -> Result<(), &'static str> {
-        let mut together = Vec::new();
+        let mut batch = Vec::new();
         while let Some(event) = self.splitter.next_event() {
-            self.note(&event, source);
-            together.extend_from_slice(&event.raw);
+            self.note_event(&event, source);
+            batch.extend_from_slice(&event.raw);
         }
         let held = &self.inbound.held;
-        let here = (self.output.len() + together.len()) as u64 + sender.waiting_bytes();
-        held.set_answer(here).map_err(HeldBytesLimit::as_str)?;
-        if together.is_empty() {
+        let buffered = (self.output.len() + batch.len()) as u64 + sender.waiting_bytes();
+        held.set_answer(buffered).map_err(HeldBytesLimit::as_str)?;
+        if batch.is_empty() {
             return Ok(());
         }
         tokio::select! {
             biased;
-            bound = held.cut() => Err(bound.as_str()),
-            is_taken = sender.send(Bytes::from(together)) => {
+            bound = held.wait_for_abort() => Err(bound.as_str()),
+            is_taken = sender.send(Bytes::from(batch)) => {
                 if is_taken { Ok(()) } else { Err("caller_gone") }
             }
-            () = self.unread_for_too_long() => {
-                held.note_given_up(CALLER_STALLED);
+            () = self.unread_timeout() => {
+                held.note_aborted(CALLER_STALLED);
                 Err(CALLER_STALLED)
             }
         }
     }
 
-    /// Ends once the caller has left its answer unread for too long, where that is looked at.
-    async fn unread_for_too_long(&self) {
+    /// Waits for [`UNREAD_TIMEOUT`], or forever if the held-bytes feature is off.
+    async fn unread_timeout(&self) {
         if !self.gateway.config.features.held_bytes() {
             return std::future::pending().await;
         }
-        actix_rt::time::sleep(UNREAD_LIMIT).await;
+        actix_rt::time::sleep(UNREAD_TIMEOUT).await;
     }
 
-    fn note(&mut self, event: &StreamEvent, source: &Source) {
+    fn note_event(&mut self, event: &StreamEvent, source: &Source) {
         if event.id.is_some() {
             self.last_event_id.clone_from(&event.id);
         }
         let Some(data) = &event.data else { return };
         self.events += 1;
-        self.moves.note_event(&self.inbound);
+        self.move_watch.note_event(&self.inbound);
         self.note_pause(source);
-        if let Some(reservation) = &self.start.reservation {
+        if let Some(reservation) = &self.prepared.reservation {
             reservation.add_delivered(self.tokens_per_event);
         }
         if self.inbound.route.keeps_history {
             self.output.extend_from_slice(data);
             self.output.push(b'\n');
         }
-        if let Some(time) = self.wait.over() {
+        if let Some(time) = self.wait.note_event() {
             self.note_expected(time);
-            if let Some(reservation) = &self.start.reservation {
+            if let Some(reservation) = &self.prepared.reservation {
                 reservation.record_replica(&source.backend.id);
             }
             let mut pool = self.gateway.pool.borrow_mut();
@@ -399,10 +407,10 @@
         }
     }
 
-    /// Makes a turn last before its answer ends as complete.
+    /// Stores the turn, then ends the response as complete. Returns the end reason.
     async fn complete(&mut self, backend: &Backend, sender: BodySender) -> &'static str {
         self.inbound.held.set_abortable(false);
-        if self.inbound.route.keeps_history && !self.keep(backend).await {
+        if self.inbound.route.keeps_history && !self.store_turn(backend).await {
             return "not_kept";
         }
         sender.finish();
@@ -411,7 +419,7 @@
         "complete"
     }
 
-    async fn keep(&mut self, backend: &Backend) -> bool {
+    async fn store_turn(&mut self, backend: &Backend) -> bool {
         let Some(program) = &self.inbound.program else {
             return true;
         };
@@ -420,7 +428,7 @@
             id: self.inbound.turn(),
             program: program.name.clone(),
             ancestors: self
-                .start
+                .prepared
                 .chain
                 .iter()
                 .map(|turn| turn.id.clone())
@@ -430,9 +438,14 @@
             served_by: Some(backend.id.clone()),
             retention_ms: self.inbound.route.retention_ms,
         });
-        let foreign = |turn: &&Rc<TurnRecord>| turn.program != program.name;
-        let carried: Vec<Rc<TurnRecord>> =
-            self.start.chain.iter().filter(foreign).cloned().collect();
+        let is_of_other_program = |turn: &&Rc<TurnRecord>| turn.program != program.name;
+        let carried: Vec<Rc<TurnRecord>> = self
+            .prepared
+            .chain
+            .iter()
+            .filter(is_of_other_program)
+            .cloned()
+            .collect();
         let began = Instant::now();
         let deadline = self.inbound.deadline;
         let kept = self
@@ -443,19 +456,19 @@
         let seconds = began.elapsed().as_secs_f64();
         self.gateway.metrics.keep_seconds.observe(seconds);
         if let Err(error) = kept {
-            tracing::warn!(id = self.inbound.id, %error, "a turn could not be kept");
+            tracing::warn!(id = self.inbound.id, %error, "storing a turn failed");
             return false;
         }
-        if let Some(reservation) = &self.start.reservation {
+        if let Some(reservation) = &self.prepared.reservation {
             reservation.mark_settled();
         }
         self.gateway.turn_cache.borrow_mut().insert(turn);
         true
     }
 
-    /// Lets a stream that broke go on where it broke, when it may: at the same replica, or at
-    /// another one when that is gone, since a request counts as run at each replica that is
-    /// still there.
+    /// Resumes a broken stream after its last event, if the route allows it: at the same replica,
+    /// or at another one if that replica is unreachable or no longer listed. A replica that still
+    /// exists counts as having run the request, so the stream does not continue at another one.
     async fn resume(
         &mut self,
         broken: Source,
@@ -464,7 +477,7 @@
         let backend = broken.backend.clone();
         drop(broken);
         self.splitter.clear();
-        self.event_at = None;
+        self.last_event_at = None;
         if !self.inbound.route.resumable || self.resumptions >= MAX_RESUMPTIONS {
             let mut pool = self.gateway.pool.borrow_mut();
             if !pool.has_restarted(&backend) {
@@ -478,11 +491,11 @@
             replica = %backend.id,
             reason,
             events = self.events,
-            "a stream goes on after a break"
+            "resuming a broken stream"
         );
-        self.extra.last_event_id.clone_from(&self.last_event_id);
-        actix_rt::time::sleep(RESUMPTION_PAUSE).await;
-        self.moves.note_sent(&self.inbound, &self.attempts);
+        self.overrides.last_event_id.clone_from(&self.last_event_id);
+        actix_rt::time::sleep(RESUMPTION_DELAY).await;
+        self.move_watch.note_sent(&self.inbound, &self.attempts);
         let failure = match self.resume_at(&backend).await {
             Ok(source) => return Ok(source),
             Err(failure) => failure,
@@ -492,40 +505,48 @@
         if !is_gone {
             return Err("not_resumed");
         }
-        let attempts = self.attempts.besides(backend.id).with_work(self.work);
+        let attempts = self.attempts.excluding(backend.id).with_work(self.work);
         let other = choose(&self.gateway, &self.inbound, &attempts, None);
         let other = other.map_err(|_| "nowhere_to_resume")?;
         let resumed = self.resume_at(&other).await;
         resumed.map_err(|_| "not_resumed_elsewhere")
     }
 
-    /// Moves the stream to another replica when its own has been silent for too long.
-    async fn look(&mut self, source: Source, sender: &BodySender) -> Result<Source, &'static str> {
-        let at = &source.backend;
-        let Some(other) = self.moves.look(&self.inbound, at, &self.attempts) else {
+    /// Moves the stream to another replica if the current one has sent nothing for too long.
+    /// Otherwise returns the same source.
+    async fn check_move(
+        &mut self,
+        source: Source,
+        sender: &BodySender,
+    ) -> Result<Source, &'static str> {
+        let current = &source.backend;
+        let Some(other) = self
+            .move_watch
+            .check_move(&self.inbound, current, &self.attempts)
+        else {
             return Ok(source);
         };
         tokio::select! {
             biased;
-            () = sender.gone() => Err("caller_gone"),
+            () = sender.closed() => Err("caller_gone"),
             moved = self.move_to(source, other) => moved,
         }
     }
 
     async fn move_to(&mut self, from: Source, mut to: Backend) -> Result<Source, &'static str> {
         self.attempts.note_moved(&from.backend);
-        // Frees the former replica before another one goes on with the request.
+        // Cancels the request at the previous replica before another one resumes it.
         drop(from);
         self.splitter.clear();
-        self.extra.last_event_id.clone_from(&self.last_event_id);
+        self.overrides.last_event_id.clone_from(&self.last_event_id);
         loop {
-            self.moves.note_sent(&self.inbound, &self.attempts);
+            self.move_watch.note_sent(&self.inbound, &self.attempts);
             let failure = match self.resume_at(&to).await {
                 Ok(source) => return Ok(source),
                 Err(failure) => failure,
             };
-            self.moves.note_failed(failure);
-            let verdict = self.attempts.note(&self.inbound, &to, failure);
+            self.move_watch.note_failed(failure);
+            let verdict = self.attempts.note_failure(&self.inbound, &to, failure);
             verdict.map_err(|_| "not_moved")?;
             let next = next_replica(&self.gateway, &self.inbound, &mut self.attempts, None);
             to = next.await.map_err(|_| "nowhere_to_move")?;
@@ -533,7 +554,7 @@
     }
 
     async fn resume_at(&self, backend: &Backend) -> Result<Source, Failure> {
-        let answer = send(&self.gateway, &self.inbound, backend, &self.extra).await?;
+        let answer = send(&self.gateway, &self.inbound, backend, &self.overrides).await?;
         if !answer.response.status().is_success() {
             return Err(Failure::NotResumed);
         }
@@ -543,17 +564,17 @@
             headers: head.headers,
             lease: answer.lease,
             backend: answer.backend,
-            _at_replica: answer.at_replica,
+            _replica_guard: answer.replica_guard,
         })
     }
 
-    fn finish_log(&self, end: &'static str) -> &'static str {
+    fn log_end(&self, end: &'static str) -> &'static str {
         self.gateway.metrics.streams.with_label_values(&[end]).inc();
         if let Some(first) = self.wait.delay() {
             let seconds = first.as_secs_f64();
             self.gateway.metrics.answer_seconds.observe(seconds);
         }
-        let reservation = self.start.reservation.as_ref();
+        let reservation = self.prepared.reservation.as_ref();
         tracing::info!(
             id = self.inbound.id,
             end,
@@ -564,7 +585,7 @@
                 .program
                 .as_ref()
                 .map(|program| tracing::field::display(&program.name)),
-            chain = self.start.chain.len(),
+            chain = self.prepared.chain.len(),
             events = self.events,
             given = reservation.map(|reservation| reservation.delivered()),
             resumptions = self.resumptions,
--- a/crates/gateway-server/src/unary.rs
+++ b/crates/gateway-server/src/unary.rs
@@ -1,7 +1,7 @@
-//! Requests with one whole answer.
+//! Requests whose response is a single body.
 
 use crate::attempts::{Attempts, choose, next_replica};
-use crate::exchange::{Answer, Extra, send};
+use crate::exchange::{Answer, SendOverrides, send};
 use crate::failure::Failure;
 use crate::gateway::Gateway;
 use crate::hedging::Hedging;
@@ -18,15 +18,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// One send to one replica, from the choice to the whole answer.
+/// Sends a request to one replica and reads the complete response.
 async fn attempt(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
     backend: Backend,
 ) -> (Backend, Result<Response<Body>, Failure>) {
     let began = Instant::now();
-    let result = match send(gateway, inbound, &backend, &Extra::default()).await {
-        Ok(answer) => whole(gateway, inbound, answer).await,
+    let result = match send(gateway, inbound, &backend, &SendOverrides::default()).await {
+        Ok(answer) => read_whole_response(gateway, inbound, answer).await,
         Err(failure) => Err(failure),
     };
     if let Ok(response) = &result {
@@ -35,7 +35,8 @@
     (backend, result)
 }
 
-/// Notes what an answer says of the replica, unless an earlier life of it gave the answer.
+/// Records a response as a success or a server error of its replica, unless the replica has
+/// restarted since.
 fn note_answer(gateway: &Gateway, backend: &Backend, response: &Response<Body>, time: Duration) {
     let mut pool = gateway.pool.borrow_mut();
     if pool.has_restarted(backend) {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Serves a request with one whole answer.
+/// Serves a unary request and records its response time.
 pub(crate) async fn serve(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
@@ -61,52 +62,52 @@
     result
 }
 
-/// Serves a request with one whole answer. A replica that keeps a request which may be repeated
-/// for much longer than it should take does not hold it up: another one gets it too, within the
-/// number of replicas that the route allows, and the first whole answer counts.
+/// Serves a unary request, with retries and hedging. A repeatable request that takes much longer
+/// than expected is also sent to a second replica, within the route's limit of attempts, and the
+/// first complete response is used.
 async fn serve_hedged(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
     hedging: &mut Hedging,
 ) -> Result<Response<Body>, Refusal> {
     let mut attempts = Attempts::default();
-    let mut under_way = FuturesUnordered::new();
+    let mut in_flight = FuturesUnordered::new();
     loop {
-        if under_way.is_empty() {
+        if in_flight.is_empty() {
             let backend = next_replica(gateway, inbound, &mut attempts, None).await?;
             attempts.tried.push(backend.id.clone());
-            under_way.push(attempt(gateway, inbound, backend));
+            in_flight.push(attempt(gateway, inbound, backend));
         }
-        let may_hedge = attempts.may_hedge(inbound, under_way.len());
+        let may_hedge = attempts.may_hedge(inbound, in_flight.len());
         let ended = tokio::select! {
-            ended = under_way.next() => ended,
-            () = actix_rt::time::sleep(hedging.pause(inbound)), if may_hedge => None,
+            ended = in_flight.next() => ended,
+            () = actix_rt::time::sleep(hedging.delay(inbound)), if may_hedge => None,
         };
         match ended {
-            Some((_, Ok(response))) if attempts.may_do_better(inbound, &response) => {
+            Some((_, Ok(response))) if attempts.should_retry_server_error(inbound, &response) => {
                 attempts.runs += 1;
-                if under_way.is_empty() {
+                if in_flight.is_empty() {
                     let Ok(other) = choose(gateway, inbound, &attempts, None) else {
                         return Ok(response);
                     };
                     attempts.tried.push(other.id.clone());
-                    under_way.push(attempt(gateway, inbound, other));
+                    in_flight.push(attempt(gateway, inbound, other));
                 }
             }
             Some((_, Ok(response))) => return Ok(response),
             Some((backend, Err(failure))) => {
-                let verdict = attempts.note(inbound, &backend, failure);
-                // As long as another replica has it, that one's answer decides.
-                if under_way.is_empty() {
+                let verdict = attempts.note_failure(inbound, &backend, failure);
+                // While another replica is working on the request, its response decides.
+                if in_flight.is_empty() {
                     verdict?;
                 }
             }
-            None if !hedging.take(gateway, inbound) => {}
+            None if !hedging.try_hedge(gateway, inbound) => {}
             None => {
                 if let Ok(backend) = choose(gateway, inbound, &attempts, None) {
                     hedging.note_hedge(gateway, inbound, &backend);
                     attempts.tried.push(backend.id.clone());
-                    under_way.push(attempt(gateway, inbound, backend));
+                    in_flight.push(attempt(gateway, inbound, backend));
                 }
                 attempts.has_hedged = true;
             }
@@ -114,9 +115,9 @@
     }
 }
 
-/// Reads an answer to its end before anything of it is given on: one that is cut short must
-/// not reach the caller as a success.
-pub(crate) async fn whole(
+/// Reads a response to its end before passing any of it on, because a truncated response must not
+/// reach the caller as a success.
+pub(crate) async fn read_whole_response(
     gateway: &Rc<Gateway>,
     inbound: &InboundRequest,
     answer: Answer,
@@ -125,37 +126,42 @@
         response,
         lease,
         backend,
-        at_replica,
+        replica_guard,
     } = answer;
     let (mut head, incoming) = response.into_parts();
     let reading = actix_rt::time::timeout(inbound.remaining(), collect(inbound, incoming));
     let body: Bytes = match reading.await {
         Ok(Ok(body)) => body,
         Ok(Err(AnswerFailure::Broken { source })) => {
-            tracing::debug!(id = inbound.id, replica = %backend.id, error = %source, "an answer broke off");
+            tracing::debug!(
+                id = inbound.id,
+                replica = %backend.id,
+                error = %source,
+                "response of a replica ended early"
+            );
             let mut pool = gateway.pool.borrow_mut();
             if !pool.has_restarted(&backend) {
                 pool.failed(&backend.id, gateway.now());
             }
             return Err(Failure::CutAnswer);
         }
-        Ok(Err(AnswerFailure::NoRoom)) => return Err(Failure::CutAnswer),
+        Ok(Err(AnswerFailure::MemoryLimit)) => return Err(Failure::CutAnswer),
         Err(_) => return Err(Failure::NoAnswerInTime),
     };
-    drop(at_replica);
+    drop(replica_guard);
     lease.give_back(&head.headers);
     strip_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     Ok(Response::from_parts(head, full_body(body)))
 }
 
-/// Why an answer cannot be had whole.
+/// Reason why a response could not be read completely.
 enum AnswerFailure {
     Broken {
         source: hyper::Error,
     },
-    /// It would take more memory than there is room for.
-    NoRoom,
+    /// The response exceeds the memory limit.
+    MemoryLimit,
 }
 
 async fn collect(inbound: &InboundRequest, mut incoming: Incoming) -> Result<Bytes, AnswerFailure> {
@@ -163,8 +169,8 @@
     while let Some(frame) = incoming.frame().await {
         let frame = frame.map_err(|source| AnswerFailure::Broken { source })?;
         bytes.extend_from_slice(&frame.into_data().unwrap_or_default());
-        let here = inbound.held.set_answer(bytes.len() as u64);
-        here.map_err(|_| AnswerFailure::NoRoom)?;
+        let held = inbound.held.set_answer(bytes.len() as u64);
+        held.map_err(|_| AnswerFailure::MemoryLimit)?;
     }
     Ok(bytes.freeze())
 }
--- a/crates/turns/src/node.rs
+++ b/crates/turns/src/node.rs
@@ -219,8 +219,8 @@
                 epoch,
                 turn,
                 tokens,
-                carried,
-            } => self.keep(token, epoch, *turn, tokens, carried),
+                foreign_ancestors,
+            } => self.keep(token, epoch, *turn, tokens, foreign_ancestors),
             StoreRequest::HandOver { turns, accounts } => self.take_over(token, turns, accounts),
             StoreRequest::Account(program) => {
                 let account = self.account(&program);
@@ -279,12 +279,12 @@
         epoch: u64,
         turn: TurnRecord,
         tokens: u64,
-        carried: Vec<TurnRecord>,
+        foreign_ancestors: Vec<TurnRecord>,
     ) {
         let program = turn.program.clone();
         let settled = Spend::Settled(tokens);
         let mut entries = vec![spend_entry(&program, &turn.id, settled, turn.retention_ms)];
-        entries.extend(carried.into_iter().map(Entry::Turn));
+        entries.extend(foreign_ancestors.into_iter().map(Entry::Turn));
         entries.push(Entry::Turn(turn));
         self.write(epoch, &program, entries);
         self.pending.push(Pending {
--- a/crates/turns/src/replication.rs
+++ b/crates/turns/src/replication.rs
@@ -51,7 +51,7 @@
 
 impl AbsenceProof {
     /// Takes a store's answer. One that may not have been filled yet proves nothing.
-    pub fn note(&mut self, view: &StoreView, store: &StoreName, chain: &Chain) {
+    pub fn record(&mut self, view: &StoreView, store: &StoreName, chain: &Chain) {
         if let Chain::Absent { incarnation } = chain
             && view.is_authoritative(store, *incarnation)
         {
--- a/crates/turns/tests/golden.rs
+++ b/crates/turns/tests/golden.rs
@@ -72,7 +72,7 @@
             epoch: 4,
             turn: Box::new(record("t", &["s"])),
             tokens: 45,
-            carried: vec![record("s", &[])],
+            foreign_ancestors: vec![record("s", &[])],
         },
         StoreRequest::Lookup(ChainQuery { turn: turn("t") }),
         StoreRequest::HandOver {
@@ -123,7 +123,9 @@
         StoreResponse::Chain(Chain::Absent { incarnation: 9 }),
         StoreResponse::Failed { reason },
         StoreResponse::Quota(QuotaResponse::Granted),
-        StoreResponse::Quota(QuotaResponse::Denied { come_back_ms: 300 }),
+        StoreResponse::Quota(QuotaResponse::Denied {
+            retry_delay_ms: 300,
+        }),
         StoreResponse::Quota(QuotaResponse::NotOwner),
     ]
 }
