--- a/crates/daemon-server/src/engine_events.rs
+++ b/crates/daemon-server/src/engine_events.rs
@@ -20,7 +20,7 @@
     }
 
     /// Advances the read position and returns the load and cache events that the response contains.
-    pub fn take(&mut self, engine: EngineId, events: EngineEvents) -> [Event; 2] {
+    pub fn convert(&mut self, engine: EngineId, events: EngineEvents) -> [Event; 2] {
         let restarted = events.incarnation != self.incarnation;
         self.incarnation = events.incarnation;
         self.last = events.last;
--- a/crates/daemon-server/src/engines.rs
+++ b/crates/daemon-server/src/engines.rs
@@ -267,7 +267,7 @@
             _ => None,
         };
         if let Some(events) = events {
-            for event in reader.take(engine, events) {
+            for event in reader.convert(engine, events) {
                 daemon.do_send(DaemonEvent(event));
             }
         }
--- a/crates/daemon-server/src/parse.rs
+++ b/crates/daemon-server/src/parse.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{CallBody, CreateBody};
 use actix_web::HttpRequest;
-use luglink_daemon::{CallRequest, CallTarget, CreateRequest, LookupRequest, ProgramDefaults};
+use luglink_daemon::{CallRequest, CallTarget, CreateRequest, LookupRequest, ProgramParameters};
 use luglink_engine_api::{
     ChatRequest, HEADER_CLASS, HEADER_IDEMPOTENCY_KEY, HEADER_MODEL_ADAPTER, HEADER_PRIORITY,
     HEADER_PROGRAM, HEADER_REPEATABLE, HEADER_SEQUENCE, HEADER_TENANT,
@@ -38,7 +38,7 @@
 pub(crate) fn create(request: &HttpRequest, body: CreateBody) -> Result<CreateRequest, Refusal> {
     let parent = body.parent.as_deref().map(program_id).transpose()?;
     Ok(CreateRequest {
-        program: ProgramDefaults {
+        program: ProgramParameters {
             tenant: TenantName(body.tenant),
             class: ClassName(body.class),
             model: ModelName(body.model),
@@ -94,13 +94,13 @@
     })
 }
 
-fn one_shot(request: &HttpRequest, body: &ChatRequest) -> Result<ProgramDefaults, Refusal> {
+fn one_shot(request: &HttpRequest, body: &ChatRequest) -> Result<ProgramParameters, Refusal> {
     let name = |header_name| -> Result<String, Refusal> {
         Ok(header(request, header_name)?
             .unwrap_or(DEFAULT_NAME)
             .to_owned())
     };
-    Ok(ProgramDefaults {
+    Ok(ProgramParameters {
         tenant: TenantName(name(HEADER_TENANT)?),
         class: ClassName(name(HEADER_CLASS)?),
         model: ModelName(body.model.clone()),
--- a/crates/daemon/src/attempts.rs
+++ b/crates/daemon/src/attempts.rs
@@ -153,7 +153,7 @@
         let Some(body) = self.chat_dispatch(id) else {
             return;
         };
-        let silence = self.config.engine_silence;
+        let silence = self.config.engine_silence_timeout;
         let now = self.now;
         if let Some(call) = self.calls.get_mut(&id) {
             call.phase = Phase::Running;
@@ -227,7 +227,7 @@
         if let Some(router) = self.pools.router_of(current.engine) {
             router.on_first_token(current.engine, current.id);
         }
-        let silence = self.config.engine_silence;
+        let silence = self.config.engine_silence_timeout;
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/daemon/src/caller.rs
+++ b/crates/daemon/src/caller.rs
@@ -12,7 +12,7 @@
 
 /// Parameters of a new program, as stated by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ProgramDefaults {
+pub struct ProgramParameters {
     /// Tenant that is charged.
     pub tenant: TenantName,
     /// Program class.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CreateRequest {
     /// Parameters of the program.
-    pub program: ProgramDefaults,
+    pub program: ProgramParameters,
     /// Program that starts this one as a sub-program.
     pub parent: Option<ProgramId>,
     /// Idempotency key: a repeated key returns the same program.
@@ -44,7 +44,7 @@
     /// An existing program.
     Existing(ProgramId),
     /// A new program that consists of this call only.
-    OneShot(Box<ProgramDefaults>),
+    OneShot(Box<ProgramParameters>),
 }
 
 /// A request to run a call.
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -33,7 +33,7 @@
     pub max_reorder_wait: Duration,
     /// Time without output after which an attempt counts as broken: between two tokens, and before
     /// the first one in addition to a multiple of the predicted duration.
-    pub engine_silence: Duration,
+    pub engine_silence_timeout: Duration,
     /// Time after which a control request is sent to another member.
     pub control_attempt_timeout: Duration,
     /// Time after which a control request is abandoned.
@@ -74,7 +74,7 @@
             admission_wait_limit: Duration::from_millis(250),
             max_engine_wait: Duration::from_secs(5),
             max_reorder_wait: Duration::from_secs(2),
-            engine_silence: Duration::from_secs(20),
+            engine_silence_timeout: Duration::from_secs(20),
             control_attempt_timeout: Duration::from_secs(1),
             control_timeout: Duration::from_secs(10),
             renew_interval: Duration::from_secs(4),
--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -1,6 +1,6 @@
 //! Lookups in the configuration for a caller's request.
 
-use crate::caller::ProgramDefaults;
+use crate::caller::ProgramParameters;
 use crate::daemon::Daemon;
 use luglink_program::ProgramSpec;
 use luglink_types::{Budget, ProgramId, Refusal, RefusalCode};
@@ -14,7 +14,7 @@
     /// in defaults of the class.
     pub(crate) fn resolve_spec(
         &self,
-        program: &ProgramDefaults,
+        program: &ProgramParameters,
         parent: Option<ProgramId>,
     ) -> Result<ProgramSpec, Refusal> {
         let unknown = |kind: &str, name: &str| {
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use action::{Action, Answer, ChatDispatch, Dispatch, DispatchBody, LookupDispatch};
 pub use caller::{
-    CallRequest, CallTarget, CreateRequest, LookupRequest, ProgramDefaults, TicketId,
+    CallRequest, CallTarget, CreateRequest, LookupRequest, ProgramParameters, TicketId,
 };
 pub use config::{DaemonConfig, DaemonConfigError};
 pub use control_client::OperationId;
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use luglink_control::{Request, Response};
 use luglink_daemon::{
     Action, Answer, CallRequest, CallTarget, CreateRequest, Daemon, DaemonConfig, Dispatch,
-    EngineEvent, Event, OperationId, ProgramDefaults, TicketId,
+    EngineEvent, Event, OperationId, ProgramParameters, TicketId,
 };
 use luglink_program::{ProgramStore, RefundRule};
 use luglink_resources::{
@@ -43,7 +43,7 @@
 
 pub fn config() -> DaemonConfig {
     let mut config = DaemonConfig::new(DaemonId(1), "a".into(), vec![MemberId(1)]);
-    config.engine_silence = Duration::from_secs(5);
+    config.engine_silence_timeout = Duration::from_secs(5);
     config
 }
 
@@ -257,8 +257,8 @@
     }
 }
 
-pub fn defaults() -> ProgramDefaults {
-    ProgramDefaults {
+pub fn defaults() -> ProgramParameters {
+    ProgramParameters {
         tenant: "t".into(),
         class: "c".into(),
         model: "m".into(),
--- a/crates/daemon/tests/daemon.rs
+++ b/crates/daemon/tests/daemon.rs
@@ -123,7 +123,7 @@
 fn saturated_daemon_admits_no_new_programs() {
     let mut small = config();
     small.router.max_requests_per_replica = 1;
-    small.engine_silence = Duration::from_secs(60);
+    small.engine_silence_timeout = Duration::from_secs(60);
     let mut harness = Harness::start(small);
     let programs: Vec<_> = (0..4).map(|_| harness.create()).collect();
     for (number, program) in programs.iter().enumerate() {
--- a/crates/lab/src/sim/callers.rs
+++ b/crates/lab/src/sim/callers.rs
@@ -10,7 +10,7 @@
 use crate::sim::world::{Waiter, World};
 use crate::trace::CallEvent;
 use luglink_daemon::{
-    Answer, CallRequest, CallTarget, CreateRequest, Event, ProgramDefaults, TicketId,
+    Answer, CallRequest, CallTarget, CreateRequest, Event, ProgramParameters, TicketId,
 };
 use luglink_types::{
     ChatMessage, IdempotencyKey, ProgramId, Refusal, RefusalCode, Role, Timestamp,
@@ -191,7 +191,7 @@
     fn send_create(&mut self, caller: usize, parent: Option<ProgramId>) {
         let event = &self.callers[caller].plan.program;
         let request = CreateRequest {
-            program: ProgramDefaults {
+            program: ProgramParameters {
                 tenant: event.tenant.as_str().into(),
                 class: event.class.as_str().into(),
                 model: event.model.as_str().into(),
--- a/crates/lab/src/sim/config.rs
+++ b/crates/lab/src/sim/config.rs
@@ -62,7 +62,7 @@
     /// Time between a daemon's looks at its engines' events.
     pub poll_interval: Duration,
     /// Silence of an engine after which a call counts as broken there.
-    pub engine_silence: Duration,
+    pub engine_silence_timeout: Duration,
     /// Calls that may wait at one daemon.
     pub max_queued_calls: usize,
     /// Requests that one daemon gives one engine at the most.
@@ -110,7 +110,7 @@
             engine: EngineConfig::default(),
             policy: Policy::Luglink,
             poll_interval: Duration::from_millis(250),
-            engine_silence: Duration::from_secs(20),
+            engine_silence_timeout: Duration::from_secs(20),
             max_queued_calls: 512,
             max_requests_per_replica: 32,
             idle_timeout: Duration::from_secs(30),
--- a/crates/lab/src/sim/daemons.rs
+++ b/crates/lab/src/sim/daemons.rs
@@ -96,7 +96,7 @@
         config.router.policy = self.config.policy;
         config.router.max_requests_per_replica = self.config.max_requests_per_replica;
         config.max_queued_calls = self.config.max_queued_calls;
-        config.engine_silence = self.config.engine_silence;
+        config.engine_silence_timeout = self.config.engine_silence_timeout;
         config
     }
 
@@ -398,7 +398,7 @@
     fn take_events(&mut self, daemon: usize, engine: usize, events: EngineEvents) {
         let engine = EngineId(u32::try_from(engine).unwrap_or(u32::MAX));
         let reader = self.daemons[daemon].readers.entry(engine).or_default();
-        for event in reader.take(engine, events) {
+        for event in reader.convert(engine, events) {
             self.daemon_event(daemon, event);
         }
     }
--- a/crates/lab/src/sim/scenario/mod.rs
+++ b/crates/lab/src/sim/scenario/mod.rs
@@ -30,7 +30,7 @@
         ..EngineConfig::default()
     };
     config.poll_interval = Duration::from_millis(500);
-    config.engine_silence = Duration::from_secs(4);
+    config.engine_silence_timeout = Duration::from_secs(4);
     config.idle_timeout = Duration::from_secs(12);
     config.limit = Duration::from_secs(900);
     config.most_events = 5_000_000;
--- a/crates/lab/tests/simulator.rs
+++ b/crates/lab/tests/simulator.rs
@@ -28,7 +28,7 @@
     let mut config = SimConfig::today(Deployment::Kopano, 3);
     config.program_groups = 2;
     config.idle_timeout = Duration::from_secs(8);
-    config.engine_silence = Duration::from_secs(3);
+    config.engine_silence_timeout = Duration::from_secs(3);
     config
 }
 
