--- a/crates/daemon-server/src/actor.rs
+++ b/crates/daemon-server/src/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the daemon's logic.
+//! Actor that drives the daemon's state machine.
 
 use crate::engines::EngineClient;
 use crate::metrics::DaemonMetrics;
@@ -13,13 +13,13 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
 
-/// Time between looks at timers.
+/// Time between two checks of the daemon's next deadline.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Messages that may wait for the actor before senders are held back.
+/// Maximum number of messages in the actor's mailbox before senders are held back.
 const MAILBOX_CAPACITY: usize = 65_536;
 
-/// The time in microseconds since the Unix epoch.
+/// Returns the system time in microseconds since the Unix epoch.
 fn now() -> Timestamp {
     let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -28,22 +28,22 @@
 }
 
 /// A caller that waits for an answer.
-struct Waiting {
+struct WaitingCaller {
     answers: mpsc::UnboundedSender<Answer>,
     since: Instant,
     first_part_seen: bool,
 }
 
-/// Owns the daemon, its links and its waiting callers.
+/// Actor that owns the daemon's state machine, its links and its waiting callers.
 pub(crate) struct DaemonActor {
     daemon: Daemon,
-    own: Hello,
+    hello: Hello,
     members: Vec<MemberAddress>,
     links: BTreeMap<MemberId, Link>,
     engines: Option<EngineClient>,
-    waiting: BTreeMap<TicketId, Waiting>,
+    waiting: BTreeMap<TicketId, WaitingCaller>,
     metrics: DaemonMetrics,
-    drained: Vec<oneshot::Sender<()>>,
+    drain_waiters: Vec<oneshot::Sender<()>>,
     is_drained: bool,
     poll_interval: Duration,
 }
@@ -58,7 +58,7 @@
     ) -> Self {
         Self {
             daemon,
-            own: Hello {
+            hello: Hello {
                 version: PROTOCOL_VERSION,
                 role: ClientRole::Daemon,
                 id,
@@ -68,20 +68,20 @@
             engines: None,
             waiting: BTreeMap::new(),
             metrics,
-            drained: Vec::new(),
+            drain_waiters: Vec::new(),
             is_drained: false,
             poll_interval,
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let actions = self.daemon.handle(event, now());
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Answer { ticket, answer } => self.answer(ticket, answer),
             Action::Control {
@@ -101,7 +101,7 @@
             }
             Action::Drained => {
                 self.is_drained = true;
-                for waiting in self.drained.drain(..) {
+                for waiting in self.drain_waiters.drain(..) {
                     let _ = waiting.send(());
                 }
             }
@@ -125,7 +125,7 @@
         if matches!(answer, Answer::Completed { .. }) {
             self.metrics.call_seconds.observe(elapsed);
         }
-        // A caller that is gone has dropped its end; `CallerGone` follows.
+        // A disconnected caller has dropped its receiver; `CallerGone` follows.
         let _ = waiting.answers.send(answer);
         if !is_part {
             self.waiting.remove(&ticket);
@@ -136,7 +136,7 @@
         let body = match encode_body(request) {
             Ok(body) => body,
             Err(error) => {
-                tracing::error!(%error, "cannot encode a request");
+                tracing::error!(%error, "cannot encode a request to a control member");
                 return;
             }
         };
@@ -145,8 +145,8 @@
             .get(&member)
             .is_some_and(|link| link.send(Frame::request(operation.0, body)));
         if !sent {
-            // The logic waits and then asks another member.
-            tracing::debug!(%member, "control member not reachable");
+            // The daemon retries at another member after a timeout.
+            tracing::debug!(%member, "control member is unreachable");
         }
     }
 
@@ -154,8 +154,8 @@
         for member in &self.members {
             let id = MemberId(member.id);
             let address = context.address();
-            let link = Link::open(member.address, self.own, move |event| {
-                address.do_send(FromMember { member: id, event });
+            let link = Link::open(member.address, self.hello, move |event| {
+                address.do_send(MemberLinkEvent { member: id, event });
             });
             self.links.insert(id, link);
         }
@@ -169,10 +169,10 @@
         context.set_mailbox_capacity(MAILBOX_CAPACITY);
         self.engines = Some(EngineClient::new(context.address(), self.poll_interval));
         self.open_links(context);
-        self.take(Event::Tick);
+        self.handle_event(Event::Tick);
         context.run_interval(TICK_INTERVAL, |actor, _| {
             if now() >= actor.daemon.next_deadline() {
-                actor.take(Event::Tick);
+                actor.handle_event(Event::Tick);
             }
         });
         context.run_interval(self.poll_interval, |actor, _| {
@@ -184,30 +184,32 @@
     }
 }
 
-/// News of a link.
+/// An event of the link to a control member.
 #[derive(Message)]
 #[rtype(result = "()")]
-struct FromMember {
+struct MemberLinkEvent {
     member: MemberId,
     event: LinkEvent,
 }
 
-impl Handler<FromMember> for DaemonActor {
+impl Handler<MemberLinkEvent> for DaemonActor {
     type Result = ();
 
-    fn handle(&mut self, message: FromMember, _: &mut Self::Context) {
+    fn handle(&mut self, message: MemberLinkEvent, _: &mut Self::Context) {
         match message.event {
-            LinkEvent::Disconnected => self.take(Event::MemberUnreachable {
+            LinkEvent::Disconnected => self.handle_event(Event::MemberUnreachable {
                 member: message.member,
             }),
             LinkEvent::Frame(Frame::Response {
                 correlation, body, ..
             }) => match decode_body::<Response>(&body) {
-                Ok(response) => self.take(Event::Control {
+                Ok(response) => self.handle_event(Event::Control {
                     operation: OperationId(correlation),
                     response: Box::new(response),
                 }),
-                Err(error) => tracing::warn!(%error, "malformed response"),
+                Err(error) => {
+                    tracing::warn!(%error, "cannot decode the response of a control member")
+                }
             },
             LinkEvent::Frame(_) => tracing::warn!("unexpected frame from a control member"),
         }
@@ -217,35 +219,35 @@
 /// A caller's request.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct FromCaller {
+pub(crate) struct CallerRequest {
     pub(crate) ticket: TicketId,
     pub(crate) event: Event,
     pub(crate) answers: mpsc::UnboundedSender<Answer>,
 }
 
-impl Handler<FromCaller> for DaemonActor {
+impl Handler<CallerRequest> for DaemonActor {
     type Result = ();
 
-    fn handle(&mut self, message: FromCaller, _: &mut Self::Context) {
-        let waiting = Waiting {
+    fn handle(&mut self, message: CallerRequest, _: &mut Self::Context) {
+        let waiting = WaitingCaller {
             answers: message.answers,
             since: Instant::now(),
             first_part_seen: false,
         };
         self.waiting.insert(message.ticket, waiting);
-        self.take(message.event);
+        self.handle_event(message.event);
     }
 }
 
-/// Any other event.
+/// An event for the daemon that is not a caller's request.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct Happened(pub(crate) Event);
+pub(crate) struct DaemonEvent(pub(crate) Event);
 
-impl Handler<Happened> for DaemonActor {
+impl Handler<DaemonEvent> for DaemonActor {
     type Result = ();
 
-    fn handle(&mut self, message: Happened, _: &mut Self::Context) {
+    fn handle(&mut self, message: DaemonEvent, _: &mut Self::Context) {
         if let Event::CallerGone { ticket } = message.0 {
             self.waiting.remove(&ticket);
         }
@@ -255,11 +257,11 @@
                 engines.forget(attempt);
             }
         }
-        self.take(message.0);
+        self.handle_event(message.0);
     }
 }
 
-/// Asks whether the daemon can serve.
+/// Asks whether the daemon is ready to serve requests.
 #[derive(Message)]
 #[rtype(result = "bool")]
 pub(crate) struct IsReady;
@@ -275,12 +277,12 @@
 /// Asks for the revision of the configuration in force.
 #[derive(Message)]
 #[rtype(result = "Revision")]
-pub(crate) struct AskRevision;
+pub(crate) struct GetRevision;
 
-impl Handler<AskRevision> for DaemonActor {
-    type Result = MessageResult<AskRevision>;
+impl Handler<GetRevision> for DaemonActor {
+    type Result = MessageResult<GetRevision>;
 
-    fn handle(&mut self, _: AskRevision, _: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: GetRevision, _: &mut Self::Context) -> Self::Result {
         MessageResult(self.daemon.configuration().revision())
     }
 }
@@ -296,13 +298,13 @@
     fn handle(&mut self, _: RenderMetrics, _: &mut Self::Context) -> Option<String> {
         let rendered = self.metrics.render(&self.daemon);
         if let Err(error) = &rendered {
-            tracing::error!(%error, "cannot write metrics");
+            tracing::error!(%error, "cannot render the metrics");
         }
         rendered.ok()
     }
 }
 
-/// Starts a planned stop; answered once every accepted request is.
+/// Starts a drain. The sender is notified once every accepted request is answered.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct Drain(pub(crate) oneshot::Sender<()>);
@@ -315,12 +317,12 @@
             let _ = message.0.send(());
             return;
         }
-        self.drained.push(message.0);
-        self.take(Event::Drain);
+        self.drain_waiters.push(message.0);
+        self.handle_event(Event::Drain);
     }
 }
 
-/// Stops at once.
+/// Stops the actor at once, without answering waiting callers.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(crate) struct Halt;
--- a/crates/daemon-server/src/engines.rs
+++ b/crates/daemon-server/src/engines.rs
@@ -1,6 +1,6 @@
-//! Requests to replicas, and what they publish of themselves.
+//! HTTP client for replicas: calls, lookups and published events.
 
-use crate::actor::{DaemonActor, Happened};
+use crate::actor::{DaemonActor, DaemonEvent};
 use crate::engine_events::EngineEventReader;
 use crate::stream::read_chat_stream;
 use actix::Addr;
@@ -18,25 +18,25 @@
 use std::time::Duration;
 use tracing::{Instrument, Span};
 
-/// Time within which a replica must answer a request's head. Streams may take longer.
+/// Time within which a replica must send the head of its response. The body may take longer.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(300);
 
-/// Time within which a connection must be made.
+/// Time within which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest response of a plain service, in bytes.
+/// Maximum size of a lookup's response or of a replica's event list, in bytes.
 const MAX_LOOKUP_BYTES: usize = 8 << 20;
 
-/// Talks to replicas on behalf of the actor.
+/// Client that sends the actor's requests to replicas and polls their events.
 pub(crate) struct EngineClient {
     daemon: Addr<DaemonActor>,
     http: Client,
     running: BTreeMap<AttemptId, actix_rt::task::JoinHandle<()>>,
-    watched: BTreeMap<EngineId, Watched>,
+    watched: BTreeMap<EngineId, WatchedReplica>,
     poll_interval: Duration,
 }
 
-struct Watched {
+struct WatchedReplica {
     info: ReplicaInfo,
     task: actix_rt::task::JoinHandle<()>,
 }
@@ -57,39 +57,39 @@
         }
     }
 
-    /// Sends a request; its events go to the actor.
+    /// Sends a request in a task of its own, which passes the events to the actor.
     pub(crate) fn dispatch(&mut self, dispatch: Dispatch) {
         let attempt = dispatch.attempt;
         let http = self.http.clone();
         let daemon = self.daemon.clone();
         let span = attempt_span(&dispatch);
         let task = async move {
-            let tell =
-                |event: EngineEvent| daemon.do_send(Happened(Event::Engine { attempt, event }));
+            let emit =
+                |event: EngineEvent| daemon.do_send(DaemonEvent(Event::Engine { attempt, event }));
             let end = match &dispatch.body {
-                DispatchBody::Chat(chat) => send_chat(&http, &dispatch.address, chat, &tell).await,
+                DispatchBody::Chat(chat) => send_chat(&http, &dispatch.address, chat, &emit).await,
                 DispatchBody::Lookup(lookup) => send_lookup(&http, &dispatch.address, lookup).await,
             };
-            tracing::debug!(end = end_name(&end), "attempt ended");
-            tell(end);
+            tracing::debug!(end = event_name(&end), "attempt ended");
+            emit(end);
         };
         let task = actix_rt::spawn(task.instrument(span));
         self.running.insert(attempt, task);
     }
 
-    /// Stops a request by closing its connection, which cancels it at the replica.
+    /// Cancels a request at the replica by closing its connection.
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
         if let Some(task) = self.running.remove(&attempt) {
             task.abort();
         }
     }
 
-    /// A request has ended.
+    /// Removes a request that has ended.
     pub(crate) fn forget(&mut self, attempt: AttemptId) {
         self.running.remove(&attempt);
     }
 
-    /// Follows the events of exactly these replicas.
+    /// Polls the events of exactly these replicas.
     pub(crate) fn watch(&mut self, replicas: Vec<ReplicaInfo>) {
         self.watched.retain(|_, watched| {
             let keep = replicas.contains(&watched.info);
@@ -108,7 +108,8 @@
                 info.clone(),
                 self.poll_interval,
             ));
-            self.watched.insert(info.engine, Watched { info, task });
+            self.watched
+                .insert(info.engine, WatchedReplica { info, task });
         }
     }
 }
@@ -122,7 +123,7 @@
     }
 }
 
-/// Names the program, call and attempt in every log line about a dispatch.
+/// Creates a span that adds the program, call and attempt to every log line about a dispatch.
 fn attempt_span(dispatch: &Dispatch) -> Span {
     let (program, sequence, number) = match &dispatch.body {
         DispatchBody::Chat(chat) => (
@@ -141,7 +142,7 @@
     )
 }
 
-fn end_name(event: &EngineEvent) -> &'static str {
+fn event_name(event: &EngineEvent) -> &'static str {
     match event {
         EngineEvent::Part(_) => "part",
         EngineEvent::Completed { .. } => "completed",
@@ -157,7 +158,7 @@
     http: &Client,
     address: &str,
     chat: &ChatDispatch,
-    tell: &impl Fn(EngineEvent),
+    emit: &impl Fn(EngineEvent),
 ) -> EngineEvent {
     let body = ChatRequest {
         model: chat.model.0.clone(),
@@ -180,28 +181,29 @@
         request = request.insert_header((HEADER_MODEL_ADAPTER, adapter.as_str()));
     }
     match request.send_json(&body).await {
-        Err(error) => not_answered(&error),
+        Err(error) => classify_send_error(&error),
         Ok(mut response) if response.status().is_success() => {
-            read_chat_stream(&mut response, tell).await
+            read_chat_stream(&mut response, emit).await
         }
         Ok(mut response) => match response.json::<EngineErrorBody>().await {
-            Ok(body) => engine_error(body.error.code),
+            Ok(body) => engine_error_event(body.error.code),
             Err(_) => EngineEvent::Broken,
         },
     }
 }
 
-/// What an engine's own error means.
-pub(crate) fn engine_error(code: EngineErrorCode) -> EngineEvent {
+/// Converts an error that the engine reported.
+pub(crate) fn engine_error_event(code: EngineErrorCode) -> EngineEvent {
     match code {
         EngineErrorCode::Rejected | EngineErrorCode::Invalid => EngineEvent::Rejected,
         EngineErrorCode::Retryable => EngineEvent::Retryable,
     }
 }
 
-/// Only a connection that was never made proves that the request was not sent.
-fn not_answered(error: &SendRequestError) -> EngineEvent {
-    tracing::debug!(%error, "replica did not answer");
+/// Converts a send error. Only a connection that was never established proves that the request was
+/// not sent.
+fn classify_send_error(error: &SendRequestError) -> EngineEvent {
+    tracing::debug!(%error, "request to a replica failed");
     match error {
         SendRequestError::Connect(_) | SendRequestError::Url(_) => EngineEvent::NotSent,
         _ => EngineEvent::Broken,
@@ -217,7 +219,7 @@
         request = request.insert_header(("content-type", content_type.as_str()));
     }
     let mut response = match request.send_body(lookup.body.clone()).await {
-        Err(error) => return not_answered(&error),
+        Err(error) => return classify_send_error(&error),
         Ok(response) => response,
     };
     let status = response.status().as_u16();
@@ -239,7 +241,7 @@
     }
 }
 
-/// Asks one replica for its events again and again.
+/// Polls the events of one replica at `interval`.
 async fn follow_events(
     http: Client,
     daemon: Addr<DaemonActor>,
@@ -251,12 +253,12 @@
     loop {
         let last = reader.last();
         let url = format!("http://{}/events?after={last}", replica.address);
-        let answered = http
+        let result = http
             .get(url)
             .timeout(interval.max(CONNECT_TIMEOUT))
             .send()
             .await;
-        let events = match answered {
+        let events = match result {
             Ok(mut response) if response.status().is_success() => response
                 .json::<EngineEvents>()
                 .limit(MAX_LOOKUP_BYTES)
@@ -265,8 +267,8 @@
             _ => None,
         };
         if let Some(events) = events {
-            for event in reader.take(engine, events) {
-                daemon.do_send(Happened(event));
+            for event in reader.convert(engine, events) {
+                daemon.do_send(DaemonEvent(event));
             }
         }
         actix_rt::time::sleep(interval).await;
--- a/crates/daemon-server/src/parse.rs
+++ b/crates/daemon-server/src/parse.rs
@@ -1,8 +1,8 @@
-//! Callers' input: headers, bodies and paths, with an error that names the field.
+//! Parsing of headers, bodies and paths of callers. Errors name the invalid field.
 
 use crate::api::{CallBody, CreateBody};
 use actix_web::HttpRequest;
-use luglink_daemon::{CallRequest, CallTarget, CreateRequest, LookupRequest, ProgramDefaults};
+use luglink_daemon::{CallRequest, CallTarget, CreateRequest, LookupRequest, ProgramParameters};
 use luglink_engine_api::{
     ChatRequest, HEADER_CLASS, HEADER_IDEMPOTENCY_KEY, HEADER_MODEL_ADAPTER, HEADER_PRIORITY,
     HEADER_PROGRAM, HEADER_REPEATABLE, HEADER_SEQUENCE, HEADER_TENANT,
@@ -13,20 +13,20 @@
 };
 use serde::de::DeserializeOwned;
 
-/// Tenant and class of calls that state none.
+/// Tenant and class of calls that do not state any.
 const DEFAULT_NAME: &str = "default";
 
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Messages of one call at the most.
+/// Maximum number of messages of one call.
 const MAX_MESSAGES: usize = 1_024;
 
 fn invalid(field: &str, rule: impl std::fmt::Display) -> Refusal {
     Refusal::not_run(RefusalCode::InvalidRequest, format!("{field}: {rule}"))
 }
 
-/// Reads a JSON body.
+/// Parses a JSON body.
 pub(crate) fn json<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refusal> {
     serde_json::from_slice(body).map_err(|error| invalid("body", error))
 }
@@ -38,7 +38,7 @@
 pub(crate) fn create(request: &HttpRequest, body: CreateBody) -> Result<CreateRequest, Refusal> {
     let parent = body.parent.as_deref().map(program_id).transpose()?;
     Ok(CreateRequest {
-        program: ProgramDefaults {
+        program: ProgramParameters {
             tenant: TenantName(body.tenant),
             class: ClassName(body.class),
             model: ModelName(body.model),
@@ -69,7 +69,8 @@
     })
 }
 
-/// An OpenAI-compatible call: headers carry what the protocol has no field for.
+/// Parses an OpenAI-compatible call. Headers carry the parameters that the protocol has no field
+/// for.
 pub(crate) fn chat(request: &HttpRequest, body: ChatRequest) -> Result<CallRequest, Refusal> {
     check_messages(body.messages.len())?;
     let target = match header(request, HEADER_PROGRAM)? {
@@ -93,13 +94,13 @@
     })
 }
 
-fn one_shot(request: &HttpRequest, body: &ChatRequest) -> Result<ProgramDefaults, Refusal> {
+fn one_shot(request: &HttpRequest, body: &ChatRequest) -> Result<ProgramParameters, Refusal> {
     let name = |header_name| -> Result<String, Refusal> {
         Ok(header(request, header_name)?
             .unwrap_or(DEFAULT_NAME)
             .to_owned())
     };
-    Ok(ProgramDefaults {
+    Ok(ProgramParameters {
         tenant: TenantName(name(HEADER_TENANT)?),
         class: ClassName(name(HEADER_CLASS)?),
         model: ModelName(body.model.clone()),
@@ -133,7 +134,7 @@
     if count == 0 || count > MAX_MESSAGES {
         return Err(invalid(
             "messages",
-            format!("1 to {MAX_MESSAGES} messages, not {count}"),
+            format!("must be 1 to {MAX_MESSAGES} messages, not {count}"),
         ));
     }
     Ok(())
@@ -146,7 +147,7 @@
         .map(|value| {
             value
                 .to_str()
-                .map_err(|_| invalid(name, "must be plain text"))
+                .map_err(|_| invalid(name, "must be visible ASCII text"))
         })
         .transpose()
 }
@@ -156,7 +157,7 @@
         return Ok(None);
     };
     if text.is_empty() || text.len() > MAX_KEY_BYTES {
-        let rule = format!("1 to {MAX_KEY_BYTES} bytes");
+        let rule = format!("must be 1 to {MAX_KEY_BYTES} bytes");
         return Err(invalid(HEADER_IDEMPOTENCY_KEY, rule));
     }
     if text.starts_with('~') {
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -1,9 +1,10 @@
-//! Calls before they run: acceptance, order within the program, the queue, the intent.
+//! Calls before dispatch: acceptance, order within the program, queueing and the intent; and the
+//! end of calls: answers, refusals and timeouts.
 
 use crate::action::Answer;
 use crate::call::{ActiveCall, CallId, CurrentAttempt, Phase};
 use crate::caller::{CallRequest, CallTarget, TicketId};
-use crate::control_client::Conclusion;
+use crate::control_client::OperationResult;
 use crate::daemon::{Daemon, Purpose, control_unavailable};
 use crate::program::ServedProgram;
 use crate::programs::program_reply;
@@ -15,7 +16,7 @@
 };
 use std::time::Duration;
 
-/// Wait that is suggested to callers that are refused as overloaded.
+/// Retry delay suggested to callers that are refused as overloaded.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Daemon {
@@ -29,7 +30,7 @@
             return self.refuse(ticket, refusal);
         }
         if self.calls.len() >= self.config.max_queued_calls + self.max_running_calls() {
-            return self.refuse(ticket, overloaded("this daemon's calls"));
+            return self.refuse(ticket, overloaded("calls of this daemon"));
         }
         match request.target.clone() {
             CallTarget::Existing(program) => {
@@ -41,7 +42,7 @@
                     Ok(spec) => spec,
                     Err(refusal) => return self.refuse(ticket, refusal),
                 };
-                if let Some(refusal) = self.refuses_admission(&spec.model) {
+                if let Some(refusal) = self.admission_refusal(&spec.model) {
                     return self.refuse(ticket, refusal);
                 }
                 let program = match &request.key {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Calls that may be past the queue: what all replicas together take.
+    /// Returns the maximum number of calls past the queue: the capacity of all replicas together.
     fn max_running_calls(&self) -> usize {
         self.config.router.max_requests_per_replica * self.config.subset_size
     }
@@ -72,7 +73,7 @@
         self.counters.calls += 1;
         self.retry_budget.on_request();
         let id = self.next_call_id();
-        // Every call has a key, so that a repeated intent is known for what it is.
+        // Every call has a key, so that the control members recognise a repeated intent.
         let nonce = self.random_number();
         let key = request.key.clone().unwrap_or_else(|| {
             IdempotencyKey(format!("~{}-{nonce:x}-{}", self.config.daemon, id.0))
@@ -92,8 +93,8 @@
             deadline: Timestamp::MAX,
             phase: Phase::Waiting,
             window: StartWindow::default(),
-            predicted: Duration::ZERO,
-            silent_after: Timestamp::MAX,
+            predicted_duration: Duration::ZERO,
+            silence_deadline: Timestamp::MAX,
             sequence: request.sequence,
             attempt: None,
             attempts: 0,
@@ -113,14 +114,14 @@
             .programs
             .entry(program)
             .or_insert_with(|| ServedProgram::acquiring(now));
-        served.used_at = now;
+        served.last_used_at = now;
         if served.waiting.len() >= self.config.max_waiting_per_program {
             return self.close_refused(id, overloaded("calls of this program"));
         }
         served.waiting.push_back(id);
     }
 
-    /// Starts the program's next call, or asks for ownership first.
+    /// Starts the program's next call, or requests ownership if the program is not owned.
     fn ensure_served(&mut self, program: ProgramId) {
         let Some(served) = self.programs.get(&program) else {
             return;
@@ -128,11 +129,11 @@
         if served.held().is_some() {
             return self.start_next_call(program);
         }
-        let already_asked = self.operations.values().any(|purpose| {
+        let is_acquiring = self.operations.values().any(|purpose| {
             matches!(purpose, Purpose::Acquire { program: asked }
                 | Purpose::CreateOneShot { program: asked } if *asked == program)
         });
-        if !already_asked {
+        if !is_acquiring {
             self.acquire(program);
         }
     }
@@ -151,7 +152,7 @@
         self.submit_command(program, command, Purpose::CreateOneShot { program });
     }
 
-    /// Moves the program's next waiting call into the queue, if its turn has come.
+    /// Moves the program's next waiting call into the queue if no other call of it is current.
     pub(crate) fn start_next_call(&mut self, program: ProgramId) {
         let Some(served) = self.programs.get(&program) else {
             return;
@@ -162,7 +163,7 @@
         if served.current.is_some() {
             return;
         }
-        let Some(id) = self.next_in_turn(served, held.next_sequence) else {
+        let Some(id) = self.next_call_in_sequence(served, held.next_sequence) else {
             return;
         };
         let spec = held.spec.clone();
@@ -196,7 +197,7 @@
         self.requeue(id);
     }
 
-    /// Puts a call into the queue for an engine.
+    /// Adds a call to the queue.
     pub(crate) fn requeue(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -216,40 +217,40 @@
         });
     }
 
-    /// The waiting call whose turn it is: in order of arrival, but a call that states a later
-    /// sequence lets the ones before it come first, for a while.
-    fn next_in_turn(&self, served: &ServedProgram, next: Sequence) -> Option<CallId> {
-        let patience = self.config.reorder_patience;
-        let has_turn = |id: &&CallId| {
+    /// Returns the next waiting call in order of arrival. A call that states a later sequence
+    /// number is passed over for up to `max_reorder_wait`, so that earlier ones can arrive.
+    fn next_call_in_sequence(&self, served: &ServedProgram, next: Sequence) -> Option<CallId> {
+        let max_wait = self.config.max_reorder_wait;
+        let may_start = |id: &&CallId| {
             self.calls.get(id).is_some_and(|call| {
                 let early = call
                     .request
                     .sequence
                     .is_some_and(|sequence| sequence > next);
-                !early || self.now.since(call.arrived_at) >= patience
+                !early || self.now.since(call.arrived_at) >= max_wait
             })
         };
-        served.waiting.iter().find(has_turn).copied()
+        served.waiting.iter().find(may_start).copied()
     }
 
-    /// Gives engines to queued calls, the most urgent first, as long as there is room.
+    /// Starts queued calls, the most urgent first, until the pools have no free capacity.
     pub(crate) fn run_queue(&mut self) {
         if self.queue.len() == 0 {
             return;
         }
         let mut full_pools = Vec::new();
-        for queued in self.queue.in_order(self.now) {
+        for queued in self.queue.by_urgency(self.now) {
             if full_pools.contains(&queued.pool) {
                 continue;
             }
-            if !self.begin(queued.call) {
+            if !self.begin_call(queued.call) {
                 full_pools.push(queued.pool);
             }
         }
     }
 
-    /// Chooses an engine and sends the intent. Returns whether there was room.
-    fn begin(&mut self, id: CallId) -> bool {
+    /// Chooses an engine and sends the intent. Returns false if no engine has free capacity.
+    fn begin_call(&mut self, id: CallId) -> bool {
         let Some(engine) = self.route_call(id) else {
             return false;
         };
@@ -300,25 +301,25 @@
         self.submit_command(program, command, Purpose::Begin { call: id });
     }
 
-    pub(crate) fn on_begun(&mut self, id: CallId, conclusion: Conclusion) {
+    pub(crate) fn on_begun(&mut self, id: CallId, result: OperationResult) {
         if !self.calls.contains_key(&id) {
             return;
         }
-        match program_reply(conclusion) {
+        match program_reply(result) {
             Ok(Reply::Begun(begun)) => {
-                self.take_intent(id, begun);
+                self.apply_recorded_intent(id, begun);
                 self.dispatch_in_window(id);
             }
             Ok(Reply::AlreadyAnswered(answer)) => {
                 self.cancel_attempt(id);
                 self.close_answered(id, answer);
             }
-            Ok(_) => self.fail_begin(id, control_unavailable()),
-            Err(refusal) => self.fail_begin(id, refusal),
+            Ok(_) => self.on_begin_refused(id, control_unavailable()),
+            Err(refusal) => self.on_begin_refused(id, refusal),
         }
     }
 
-    fn take_intent(&mut self, id: CallId, begun: Begun) {
+    fn apply_recorded_intent(&mut self, id: CallId, begun: Begun) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -337,7 +338,7 @@
         }
     }
 
-    fn fail_begin(&mut self, id: CallId, refusal: Refusal) {
+    fn on_begin_refused(&mut self, id: CallId, refusal: Refusal) {
         self.cancel_attempt(id);
         let Some(call) = self.calls.get(&id) else {
             return;
@@ -351,7 +352,8 @@
             return self.reacquire(id);
         }
         if refusal.code == RefusalCode::ControlUnavailable {
-            // The intent may or may not be recorded; a new epoch will tell them apart.
+            // Whether the intent was recorded is unknown; the next takeover, under a new epoch,
+            // finds out.
             self.close_refused(id, refusal.clone());
             self.drop_program(program, &refusal);
             return;
@@ -359,8 +361,8 @@
         self.close_refused(id, refusal);
     }
 
-    /// Another daemon owned the program, or an intent of ours that we no longer know of is in
-    /// its way: takes it over under a new epoch and tries the call once more.
+    /// Takes the program over under a new epoch and retries the call. This is needed if another
+    /// daemon owns the program, or if a forgotten intent of this daemon blocks the call.
     fn reacquire(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -376,8 +378,9 @@
         self.acquire(program);
     }
 
-    /// The program has ended: repeated keys still get their stored answers.
-    pub(crate) fn answer_calls_of_ended(&mut self, program: ProgramId, refusal: &Refusal) {
+    /// Requests the stored answers of an ended program for its waiting calls, since a repeated key
+    /// still gets its answer.
+    pub(crate) fn resolve_calls_of_ended(&mut self, program: ProgramId, refusal: &Refusal) {
         let Some(served) = self.programs.get_mut(&program) else {
             return;
         };
@@ -387,13 +390,13 @@
             return;
         }
         for id in waiting {
-            self.send_begin_to_ended(id);
+            self.request_stored_answer(id);
         }
         self.programs.remove(&program);
     }
 
-    /// An intent for an ended program cannot start a run; it can only find a stored answer.
-    fn send_begin_to_ended(&mut self, id: CallId) {
+    /// Sends an intent for an ended program. It cannot start a run, but finds a stored answer.
+    fn request_stored_answer(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -419,7 +422,7 @@
         self.submit_command(program, command, Purpose::Begin { call: id });
     }
 
-    /// Answers a call in full and lets the program's next one start.
+    /// Answers a call and starts the program's next one.
     pub(crate) fn close_answered(&mut self, id: CallId, answer: luglink_program::StoredAnswer) {
         let Some(call) = self.remove_call(id) else {
             return;
@@ -434,10 +437,10 @@
                 },
             );
         }
-        self.after_call(&call);
+        self.on_call_closed(&call);
     }
 
-    /// Refuses a call and lets the program's next one start.
+    /// Refuses a call and starts the program's next one.
     pub(crate) fn close_refused(&mut self, id: CallId, mut refusal: Refusal) {
         let Some(call) = self.remove_call(id) else {
             return;
@@ -449,7 +452,7 @@
             Some(ticket) => self.refuse(ticket, refusal),
             None => self.counters.refused += 1,
         }
-        self.after_call(&call);
+        self.on_call_closed(&call);
     }
 
     fn remove_call(&mut self, id: CallId) -> Option<ActiveCall> {
@@ -464,7 +467,7 @@
         Some(call)
     }
 
-    fn after_call(&mut self, call: &ActiveCall) {
+    fn on_call_closed(&mut self, call: &ActiveCall) {
         let idle = self
             .programs
             .get(&call.program)
@@ -476,7 +479,8 @@
         self.start_next_call(call.program);
     }
 
-    /// Answers calls whose time has run out, at once, and those no engine can take.
+    /// Handles timeouts of calls: deadlines, silent engines and pools without a usable engine. Also
+    /// starts calls whose start window has begun or whose reorder wait is over.
     pub(crate) fn expire_calls(&mut self) {
         let now = self.now;
         let overdue: Vec<CallId> = self
@@ -486,11 +490,11 @@
             .map(|(id, _)| *id)
             .collect();
         for id in overdue {
-            self.give_up_at_deadline(id);
+            self.fail_at_deadline(id);
         }
-        self.dispatch_delayed();
-        self.expire_silent_engines();
-        self.refuse_without_engines();
+        self.dispatch_delayed_calls();
+        self.expire_silent_attempts();
+        self.refuse_calls_without_engine();
         let waiting: Vec<ProgramId> = self
             .calls
             .values()
@@ -502,8 +506,9 @@
         }
     }
 
-    /// Dispatches calls that no lost attempt can overtake any more.
-    fn dispatch_delayed(&mut self) {
+    /// Dispatches delayed calls whose start window has begun, so that no lost attempt can start
+    /// after them.
+    fn dispatch_delayed_calls(&mut self) {
         let delayed: Vec<CallId> = self
             .calls
             .iter()
@@ -515,14 +520,14 @@
         }
     }
 
-    /// An engine that accepted a call and says nothing may hang for ever: the call is taken back
-    /// and counts as broken there.
-    fn expire_silent_engines(&mut self) {
+    /// Cancels attempts at engines that have been silent for too long, since a hung engine may
+    /// never answer. Such an attempt counts as broken.
+    fn expire_silent_attempts(&mut self) {
         let now = self.now;
         let silent: Vec<CallId> = self
             .calls
             .iter()
-            .filter(|(_, call)| call.phase == Phase::Running && now > call.silent_after)
+            .filter(|(_, call)| call.phase == Phase::Running && now > call.silence_deadline)
             .map(|(id, _)| *id)
             .collect();
         for id in silent {
@@ -530,12 +535,12 @@
         }
     }
 
-    fn refuse_without_engines(&mut self) {
+    fn refuse_calls_without_engine(&mut self) {
         let now = self.now;
-        let patience = self.config.no_engine_patience;
+        let max_wait = self.config.max_engine_wait;
         let since = Timestamp::from_micros(
             now.as_micros()
-                .saturating_sub(u64::try_from(patience.as_micros()).unwrap_or(u64::MAX)),
+                .saturating_sub(u64::try_from(max_wait.as_micros()).unwrap_or(u64::MAX)),
         );
         for pool in self.queue.pools() {
             let name = crate::pools::PoolName::Model(pool.clone());
@@ -550,7 +555,7 @@
                 if self.pool_of(id).as_ref() == Some(&pool) {
                     let refusal = Refusal::not_run(
                         RefusalCode::NoEngine,
-                        format!("no engine of `{pool}` is usable"),
+                        format!("no engine of model `{pool}` is usable"),
                     )
                     .retry_after(Duration::from_secs(2));
                     self.close_refused(id, refusal);
--- a/crates/daemon/src/control_client.rs
+++ b/crates/daemon/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the control members: which member to ask, when to ask again, when to give up.
+//! Requests to the control members: choice of the member, retries and timeouts.
 
 use crate::action::Action;
 use luglink_control::{Request, Response};
@@ -6,20 +6,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One request to the control members, whichever of them answers it.
+/// Number of an operation: a request to the control members, including its retries at other
+/// members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperationId(pub u64);
 
-/// Pause before a request is sent again when nobody knows who leads.
-const NO_LEADER_PAUSE: Duration = Duration::from_millis(60);
+/// Delay before a request is sent again when the group's leader is unknown.
+const NO_LEADER_RETRY_DELAY: Duration = Duration::from_millis(60);
 
-/// How a request ended.
+/// Result of an operation.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Conclusion {
+pub(crate) enum OperationResult {
     /// A member answered.
     Answered(Box<Response>),
-    /// No member answered in time. Whether the request took effect is not known.
-    GaveUp,
+    /// No member answered in time. Whether the request took effect is unknown.
+    TimedOut,
 }
 
 #[derive(Clone, Debug)]
@@ -30,17 +31,17 @@
     attempt_timeout: Duration,
     attempt_deadline: Timestamp,
     deadline: Timestamp,
-    /// The member has been given the request and may still answer.
-    sent: bool,
+    /// True if the member has been sent the request and may still answer.
+    awaits_response: bool,
 }
 
-/// Requests under way and what is known of the leaders.
+/// Operations in flight and the known leaders of the groups.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlClient {
     members: Vec<MemberId>,
     leaders: BTreeMap<GroupId, MemberId>,
     operations: BTreeMap<OperationId, Operation>,
-    last: OperationId,
+    last_operation: OperationId,
     attempt_timeout: Duration,
 }
 
@@ -50,12 +51,12 @@
             members,
             leaders: BTreeMap::new(),
             operations: BTreeMap::new(),
-            last: OperationId::default(),
+            last_operation: OperationId::default(),
             attempt_timeout,
         }
     }
 
-    /// Sends a request to the group's leader, as far as it is known.
+    /// Sends a request to the group's leader, or to a guessed member if the leader is unknown.
     pub(crate) fn submit(
         &mut self,
         group: GroupId,
@@ -77,8 +78,8 @@
         )
     }
 
-    /// Sends a request to a given member, which may hold it for a while.
-    #[allow(clippy::too_many_arguments)] // Each is a separate fact of one request.
+    /// Sends a request to a given member, which may hold it until `attempt_timeout`.
+    #[allow(clippy::too_many_arguments)] // Independent parameters of one request.
     pub(crate) fn submit_to(
         &mut self,
         group: GroupId,
@@ -89,8 +90,8 @@
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) -> OperationId {
-        self.last.0 += 1;
-        let id = self.last;
+        self.last_operation.0 += 1;
+        let id = self.last_operation;
         let operation = Operation {
             group,
             request,
@@ -98,14 +99,15 @@
             attempt_timeout,
             attempt_deadline: now,
             deadline: now.plus(timeout),
-            sent: false,
+            awaits_response: false,
         };
         self.operations.insert(id, operation);
         self.send(id, now, actions);
         id
     }
 
-    /// The member to ask about a group first.
+    /// Returns the known leader of a group. If it is unknown, returns a member chosen by the
+    /// group's number, which spreads the groups over the members.
     pub(crate) fn leader_or_guess(&self, group: GroupId) -> MemberId {
         let guess = (group.0 as usize).saturating_sub(1) % self.members.len();
         self.leaders
@@ -114,14 +116,14 @@
             .unwrap_or(self.members[guess])
     }
 
-    /// Takes a response. `None` when the request goes on or is not known.
+    /// Handles a response. Returns `None` if the operation continues or is unknown.
     pub(crate) fn on_response(
         &mut self,
         id: OperationId,
         response: Response,
         now: Timestamp,
         actions: &mut Vec<Action>,
-    ) -> Option<Conclusion> {
+    ) -> Option<OperationResult> {
         let operation = self.operations.get_mut(&id)?;
         let group = operation.group;
         match response {
@@ -136,33 +138,33 @@
             }
             Response::NotLeader { .. } | Response::Unavailable { .. } => {
                 self.leaders.remove(&group);
-                self.pause(id, now);
+                self.schedule_retry(id, now);
                 None
             }
             answer => {
                 let member = operation.member;
                 self.operations.remove(&id);
                 self.leaders.insert(group, member);
-                Some(Conclusion::Answered(Box::new(answer)))
+                Some(OperationResult::Answered(Box::new(answer)))
             }
         }
     }
 
-    /// A member is gone: whatever it was asked goes to the next one.
+    /// Schedules retries of all operations at an unreachable member.
     pub(crate) fn on_unreachable(&mut self, member: MemberId, now: Timestamp) {
         self.leaders.retain(|_, leader| *leader != member);
         let affected: Vec<OperationId> = self
             .operations
             .iter()
-            .filter(|(_, operation)| operation.member == member && operation.sent)
+            .filter(|(_, operation)| operation.member == member && operation.awaits_response)
             .map(|(id, _)| *id)
             .collect();
         for id in affected {
-            self.pause(id, now);
+            self.schedule_retry(id, now);
         }
     }
 
-    /// Sends again what waited long enough; gives back what is given up.
+    /// Resends operations whose attempt has timed out. Removes and returns expired operations.
     pub(crate) fn tick(&mut self, now: Timestamp, actions: &mut Vec<Action>) -> Vec<OperationId> {
         let expired: Vec<OperationId> = self
             .operations
@@ -186,11 +188,11 @@
         expired
     }
 
-    /// Gives every request more time.
-    pub(crate) fn postpone(&mut self, wait: Duration) {
+    /// Moves the deadlines of all operations back by `extension`.
+    pub(crate) fn extend_deadlines(&mut self, extension: Duration) {
         for operation in self.operations.values_mut() {
-            operation.attempt_deadline = operation.attempt_deadline.plus(wait);
-            operation.deadline = operation.deadline.plus(wait);
+            operation.attempt_deadline = operation.attempt_deadline.plus(extension);
+            operation.deadline = operation.deadline.plus(extension);
         }
     }
 
@@ -199,10 +201,10 @@
         self.operations.values().map(deadline).min()
     }
 
-    fn pause(&mut self, id: OperationId, now: Timestamp) {
+    fn schedule_retry(&mut self, id: OperationId, now: Timestamp) {
         if let Some(operation) = self.operations.get_mut(&id) {
-            operation.sent = false;
-            operation.attempt_deadline = now.plus(NO_LEADER_PAUSE);
+            operation.awaits_response = false;
+            operation.attempt_deadline = now.plus(NO_LEADER_RETRY_DELAY);
         }
     }
 
@@ -226,7 +228,7 @@
 
     fn send(&mut self, id: OperationId, now: Timestamp, actions: &mut Vec<Action>) {
         if let Some(operation) = self.operations.get_mut(&id) {
-            operation.sent = true;
+            operation.awaits_response = true;
             operation.attempt_deadline = now.plus(operation.attempt_timeout);
             actions.push(Action::Control {
                 member: operation.member,
--- a/crates/daemon/src/outcomes.rs
+++ b/crates/daemon/src/outcomes.rs
@@ -1,7 +1,7 @@
-//! Outcomes: what follows a failed attempt, and how the end of a call becomes durable.
+//! Outcomes of calls: retries after failed attempts and durable recording of the outcome.
 
 use crate::call::{CallId, CurrentAttempt, Phase};
-use crate::control_client::Conclusion;
+use crate::control_client::OperationResult;
 use crate::daemon::{Daemon, Purpose};
 use crate::program::ServedProgram;
 use crate::programs::program_reply;
@@ -12,8 +12,8 @@
 };
 
 impl Daemon {
-    /// Decides what follows a failed attempt. Only classes that are safe to retry lead to
-    /// another attempt, within the call's, the program's and the daemon's retry bounds.
+    /// Retries a failed attempt or records its outcome. Only outcome classes that are safe to retry
+    /// lead to another attempt, within the retry limits of the call, the program and the daemon.
     pub(crate) fn on_attempt_failed(&mut self, id: CallId, class: OutcomeClass) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -64,7 +64,7 @@
         self.submit_command(program, command, Purpose::Retry { call: id });
     }
 
-    pub(crate) fn on_retry_recorded(&mut self, id: CallId, conclusion: Conclusion) {
+    pub(crate) fn on_retry_recorded(&mut self, id: CallId, result: OperationResult) {
         let retrying = self
             .calls
             .get(&id)
@@ -72,7 +72,7 @@
         if !retrying {
             return;
         }
-        match program_reply(conclusion) {
+        match program_reply(result) {
             Ok(Reply::Begun(begun)) => {
                 if let Some(call) = self.calls.get_mut(&id) {
                     call.window = begun.window;
@@ -83,8 +83,8 @@
             Err(refusal) => {
                 self.cancel_attempt(id);
                 if refusal.code == RefusalCode::ControlUnavailable {
-                    // Whether the attempt was recorded is not known, so the call stays open
-                    // under this epoch; the next owner will find it uncertain.
+                    // Whether the attempt was recorded is unknown, so the call stays open under
+                    // this epoch, and the next owner records it as uncertain.
                     let program = self.calls.get(&id).map(|call| call.program);
                     self.close_refused(id, unknown_outcome());
                     if let Some(program) = program {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Makes the outcome durable; the caller is answered afterwards.
+    /// Sends the outcome to the control members. The caller is answered once it is durable.
     pub(crate) fn record_outcome(&mut self, id: CallId, class: OutcomeClass) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
@@ -130,11 +130,11 @@
         self.submit_command(program, command, Purpose::Finish { call: id });
     }
 
-    pub(crate) fn on_finished(&mut self, id: CallId, conclusion: Conclusion) {
+    pub(crate) fn on_finished(&mut self, id: CallId, result: OperationResult) {
         let Some(class) = self.calls.get(&id).and_then(|call| call.outcome) else {
             return;
         };
-        match program_reply(conclusion) {
+        match program_reply(result) {
             Ok(Reply::Finished { next_sequence }) => {
                 self.on_outcome_durable(id, class, next_sequence)
             }
@@ -147,14 +147,14 @@
         match class {
             OutcomeClass::Completed => self.complete(id, next_sequence),
             OutcomeClass::Uncertain => {
-                let rerun = self.calls.get(&id).is_some_and(|call| {
+                let may_rerun = self.calls.get(&id).is_some_and(|call| {
                     call.request.repeatable
                         && !call.part_sent
                         && call.ticket.is_some()
                         && call.attempts < self.config.max_attempts
                 });
-                if rerun && self.retry_budget.try_withdraw() {
-                    return self.run_again(id, next_sequence);
+                if may_rerun && self.retry_budget.try_withdraw() {
+                    return self.rerun_call(id, next_sequence);
                 }
                 self.set_next_sequence(id, next_sequence);
                 self.close_refused(id, unknown_outcome());
@@ -178,7 +178,7 @@
             unknown_outcome()
         };
         self.close_refused(id, answer);
-        // What this daemon holds of the program is no longer what the group holds.
+        // This daemon's copy of the program no longer matches that of the group.
         if let Some(program) = program {
             self.drop_program(program, refusal);
         }
@@ -213,7 +213,7 @@
                 - usage.cached_tokens.min(usage.prompt_tokens)
                 + usage.completion_tokens;
         }
-        self.note_cached_turn(program, engine);
+        self.record_cached_blocks(program, engine);
         self.close_answered(
             id,
             StoredAnswer {
@@ -225,8 +225,9 @@
         );
     }
 
-    /// The engine keeps the turn's blocks; its own event comes late or never.
-    fn note_cached_turn(&mut self, program: ProgramId, engine: Option<EngineId>) {
+    /// Records that the engine caches the call's blocks, since the engine's own event may arrive
+    /// late or never.
+    fn record_cached_blocks(&mut self, program: ProgramId, engine: Option<EngineId>) {
         let held = self.programs.get(&program).and_then(ServedProgram::held);
         let (Some(held), Some(engine)) = (held, engine) else {
             return;
@@ -236,9 +237,9 @@
         }
     }
 
-    /// The caller allowed the call to run twice, and the first run is on record as uncertain:
-    /// the intent is sent again under the same key.
-    fn run_again(&mut self, id: CallId, next_sequence: Sequence) {
+    /// Queues a repeatable call again after its first run was recorded as uncertain. The intent is
+    /// sent again under the same key.
+    fn rerun_call(&mut self, id: CallId, next_sequence: Sequence) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
@@ -263,7 +264,7 @@
 }
 
 fn engine_failed(class: OutcomeClass) -> Refusal {
-    let detail = "the engines failed and no retry is left";
+    let detail = "every attempt failed and no retry is left";
     let refusal = if class.is_unprocessed() {
         Refusal::not_run(RefusalCode::EngineFailed, detail)
     } else {
@@ -275,6 +276,6 @@
 fn unknown_outcome() -> Refusal {
     Refusal::uncertain(
         RefusalCode::OutcomeUnknown,
-        "nobody can tell whether the request ran; the program keeps its place",
+        "it is unknown whether the request ran; the program can continue",
     )
 }
