--- a/app/luglink/src/fleet.rs
+++ b/app/luglink/src/fleet.rs
@@ -64,7 +64,7 @@
     let file_written = last_written(file.as_ref());
     let settings =
         load(options.server.config.as_deref(), overrides.clone(), role).map_err(unusable)?;
-    let logs = luglink_telemetry::init_bounded_logs(&settings.log_filter).map_err(unusable)?;
+    let logs = luglink_telemetry::init_non_blocking_logs(&settings.log_filter).map_err(unusable)?;
     let fleet = settings
         .fleet
         .clone()
@@ -153,7 +153,7 @@
             list_stale_after: fleet.list_stale_after(),
             replication: replication(fleet),
             full_at: gateway.full_at,
-            features: Features::new(gateway.scheduling, fleet.expects_pressure()),
+            features: Features::new(gateway.scheduling, fleet.expects_overload()),
             keys_expire_after: fleet
                 .fail_closed
                 .then(|| Duration::from_millis(fleet.revoke_ms)),
--- a/crates/admin-api/src/convert.rs
+++ b/crates/admin-api/src/convert.rs
@@ -3,8 +3,9 @@
 use crate::errors::{ApiError, ApiSnafu};
 use crate::v1;
 use luglink_resources::{
-    Adapter, BudgetPolicy, Change, ChangeAnswer, Expected, ModelPool, Operation, PriorityLevel,
-    ProgramClass, Replica, Resource, ResourceKey, ResourceKind, Service, Tenant,
+    Adapter, BudgetPolicy, Change, ChangeResponse, ModelPool, Operation, PriorityLevel,
+    ProgramClass, Replica, Resource, ResourceKey, ResourceKind, RevisionPrecondition, Service,
+    Tenant,
 };
 use luglink_types::{
     Budget, ChangeId, ClassName, EngineId, ModelName, Priority, Revision, ServiceName, TenantName,
@@ -27,8 +28,8 @@
         operator: request.operator,
         expected: request
             .expected_revision
-            .map_or(Expected::Current, |revision| {
-                Expected::Exactly(Revision(revision))
+            .map_or(RevisionPrecondition::Current, |revision| {
+                RevisionPrecondition::Exactly(Revision(revision))
             }),
         operations: operations?,
     })
@@ -36,12 +37,12 @@
 
 /// The response that carries an answer.
 #[must_use]
-pub fn answer_to_proto(answer: ChangeAnswer) -> v1::ApplyResponse {
+pub fn answer_to_proto(answer: ChangeResponse) -> v1::ApplyResponse {
     use v1::apply_response::Answer;
     let answer = match answer {
-        ChangeAnswer::Accepted { revision } => Answer::AcceptedRevision(revision.0),
-        ChangeAnswer::Stale { current, .. } => Answer::StaleCurrentRevision(current.0),
-        ChangeAnswer::Invalid { violations } => Answer::Invalid(v1::Violations {
+        ChangeResponse::Accepted { revision } => Answer::AcceptedRevision(revision.0),
+        ChangeResponse::Stale { current, .. } => Answer::StaleCurrentRevision(current.0),
+        ChangeResponse::Invalid { violations } => Answer::Invalid(v1::Violations {
             violations: violations
                 .into_iter()
                 .map(|violation| v1::Violation {
@@ -51,7 +52,7 @@
                 })
                 .collect(),
         }),
-        ChangeAnswer::ChangeIdReused => Answer::ChangeIdReused(true),
+        ChangeResponse::ChangeIdReused => Answer::ChangeIdReused(true),
     };
     v1::ApplyResponse {
         answer: Some(answer),
--- a/crates/admin-api/tests/conversions.rs
+++ b/crates/admin-api/tests/conversions.rs
@@ -5,8 +5,8 @@
     resource_from_proto, resource_to_proto, v1,
 };
 use luglink_resources::{
-    Adapter, BudgetPolicy, Change, ChangeAnswer, Expected, ModelPool, Operation, PriorityLevel,
-    ProgramClass, Replica, Resource, ResourceStore, Service, Tenant,
+    Adapter, BudgetPolicy, Change, ChangeResponse, ModelPool, Operation, PriorityLevel,
+    ProgramClass, Replica, Resource, ResourceStore, RevisionPrecondition, Service, Tenant,
 };
 use luglink_types::{Budget, ChangeId, EngineId, Priority, UNLIMITED};
 use proptest::prelude::*;
@@ -135,11 +135,11 @@
     let answer = ResourceStore::default().apply(&Change {
         change_id: ChangeId("example".to_owned()),
         operator: "test".to_owned(),
-        expected: Expected::Current,
+        expected: RevisionPrecondition::Current,
         operations,
     });
     assert!(
-        matches!(answer, ChangeAnswer::Accepted { .. }),
+        matches!(answer, ChangeResponse::Accepted { .. }),
         "{answer:?}"
     );
 }
@@ -168,7 +168,7 @@
     };
     let change = change_from_proto(request).unwrap();
     let answer = ResourceStore::default().apply(&change);
-    let ChangeAnswer::Invalid { violations } = answer else {
+    let ChangeResponse::Invalid { violations } = answer else {
         panic!("expected violations, got {answer:?}");
     };
     assert!(violations.iter().any(|it| it.field == "change_id"));
--- a/crates/control-server/src/actor.rs
+++ b/crates/control-server/src/actor.rs
@@ -8,7 +8,7 @@
     RequestToken, Response, ResponseParts,
 };
 use luglink_fleet::{BackendList, BackendReport, ReplicaIncarnation};
-use luglink_net::{Accepted, FrameSender};
+use luglink_net::{FrameSender, ListenerEvent};
 use luglink_storage::FileDisk;
 use luglink_types::{EngineId, GroupId, ProgramId, Timestamp};
 use luglink_wire::{
@@ -367,14 +367,14 @@
 /// Event of the listening socket.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(crate) struct SocketEvent(pub(crate) Accepted);
+pub(crate) struct SocketEvent(pub(crate) ListenerEvent);
 
 impl Handler<SocketEvent> for ControlActor {
     type Result = ();
 
     fn handle(&mut self, event: SocketEvent, context: &mut Self::Context) {
         match event.0 {
-            Accepted::Opened {
+            ListenerEvent::Opened {
                 connection,
                 hello,
                 sender,
@@ -383,8 +383,8 @@
                     self.clients.insert(connection, sender);
                 }
             }
-            Accepted::Frame { connection, frame } => self.on_frame(connection, frame, context),
-            Accepted::Closed { connection } => {
+            ListenerEvent::Frame { connection, frame } => self.on_frame(connection, frame, context),
+            ListenerEvent::Closed { connection } => {
                 self.clients.remove(&connection);
                 self.handle_input(Input::ClientDisconnected { client: connection }, context);
             }
--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -20,7 +20,7 @@
 use luglink_edge::Dialect;
 use luglink_fleet::ListReadLimits;
 use luglink_http::{ServeOptions, serve, stopper};
-use luglink_settings::{FleetSettings, ManagedSettings};
+use luglink_settings::{FleetSettings, ManagedMemberSettings};
 use luglink_storage::FileDisk;
 use luglink_types::MemberId;
 use rand::RngCore;
@@ -47,7 +47,7 @@
     /// Settings of all processes of the fleet.
     pub fleet: FleetSettings,
     /// Settings of the control members.
-    pub member: ManagedSettings,
+    pub member: ManagedMemberSettings,
 }
 
 /// A running member.
@@ -177,8 +177,8 @@
 
 fn serve_options() -> ServeOptions {
     ServeOptions {
-        header_bytes: 16 << 10,
-        idle: CONNECTION_IDLE_TIMEOUT,
+        max_header_bytes: 16 << 10,
+        idle_timeout: CONNECTION_IDLE_TIMEOUT,
         unread: None,
     }
 }
--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -119,7 +119,7 @@
             backends: list,
             members: MembersStamp::NEWEST,
         },
-        sends_document_at_once: false,
+        wants_document_at_once: false,
         is_counted_here: false,
     }));
     let parts = RequestParts {
--- a/crates/control-server/src/releases.rs
+++ b/crates/control-server/src/releases.rs
@@ -1,7 +1,7 @@
 //! Delivery of release orders to engines.
 
 use luglink_control::{ReleaseOrder, Request};
-use luglink_engine_api::{EngineOrder, OrderAnswer, OrderFence, OrderKind};
+use luglink_engine_api::{EngineOrder, OrderFence, OrderKind, OrderResponse};
 use luglink_program::{Command, ConfirmRelease};
 use std::time::Duration;
 
@@ -41,11 +41,11 @@
         .timeout(ORDER_TIMEOUT)
         .send_json(&order);
     let answer = match request.await {
-        Ok(mut response) => response.json::<OrderAnswer>().await.ok(),
+        Ok(mut response) => response.json::<OrderResponse>().await.ok(),
         Err(error) => {
             tracing::debug!(%error, program = %release.program, "cannot deliver a release order");
             None
         }
     };
-    matches!(answer, Some(OrderAnswer::Done)).then_some(confirmed)
+    matches!(answer, Some(OrderResponse::Done)).then_some(confirmed)
 }
--- a/crates/control/src/fleet.rs
+++ b/crates/control/src/fleet.rs
@@ -97,7 +97,7 @@
         let limit = self.resolution_validity();
         self.fleet.update_zone_loads(self.now, limit);
         let has_zone_peers = !self.zone_peers().is_empty();
-        self.fleet.replica_stats.set_has_neighbours(has_zone_peers);
+        self.fleet.replica_stats.set_has_zone_peers(has_zone_peers);
         let stats_timeout = self.stats_timeout();
         self.fleet.replica_stats.expire(self.now, stats_timeout);
         let now = self.now;
--- a/crates/control/src/machine.rs
+++ b/crates/control/src/machine.rs
@@ -5,7 +5,7 @@
     DocumentStore, RetireResponse, StoreCommand, StoreRegistry, VersionedDocument,
 };
 use luglink_program::{Command, ProgramStore, RefundRule, Reply};
-use luglink_resources::{Change, ChangeAnswer, ResourceStore};
+use luglink_resources::{Change, ChangeResponse, ResourceStore};
 use luglink_types::{GroupId, Timestamp};
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
@@ -32,7 +32,7 @@
     /// Result of a program command.
     Program(Reply),
     /// Result of a change of the resources.
-    Change(ChangeAnswer),
+    Change(ChangeResponse),
     /// Version of the document that is held after the command.
     Document(u64),
     /// Result of a change of the registry of turn stores.
--- a/crates/control/src/member_plan.rs
+++ b/crates/control/src/member_plan.rs
@@ -47,7 +47,7 @@
         peer != self.raft.me()
             && self
                 .raft
-                .silence_of(peer)
+                .time_since_contact(peer)
                 .is_none_or(|silence| silence >= self.managed.member_timeout)
     }
 
@@ -126,7 +126,7 @@
         learners
             .find(|peer| {
                 self.raft
-                    .silence_of(*peer)
+                    .time_since_contact(*peer)
                     .is_some_and(|silence| silence >= self.managed.forget_timeout)
             })
             .map(MembershipChange::Remove)
--- a/crates/control/src/observer_table.rs
+++ b/crates/control/src/observer_table.rs
@@ -23,7 +23,7 @@
     /// Its zone, if it asks for the replica statistics of the zone.
     pub(crate) stats_zone: Option<String>,
     /// True if it expects this member to send a new document at once.
-    pub(crate) sends_document_at_once: bool,
+    pub(crate) wants_document_at_once: bool,
     /// Its zone, if it is counted at this member.
     pub(crate) counted_zone: Option<String>,
     /// End of the hold, at which it is answered even if nothing is new.
--- a/crates/control/src/observers.rs
+++ b/crates/control/src/observers.rs
@@ -100,7 +100,7 @@
             known: observer_request.known,
             known_incarnations: parts.known_incarnations,
             stats_zone,
-            sends_document_at_once: observer_request.sends_document_at_once,
+            wants_document_at_once: observer_request.wants_document_at_once,
             counted_zone,
             deadline: self.now.plus(self.observe_hold()),
         };
@@ -132,7 +132,7 @@
         if let Some(member_stats) = member_stats {
             self.fleet
                 .replica_stats
-                .note_neighbour(member_stats, self.now);
+                .note_zone_peer(member_stats, self.now);
         }
         for presence in presences {
             self.fleet.presence.note_relayed(presence, self.now);
@@ -275,7 +275,7 @@
     /// the selected ones fail. All members send it to an observer that has just started.
     fn sends_document(&self, observer: &Observer) -> bool {
         let has_started = observer.known.is_current && observer.known.document_version > 0;
-        !has_started || observer.sends_document_at_once || self.sends_document_to_all()
+        !has_started || observer.wants_document_at_once || self.sends_document_to_all()
     }
 
     fn sends_document_to_all(&self) -> bool {
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -39,7 +39,7 @@
         .skip(start)
         .take(count)
         .collect();
-    Membership::of_voters(first_peers(&chosen))
+    Membership::from_voters(first_peers(&chosen))
 }
 
 fn first_peers(members: &[MemberId]) -> impl Iterator<Item = Peer> + '_ {
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -5,7 +5,7 @@
 };
 use luglink_program::{Command, ProgramView, Reply};
 use luglink_raft::{LogIndex, Membership, MembershipChange, Peer, Term};
-use luglink_resources::{CatchUp, Change, ChangeAnswer};
+use luglink_resources::{CatchUp, Change, ChangeResponse};
 use luglink_types::{EngineId, GroupId, MemberId, ProgramId, Revision};
 use serde::{Deserialize, Serialize};
 
@@ -77,7 +77,7 @@
     /// Changes of the configuration after the client's revision.
     Configuration(CatchUp),
     /// Result of a change of the configuration.
-    Change(ChangeAnswer),
+    Change(ChangeResponse),
     /// Status of this member.
     Status(MemberStatus),
     /// The request was accepted and has no other result.
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -12,7 +12,7 @@
 use luglink_fleet::{StoreCommand, VersionedDocument};
 use luglink_program::Command;
 use luglink_raft::{Entry, HardState, LogIndex, Payload, Snapshot};
-use luglink_resources::{Change, ChangeAnswer};
+use luglink_resources::{Change, ChangeResponse};
 use luglink_storage::{Disk, MemoryDisk, Wal, WalConfig};
 use luglink_types::{GroupId, MemberId, Revision, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -108,7 +108,7 @@
             let revision = Revision(number + 1);
             assert_eq!(
                 answer,
-                Response::Change(ChangeAnswer::Accepted { revision })
+                Response::Change(ChangeResponse::Accepted { revision })
             );
         }
         self.ask(Request::Program(Command::Create(values::create())));
--- a/crates/control/tests/golden/responses.rs
+++ b/crates/control/tests/golden/responses.rs
@@ -12,7 +12,7 @@
 use luglink_program::{
     Begun, EndReason, Owned, ProgramStatus, ProgramView, Reply, StartWindow, StoredAnswer,
 };
-use luglink_resources::{CatchUp, ChangeAnswer, Delta, Resource, Violation};
+use luglink_resources::{CatchUp, ChangeResponse, Delta, Resource, Violation};
 use luglink_types::{
     AttemptNumber, Charge, DaemonId, EngineId, Epoch, GroupId, MemberId, Refusal, RefusalCode,
     Revision, Sequence, Timestamp,
@@ -143,24 +143,24 @@
     }
 }
 
-fn change_answers() -> Vec<ChangeAnswer> {
+fn change_answers() -> Vec<ChangeResponse> {
     let violation = Violation {
         field: "f".to_owned(),
         value: "v".to_owned(),
         rule: "r".to_owned(),
     };
     vec![
-        ChangeAnswer::Accepted {
+        ChangeResponse::Accepted {
             revision: Revision(300),
         },
-        ChangeAnswer::Stale {
+        ChangeResponse::Stale {
             expected: Revision(1),
             current: Revision(2),
         },
-        ChangeAnswer::Invalid {
+        ChangeResponse::Invalid {
             violations: vec![violation],
         },
-        ChangeAnswer::ChangeIdReused,
+        ChangeResponse::ChangeIdReused,
     ]
 }
 
@@ -222,10 +222,10 @@
             CatchUp::Snapshot { .. } => "snapshot",
         },
         Response::Change(answer) => match answer {
-            ChangeAnswer::Accepted { .. } => "accepted",
-            ChangeAnswer::Stale { .. } => "stale",
-            ChangeAnswer::Invalid { .. } => "invalid",
-            ChangeAnswer::ChangeIdReused => "change-id-reused",
+            ChangeResponse::Accepted { .. } => "accepted",
+            ChangeResponse::Stale { .. } => "stale",
+            ChangeResponse::Invalid { .. } => "invalid",
+            ChangeResponse::ChangeIdReused => "change-id-reused",
         },
         Response::Status(_) => "status",
         Response::Done => "done",
--- a/crates/control/tests/golden/values.rs
+++ b/crates/control/tests/golden/values.rs
@@ -16,7 +16,9 @@
 use luglink_raft::{
     Entry, Envelope, Membership, MembershipChange, Message, Payload, Peer, ReadId, Snapshot,
 };
-use luglink_resources::{Change, Expected, Operation, Resource, ResourceKey, ResourceKind, Tenant};
+use luglink_resources::{
+    Change, Operation, Resource, ResourceKey, ResourceKind, RevisionPrecondition, Tenant,
+};
 use luglink_types::{
     AttemptNumber, Budget, ChatMessage, DaemonId, EngineId, Epoch, GroupId, MemberId, OutcomeClass,
     Priority, ProgramId, Revision, Sequence, Timestamp, TokenUsage,
@@ -50,7 +52,7 @@
     Change {
         change_id: format!("c{number}").as_str().into(),
         operator: "o".to_owned(),
-        expected: Expected::Exactly(Revision(number)),
+        expected: RevisionPrecondition::Exactly(Revision(number)),
         operations: vec![Operation::Set(Resource::Tenant(tenant(number)))],
     }
 }
@@ -248,7 +250,7 @@
             backends: Some(known),
             members: stamp(),
         },
-        sends_document_at_once: true,
+        wants_document_at_once: true,
         is_counted_here: false,
     }))
 }
@@ -273,7 +275,7 @@
         name: "s".to_owned(),
     };
     let delete = Change {
-        expected: Expected::Current,
+        expected: RevisionPrecondition::Current,
         operations: vec![Operation::Delete(resource)],
         ..change(2)
     };
@@ -380,7 +382,7 @@
 }
 
 pub fn membership() -> Membership {
-    let mut membership = Membership::of_voters([peer(1), peer(2)]);
+    let mut membership = Membership::from_voters([peer(1), peer(2)]);
     membership.learners.insert(peer(3));
     membership
 }
--- a/crates/control/tests/managed/observers.rs
+++ b/crates/control/tests/managed/observers.rs
@@ -65,7 +65,7 @@
     let ask = |fleet: &mut Fleet, name: &str, order: [u32; 3]| -> Vec<(u32, u64)> {
         let mut ask = |(position, member)| {
             let mut observer_request = observer_request(name, gateway(), current.clone());
-            observer_request.sends_document_at_once = position < 2;
+            observer_request.wants_document_at_once = position < 2;
             let request = Request::Observe(Box::new(observer_request));
             (member, fleet.input(member, request))
         };
@@ -364,7 +364,7 @@
     let is_answered = |fleet: &Fleet, number: &u64| fleet.replies.contains_key(&(leader, *number));
     assert!(!asked.iter().any(|number| is_answered(&fleet, number)));
     let mut observer_request = observer_request("first sender", gateway(), current.clone());
-    observer_request.sends_document_at_once = true;
+    observer_request.wants_document_at_once = true;
     let sent_first = fleet.input(leader, Request::Observe(Box::new(observer_request)));
     fleet.input(leader, Request::PutDocument(document(2, "two")));
     fleet.run(0.1);
--- a/crates/control/tests/managed/support.rs
+++ b/crates/control/tests/managed/support.rs
@@ -285,7 +285,7 @@
             role,
         },
         known,
-        sends_document_at_once: false,
+        wants_document_at_once: false,
         is_counted_here: true,
     }
 }
--- a/crates/control/tests/member.rs
+++ b/crates/control/tests/member.rs
@@ -4,7 +4,9 @@
     ControlConfig, ControlError, ControlNode, Input, Output, Request, RequestToken, Response,
 };
 use luglink_program::{Claim, Command, CreateProgram, ProgramSpec, Reply};
-use luglink_resources::{Change, ChangeAnswer, Expected, Operation, Resource, Tenant};
+use luglink_resources::{
+    Change, ChangeResponse, Operation, Resource, RevisionPrecondition, Tenant,
+};
 use luglink_storage::{CrashDamage, Disk, MemoryDisk};
 use luglink_types::{
     Budget, ChangeId, DaemonId, GroupId, MemberId, Priority, ProgramId, Revision, Timestamp,
@@ -70,11 +72,11 @@
         replies.next().expect("a single member answers at once")
     }
 
-    fn change(&mut self, number: u64) -> ChangeAnswer {
+    fn change(&mut self, number: u64) -> ChangeResponse {
         let change = Change {
             change_id: ChangeId(format!("c{number}")),
             operator: "o".to_owned(),
-            expected: Expected::Exactly(Revision(number)),
+            expected: RevisionPrecondition::Exactly(Revision(number)),
             operations: vec![Operation::Set(Resource::Tenant(Tenant {
                 name: format!("t{number}").as_str().into(),
                 weight: 1,
@@ -129,7 +131,7 @@
     let mut member = Member::start(MemoryDisk::new());
     for number in 0..60 {
         member.create(number);
-        let accepted = ChangeAnswer::Accepted {
+        let accepted = ChangeResponse::Accepted {
             revision: Revision(number + 1),
         };
         assert_eq!(member.change(number), accepted);
@@ -162,7 +164,7 @@
     let change = Change {
         change_id: ChangeId("late".to_owned()),
         operator: "o".to_owned(),
-        expected: Expected::Current,
+        expected: RevisionPrecondition::Current,
         operations: Vec::new(),
     };
     let request = Box::new(Request::Change(change));
--- a/crates/daemon-server/src/actor.rs
+++ b/crates/daemon-server/src/actor.rs
@@ -197,7 +197,7 @@
 
     fn handle(&mut self, message: FromMember, _: &mut Self::Context) {
         match message.event {
-            LinkEvent::Lost => self.take(Event::MemberUnreachable {
+            LinkEvent::Disconnected => self.take(Event::MemberUnreachable {
                 member: message.member,
             }),
             LinkEvent::Frame(Frame::Response {
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -294,7 +294,7 @@
             requested_output_tokens: call.request.max_output_tokens,
             cost_per_token_micros: price,
             repeatable: call.request.repeatable,
-            ceiling: self.class_ceiling(&held.spec),
+            ceiling: self.class_budget(&held.spec),
             engine,
         });
         self.submit_command(program, command, Purpose::Begin { call: id });
--- a/crates/daemon/src/configuration.rs
+++ b/crates/daemon/src/configuration.rs
@@ -52,8 +52,8 @@
     }
 
     /// The ceiling that the program's class has now.
-    pub(crate) fn class_ceiling(&self, spec: &ProgramSpec) -> Budget {
-        self.configuration.class_ceiling(spec.class.as_str())
+    pub(crate) fn class_budget(&self, spec: &ProgramSpec) -> Budget {
+        self.configuration.class_budget(spec.class.as_str())
     }
 
     /// Waiting time after which a call of this priority counts as one priority higher.
--- a/crates/daemon/src/outcomes.rs
+++ b/crates/daemon/src/outcomes.rs
@@ -18,7 +18,7 @@
         let Some(call) = self.calls.get_mut(&id) else {
             return;
         };
-        call.may_have_run |= !class.spent_nothing();
+        call.may_have_run |= !class.is_unprocessed();
         let may_retry =
             class.retry_is_safe() && !call.part_sent && call.attempts < self.config.max_attempts;
         if may_retry
@@ -48,7 +48,7 @@
             sequence,
             failed,
             class,
-            ceiling: self.class_ceiling(&held.spec),
+            ceiling: self.class_budget(&held.spec),
             engine,
         });
         let attempt = CurrentAttempt {
@@ -170,7 +170,7 @@
 
     fn on_outcome_refused(&mut self, id: CallId, class: OutcomeClass, refusal: &Refusal) {
         let program = self.calls.get(&id).map(|call| call.program);
-        let answer = if class.spent_nothing() {
+        let answer = if class.is_unprocessed() {
             engine_failed(class)
         } else if refusal.code == RefusalCode::StaleOwner {
             Refusal::uncertain(RefusalCode::StaleOwner, refusal.detail.clone())
@@ -264,7 +264,7 @@
 
 fn engine_failed(class: OutcomeClass) -> Refusal {
     let detail = "the engines failed and no retry is left";
-    let refusal = if class.spent_nothing() {
+    let refusal = if class.is_unprocessed() {
         Refusal::not_run(RefusalCode::EngineFailed, detail)
     } else {
         Refusal::uncertain(RefusalCode::EngineFailed, detail)
--- a/crates/daemon/tests/common/mod.rs
+++ b/crates/daemon/tests/common/mod.rs
@@ -9,8 +9,8 @@
 };
 use luglink_program::{ProgramStore, RefundRule};
 use luglink_resources::{
-    Change, Expected, ModelPool, Operation, ProgramClass, Replica, Resource, ResourceStore,
-    Service, Tenant,
+    Change, ModelPool, Operation, ProgramClass, Replica, Resource, ResourceStore,
+    RevisionPrecondition, Service, Tenant,
 };
 use luglink_routing::AttemptId;
 use luglink_types::{
@@ -110,7 +110,7 @@
         self.resources.apply(&Change {
             change_id: ChangeId("setup".to_owned()),
             operator: "test".to_owned(),
-            expected: Expected::Current,
+            expected: RevisionPrecondition::Current,
             operations: resources.into_iter().map(Operation::Set).collect(),
         });
     }
--- a/crates/engine-api/src/lib.rs
+++ b/crates/engine-api/src/lib.rs
@@ -21,5 +21,5 @@
     HEADER_PRIORITY, HEADER_PROGRAM, HEADER_REPEATABLE, HEADER_SEQUENCE, HEADER_START_BY,
     HEADER_TENANT,
 };
-pub use orders::{EngineOrder, OrderAnswer, OrderFence, OrderKind};
+pub use orders::{EngineOrder, OrderFence, OrderKind, OrderResponse};
 pub use problem::{EngineError, EngineErrorBody, EngineErrorCode, Problem};
--- a/crates/engine-api/src/orders.rs
+++ b/crates/engine-api/src/orders.rs
@@ -62,7 +62,7 @@
 /// The answer to an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "answer", rename_all = "snake_case")]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// It is carried out.
     Done,
     /// It is being carried out; ask again.
--- a/crates/fleet-client/src/observer.rs
+++ b/crates/fleet-client/src/observer.rs
@@ -258,7 +258,7 @@
                 members: self.members.borrow().stamp,
                 ..self.delegate.known(source)
             },
-            sends_document_at_once: order < IMMEDIATE_DOCUMENT_SENDERS || is_lost,
+            wants_document_at_once: order < IMMEDIATE_DOCUMENT_SENDERS || is_lost,
             is_counted_here: order == 0,
         }));
         let parts = self.delegate.parts(AskedMember {
--- a/crates/fleet-client/tests/observer.rs
+++ b/crates/fleet-client/tests/observer.rs
@@ -6,7 +6,7 @@
     ObserverUpdate, Presence, Role, StorePresence,
 };
 use luglink_fleet_client::{ListSource, Observer, ObserverConfig, ObserverDelegate};
-use luglink_net::{Accepted, FrameSender, serve};
+use luglink_net::{FrameSender, ListenerEvent, serve};
 use luglink_wire::{Frame, decode_body, encode_body};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -44,21 +44,21 @@
 }
 
 impl Member {
-    fn on_socket(&self, event: Accepted) {
+    fn on_socket(&self, event: ListenerEvent) {
         match event {
-            Accepted::Opened {
+            ListenerEvent::Opened {
                 connection, sender, ..
             } => {
                 self.clients.borrow_mut().insert(connection, sender);
             }
-            Accepted::Frame {
+            ListenerEvent::Frame {
                 connection,
                 frame: Frame::Request {
                     correlation, body, ..
                 },
             } => self.on_request(connection, correlation, &body),
-            Accepted::Frame { .. } => {}
-            Accepted::Closed { connection } => {
+            ListenerEvent::Frame { .. } => {}
+            ListenerEvent::Closed { connection } => {
                 self.clients.borrow_mut().remove(&connection);
             }
         }
@@ -69,7 +69,7 @@
             panic!("expected an observer request");
         };
         self.requests.set(self.requests.get() + 1);
-        if request.sends_document_at_once {
+        if request.wants_document_at_once {
             self.immediate_requests
                 .set(self.immediate_requests.get() + 1);
         }
--- a/crates/fleet/src/observer_protocol.rs
+++ b/crates/fleet/src/observer_protocol.rs
@@ -32,7 +32,7 @@
     pub known: KnownVersions,
     /// True if the queried member must send a new document without delay. Otherwise it leaves other
     /// members time to send it first.
-    pub sends_document_at_once: bool,
+    pub wants_document_at_once: bool,
     /// True if the queried member is the one that counts this observer. Every observer is counted
     /// by one member.
     pub is_counted_here: bool,
--- a/crates/fleet/src/zone_stats.rs
+++ b/crates/fleet/src/zone_stats.rs
@@ -90,7 +90,7 @@
 
 impl StatsTable {
     /// Sets whether some gateways of the zone report to other members only.
-    pub fn set_has_neighbours(&mut self, has_neighbours: bool) {
+    pub fn set_has_zone_peers(&mut self, has_neighbours: bool) {
         self.has_neighbours = has_neighbours;
     }
 
@@ -106,7 +106,7 @@
     }
 
     /// Records the sums that another member of the zone sent.
-    pub fn note_neighbour(&mut self, stats: MemberStats, now: Timestamp) {
+    pub fn note_zone_peer(&mut self, stats: MemberStats, now: Timestamp) {
         self.neighbours.insert(stats.member, (stats, now));
     }
 
--- a/crates/fleet/tests/zone_stats.rs
+++ b/crates/fleet/tests/zone_stats.rs
@@ -108,7 +108,7 @@
 fn members_of_a_large_zone_have_the_same_sum_and_count_each_gateway_once() {
     let mut members: [StatsTable; 3] = Default::default();
     for member in &mut members {
-        member.set_has_neighbours(true);
+        member.set_has_zone_peers(true);
     }
     for gateway in 0..30_usize {
         let name = format!("g{gateway}");
@@ -129,7 +129,7 @@
             .collect();
         for (ip, member) in (0..).zip(&mut members) {
             for sum in sums.iter().filter(|sum| sum.member != ip) {
-                member.note_neighbour(sum.clone(), now);
+                member.note_zone_peer(sum.clone(), now);
             }
         }
     }
@@ -142,14 +142,14 @@
 #[test]
 fn outdated_sums_of_another_member_are_ignored() {
     let mut table = StatsTable::default();
-    table.set_has_neighbours(true);
+    table.set_has_zone_peers(true);
     let mut other = StatsTable::default();
     other.note(
         source("g1", true),
         StatsReport(vec![stats(7, 4, 0, 0)]),
         NOW,
     );
-    table.note_neighbour(other.counted(2, later(300), LIMIT), later(300));
+    table.note_zone_peer(other.counted(2, later(300), LIMIT), later(300));
     assert_eq!(
         in_flight(&table.sum("z", later(300), LIMIT).replica_stats, 7),
         4
@@ -188,8 +188,8 @@
     let mut other = StatsTable::default();
     other.note(source("g1", true), StatsReport(vec![failed(7, 10)]), NOW);
     let mut table = StatsTable::default();
-    table.set_has_neighbours(true);
-    table.note_neighbour(other.counted(2, later(500), LIMIT), later(500));
+    table.set_has_zone_peers(true);
+    table.note_zone_peer(other.counted(2, later(500), LIMIT), later(500));
     let sum = table.sum("z", later(800), LIMIT);
     assert_eq!(sum.replica_stats.0[0].failures_tenths, 20);
     assert_eq!(sum.age, Duration::from_millis(800));
--- a/crates/gateway-server/src/chain_search.rs
+++ b/crates/gateway-server/src/chain_search.rs
@@ -1,7 +1,7 @@
 //! Search for a turn and its ancestors across several turn stores.
 
 use luglink_fleet::{StoreName, StoreView};
-use luglink_turns::{Absence, Chain, Replication, TurnId, TurnRecord};
+use luglink_turns::{AbsenceProof, Chain, Replication, TurnId, TurnRecord};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
 pub(crate) struct ChainSearch {
     head: Option<Rc<TurnRecord>>,
     ancestors: BTreeMap<TurnId, Rc<TurnRecord>>,
-    absence: Absence,
+    absence: AbsenceProof,
     /// True once any store has answered.
     pub(crate) has_answer: bool,
 }
--- a/crates/gateway-server/src/exchange.rs
+++ b/crates/gateway-server/src/exchange.rs
@@ -177,7 +177,7 @@
             return;
         }
         let now = gateway.now();
-        gateway.pool.borrow_mut().troubled(&backend.id, now);
+        gateway.pool.borrow_mut().note_failure(&backend.id, now);
     }
 }
 
--- a/crates/gateway-server/src/held.rs
+++ b/crates/gateway-server/src/held.rs
@@ -4,7 +4,7 @@
 //! its decisions to the requests and exports them as metrics.
 
 use crate::metrics::GatewayMetrics;
-use luglink_scheduling::{Growth, HeldBound, HeldBytes, HeldCut, HolderId};
+use luglink_scheduling::{Growth, HeldAbort, HeldBytes, HeldBytesLimit, HolderId};
 use luglink_types::TenantName;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 struct HeldRequest {
     id: String,
-    aborted_by: Cell<Option<HeldBound>>,
+    aborted_by: Cell<Option<HeldBytesLimit>>,
     abort_signal: Notify,
 }
 
@@ -47,7 +47,7 @@
         id: &str,
         tenant: Option<TenantName>,
         announced: u64,
-    ) -> Result<HeldBytesGuard, HeldBound> {
+    ) -> Result<HeldBytesGuard, HeldBytesLimit> {
         let admitted = self.bytes.borrow_mut().admit(tenant, announced);
         let holder = admitted.inspect_err(|bound| {
             let reason = bound.as_str();
@@ -85,7 +85,7 @@
         self.metrics.held_bytes.set(total as f64);
     }
 
-    fn resize(&self, holder: HolderId, bytes: u64) -> Result<(), HeldBound> {
+    fn resize(&self, holder: HolderId, bytes: u64) -> Result<(), HeldBytesLimit> {
         let growth = self.bytes.borrow_mut().resize(holder, bytes);
         let result = match growth {
             Growth::Granted(cuts) => {
@@ -98,7 +98,7 @@
         result
     }
 
-    fn abort(&self, cut: &HeldCut) {
+    fn abort(&self, cut: &HeldAbort) {
         let Some(request) = self.requests.borrow_mut().remove(&cut.holder) else {
             return;
         };
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     /// Returns the bound that the new size would exceed.
-    pub(crate) fn set_request(&self, bytes: u64) -> Result<(), HeldBound> {
+    pub(crate) fn set_request(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         self.resize(bytes)?;
         self.request_bytes.set(bytes);
         Ok(())
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     /// Returns the bound that the new size would exceed.
-    pub(crate) fn add_prompt(&self, bytes: u64) -> Result<(), HeldBound> {
+    pub(crate) fn add_prompt(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         self.set_request(self.request_bytes.get().saturating_add(bytes))
     }
 
@@ -154,11 +154,11 @@
     ///
     /// # Errors
     /// Returns the exceeded bound. The request is aborted and must release its buffers.
-    pub(crate) fn set_answer(&self, bytes: u64) -> Result<(), HeldBound> {
+    pub(crate) fn set_answer(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         self.resize(self.request_bytes.get().saturating_add(bytes))
     }
 
-    fn resize(&self, bytes: u64) -> Result<(), HeldBound> {
+    fn resize(&self, bytes: u64) -> Result<(), HeldBytesLimit> {
         if let Some(bound) = self.request.aborted_by.get() {
             return Err(bound);
         }
@@ -168,13 +168,13 @@
 
     /// Sets whether the request may be aborted. It may not while a replica may be running it and
     /// the caller has received nothing of the response, nor while its turn is being stored.
-    pub(crate) fn set_can_be_cut(&self, can_be_cut: bool) {
+    pub(crate) fn set_abortable(&self, can_be_cut: bool) {
         let mut bytes = self.ledger.bytes.borrow_mut();
-        bytes.set_can_be_cut(self.holder, can_be_cut);
+        bytes.set_abortable(self.holder, can_be_cut);
     }
 
     /// Waits until the request is aborted. Returns the bound that was exceeded.
-    pub(crate) async fn wait_for_abort(&self) -> HeldBound {
+    pub(crate) async fn wait_for_abort(&self) -> HeldBytesLimit {
         loop {
             if let Some(bound) = self.request.aborted_by.get() {
                 return bound;
--- a/crates/gateway-server/src/inbound.rs
+++ b/crates/gateway-server/src/inbound.rs
@@ -154,7 +154,7 @@
         body = read_body(gateway, incoming, limit, deadline, &held) => body?,
         _ = held.wait_for_abort() => return Err(Refusal::memory_exhausted()),
     };
-    held.set_can_be_cut(false);
+    held.set_abortable(false);
     let program = program_fields(gateway, &caller, &head);
     let prompt = PromptParts::read(
         header_text(&head.headers, &headers.token_usage),
@@ -253,7 +253,7 @@
     let tenant = tenant_name(caller).cloned();
     let held = gateway.held.admit(id, tenant, announced);
     let held = held.map_err(|_| Refusal::memory_exhausted())?;
-    held.set_can_be_cut(true);
+    held.set_abortable(true);
     Ok(held)
 }
 
--- a/crates/gateway-server/src/move_watch.rs
+++ b/crates/gateway-server/src/move_watch.rs
@@ -58,7 +58,7 @@
     let mut waits = gateway.waits.borrow_mut();
     let quickest = waits
         .route(&inbound.route)
-        .quickest_first_event(gateway.now());
+        .fastest_first_event(gateway.now());
     if !cannot_meet_deadline(inbound.remaining(), quickest) {
         return Ok(());
     }
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -12,7 +12,7 @@
 use luglink_fleet::BackendId;
 use luglink_quota::Purpose;
 use luglink_scheduling::ShedDecision;
-use luglink_turns::{Admission, ProgramName, TurnId, TurnRecord};
+use luglink_turns::{BudgetDecision, ProgramName, TurnId, TurnRecord};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Instant;
@@ -239,14 +239,14 @@
         return Ok(reserved);
     };
     let mut spent = response.account.total();
-    let mut admission = Admission::at_first_look(spent, program.ceiling, budget);
-    if admission == Admission::LookAgain {
+    let mut admission = BudgetDecision::after_first_read(spent, program.ceiling, budget);
+    if admission == BudgetDecision::ReadAgain {
         let account = gateway.turns.account(&program.name).await;
         let account = account.ok_or(Refusal::recovering("the turn stores do not answer"))?;
         spent = spent.max(account.total());
-        admission = Admission::at_second_look(spent, budget);
+        admission = BudgetDecision::after_second_read(spent, budget);
     }
-    if admission == Admission::Refuse {
+    if admission == BudgetDecision::Refuse {
         tracing::info!(
             id = inbound.id,
             program = %program.name,
--- a/crates/gateway-server/src/server.rs
+++ b/crates/gateway-server/src/server.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use luglink_edge::{Dialect, Limits};
 use luglink_fleet_client::Observer;
-use luglink_http::{Abort, Body, ServeOptions, StopSignal, Stopper, empty_body, serve, stopper};
+use luglink_http::{Abort, Body, ServeOptions, StopHandle, StopSignal, empty_body, serve, stopper};
 use luglink_telemetry::milliseconds;
 use rand::RngCore;
 use snafu::ResultExt;
@@ -41,7 +41,7 @@
     /// Address for metrics; `None` if they are not served.
     pub metrics_address: Option<SocketAddr>,
     gateway: Rc<Gateway>,
-    stopper: Stopper,
+    stopper: StopHandle,
     signal: StopSignal,
     observer: Rc<Observer<Gateway>>,
 }
@@ -96,9 +96,11 @@
                 .in_force()
                 .map_or(Limits::default(), |in_force| in_force.configuration.limits);
             ServeOptions {
-                header_bytes: limits.max_header_bytes,
+                max_header_bytes: limits.max_header_bytes,
                 // The HTTP library counts the idle time and the time to receive a head together.
-                idle: Duration::from_millis(limits.idle_timeout_ms + limits.header_timeout_ms),
+                idle_timeout: Duration::from_millis(
+                    limits.idle_timeout_ms + limits.header_timeout_ms,
+                ),
                 unread: features.held_bytes().then_some(UNREAD_CONNECTION_TIMEOUT),
             }
         }
@@ -112,8 +114,8 @@
 
 fn readiness_options() -> ServeOptions {
     ServeOptions {
-        header_bytes: 16 << 10,
-        idle: READINESS_IDLE_TIMEOUT,
+        max_header_bytes: 16 << 10,
+        idle_timeout: READINESS_IDLE_TIMEOUT,
         unread: None,
     }
 }
--- a/crates/gateway-server/src/store_link.rs
+++ b/crates/gateway-server/src/store_link.rs
@@ -31,7 +31,7 @@
     pub(crate) fn open(name: StoreName, address: SocketAddr) -> Self {
         let hello = Hello {
             version: PROTOCOL_VERSION,
-            role: ClientRole::Writer,
+            role: ClientRole::StoreClient,
             id: 0,
         };
         Self {
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -19,7 +19,7 @@
 use luglink_edge::{EventSplitter, Service, StreamEvent};
 use luglink_fleet::{Backend, BackendId};
 use luglink_http::{Body, BodySender, stream_body};
-use luglink_scheduling::{Expected, HeldBound, Work};
+use luglink_scheduling::{Expected, HeldBytesLimit, Work};
 use luglink_telemetry::milliseconds;
 use luglink_turns::TurnRecord;
 use std::rc::Rc;
@@ -168,7 +168,7 @@
         _in_flight: in_flight,
     };
     // From here on the caller can tell an aborted response from a complete one.
-    relay.inbound.held.set_can_be_cut(true);
+    relay.inbound.held.set_abortable(true);
     let source = Source {
         incoming,
         headers: head.headers,
@@ -209,7 +209,7 @@
     /// It is time to check whether the stream moves to another replica.
     CheckMove,
     /// The request is aborted because of the memory limit.
-    Aborted(HeldBound),
+    Aborted(HeldBytesLimit),
 }
 
 /// Task that forwards the events of one response to the caller.
@@ -318,7 +318,7 @@
         self.gateway
             .pool
             .borrow_mut()
-            .troubled(&source.backend.id, now);
+            .note_failure(&source.backend.id, now);
     }
 
     /// Records the pause before an event that has just arrived.
@@ -355,7 +355,7 @@
         }
         let held = &self.inbound.held;
         let buffered = (self.output.len() + batch.len()) as u64 + sender.waiting_bytes();
-        held.set_answer(buffered).map_err(HeldBound::as_str)?;
+        held.set_answer(buffered).map_err(HeldBytesLimit::as_str)?;
         if batch.is_empty() {
             return Ok(());
         }
@@ -409,7 +409,7 @@
 
     /// Stores the turn, then ends the response as complete. Returns the end reason.
     async fn complete(&mut self, backend: &Backend, sender: BodySender) -> &'static str {
-        self.inbound.held.set_can_be_cut(false);
+        self.inbound.held.set_abortable(false);
         if self.inbound.route.keeps_history && !self.store_turn(backend).await {
             return "not_kept";
         }
--- a/crates/gateway-server/src/turn_client.rs
+++ b/crates/gateway-server/src/turn_client.rs
@@ -7,7 +7,7 @@
 use luglink_fleet::{BackendId, StoreName, StoreState, StoreView};
 use luglink_quota::{QuotaOwner, QuotaRequest, QuotaResponse};
 use luglink_turns::{
-    Account, ChainWish, ProgramName, Replication, Spend, StoreRequest, StoreResponse, TurnId,
+    Account, ChainQuery, ProgramName, Replication, Spend, StoreRequest, StoreResponse, TurnId,
     TurnRecord,
 };
 use luglink_types::TenantName;
@@ -174,7 +174,7 @@
     ) -> Result<BeginResponse, StoresUnavailable> {
         let owners = self.owners(program);
         let fastest = self.fastest(&owners);
-        let wish = previous.map(|turn| ChainWish { turn: turn.clone() });
+        let wish = previous.map(|turn| ChainQuery { turn: turn.clone() });
         let mut pending = FuturesUnordered::new();
         for owner in &owners {
             let chain = wish.clone().filter(|_| Some(owner) == fastest.as_ref());
@@ -231,7 +231,7 @@
     /// Searches for a chain on all stores, starting with the pending responses of the owners.
     async fn search(
         &self,
-        wish: ChainWish,
+        wish: ChainQuery,
         mut search: ChainSearch,
         queried: Option<StoreName>,
         mut pending_owners: FuturesUnordered<impl Future<Output = Reply>>,
--- a/crates/gateway-server/src/unary.rs
+++ b/crates/gateway-server/src/unary.rs
@@ -43,7 +43,7 @@
         return;
     }
     match response.status().is_server_error() {
-        true => pool.troubled(&backend.id, gateway.now()),
+        true => pool.note_failure(&backend.id, gateway.now()),
         false => pool.succeeded(&backend.id, time),
     }
 }
--- a/crates/gateway-server/tests/gateway/mixed_builds.rs
+++ b/crates/gateway-server/tests/gateway/mixed_builds.rs
@@ -54,7 +54,7 @@
 #[actix_rt::test]
 async fn a_store_rejects_an_unknown_request_and_keeps_the_connection() {
     let fleet = Fleet::start(Vec::new()).await;
-    let store = client(fleet.stores[0].address, ClientRole::Writer);
+    let store = client(fleet.stores[0].address, ClientRole::StoreClient);
     let account = StoreRequest::Account(luglink_turns::ProgramName("p".to_owned()));
     let account = encode_body(&account).unwrap();
     let (before, unknown, after) = tokio::join!(
--- a/crates/gateway-server/tests/gateway/overload.rs
+++ b/crates/gateway-server/tests/gateway/overload.rs
@@ -5,7 +5,7 @@
 use crate::support::{Fleet, configuration, wait_until};
 use futures_util::future::join_all;
 use luglink_scheduling::Features;
-use luglink_types::{Switch, Switches};
+use luglink_types::{FeatureMode, FeatureModes};
 use std::net::SocketAddr;
 
 /// Rounds of turns that time out, and turns in each round.
@@ -70,10 +70,10 @@
 
 /// Features that admit programs by working set. One replica has memory for 1,000 tokens.
 fn working_set_features() -> Features {
-    let switches = Switches {
-        working_set: Switch::On,
-        fair_shares: Switch::On,
-        ..Switches::default()
+    let switches = FeatureModes {
+        working_set: FeatureMode::On,
+        fair_shares: FeatureMode::On,
+        ..FeatureModes::default()
     };
     Features::new(switches, false)
 }
--- a/crates/gateway-server/tests/gateway/support/mod.rs
+++ b/crates/gateway-server/tests/gateway/support/mod.rs
@@ -11,7 +11,7 @@
 use luglink_gateway_server::{GatewayConfig, GatewayServer, start};
 use luglink_quota::Tolerance;
 use luglink_scheduling::Features;
-use luglink_settings::{FleetSettings, ManagedSettings};
+use luglink_settings::{FleetSettings, ManagedMemberSettings};
 use luglink_store_server::{StoreServer, StoreServerConfig};
 use luglink_turns::Replication;
 use replica::Replica;
@@ -134,7 +134,7 @@
         for host in 1..=3 {
             let fleet = fleet_settings(block, host, &ports, list);
             let config = ManagedServerConfig {
-                member: ManagedSettings {
+                member: ManagedMemberSettings {
                     operator_listen: (fleet.ip, operator_port).into(),
                     resolution_listen: (fleet.ip, resolution_port).into(),
                     data_folder: folder.path().join(format!("member-{host}")),
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -30,9 +30,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServeOptions {
     /// Longest head of a request, in bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest time without a whole head, rest between requests included.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Longest time for which the other end may take nothing of what is written to it; `None` for
     /// ever.
     pub unread: Option<Duration>,
@@ -45,7 +45,7 @@
 
 /// Tells servers to stop.
 #[derive(Clone, Debug)]
-pub struct Stopper(Rc<watch::Sender<bool>>);
+pub struct StopHandle(Rc<watch::Sender<bool>>);
 
 /// Hears when to stop.
 #[derive(Clone, Debug)]
@@ -56,16 +56,16 @@
 
 /// A stopper and its signal.
 #[must_use]
-pub fn stopper() -> (Stopper, StopSignal) {
+pub fn stopper() -> (StopHandle, StopSignal) {
     let (sender, stop) = watch::channel(false);
     let signal = StopSignal {
         stop,
         open: Rc::default(),
     };
-    (Stopper(Rc::new(sender)), signal)
+    (StopHandle(Rc::new(sender)), signal)
 }
 
-impl Stopper {
+impl StopHandle {
     /// Closes connections that rest at once and the others after their answers.
     pub fn stop(&self) {
         // Nobody listening means that nothing is open.
@@ -135,8 +135,8 @@
     let service = service_fn(move |request| handler(request));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(options.idle)
-        .max_buf_size(options.header_bytes.max(MIN_BUFFER_BYTES))
+        .header_read_timeout(options.idle_timeout)
+        .max_buf_size(options.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = tokio::select! {
--- a/crates/http/tests/unread.rs
+++ b/crates/http/tests/unread.rs
@@ -24,8 +24,8 @@
     let address = listener.local_addr().unwrap();
     let (_, signal) = stopper();
     let options = move || ServeOptions {
-        header_bytes: 16 << 10,
-        idle: Duration::from_secs(30),
+        max_header_bytes: 16 << 10,
+        idle_timeout: Duration::from_secs(30),
         unread: limit,
     };
     let has_ended = Rc::new(Cell::new(false));
--- a/crates/lab/src/engine/core.rs
+++ b/crates/lab/src/engine/core.rs
@@ -5,7 +5,7 @@
 use crate::engine::orders::Fences;
 use crate::engine::published::Publisher;
 use crate::engine::sequence::{EngineRequest, RunningSequence};
-use luglink_engine_api::{EngineEvents, EngineLoad, EngineOrder, OrderAnswer, OrderKind};
+use luglink_engine_api::{EngineEvents, EngineLoad, EngineOrder, OrderKind, OrderResponse};
 use luglink_routing::{BLOCK_TOKENS, BlockHash};
 use luglink_types::{Epoch, ProgramId, Timestamp, TokenUsage};
 use std::collections::BTreeMap;
@@ -157,7 +157,7 @@
     }
 
     /// Carries out a fenced order.
-    pub fn order(&mut self, order: &EngineOrder, now: Timestamp) -> OrderAnswer {
+    pub fn order(&mut self, order: &EngineOrder, now: Timestamp) -> OrderResponse {
         self.now = self.now.max(now);
         if let Err(answer) = self.fences.admit(&order.source, order.fence) {
             return answer;
@@ -166,16 +166,16 @@
             OrderKind::ReleaseProgram { program } => self.release_program(program),
             OrderKind::LoadModel { version } => {
                 self.model_version.clone_from(version);
-                OrderAnswer::Done
+                OrderResponse::Done
             }
             OrderKind::LoadAdapter { adapter, version } => {
                 self.adapters.insert(adapter.clone(), version.clone());
-                OrderAnswer::Done
+                OrderResponse::Done
             }
             OrderKind::ChangeRole { role } => self.change_role(role),
             OrderKind::Drain { draining } => {
                 self.draining = *draining;
-                OrderAnswer::Done
+                OrderResponse::Done
             }
         }
     }
@@ -246,9 +246,9 @@
         self.draining = draining;
     }
 
-    fn release_program(&mut self, program: &str) -> OrderAnswer {
+    fn release_program(&mut self, program: &str) -> OrderResponse {
         let Ok(program) = program.parse::<ProgramId>() else {
-            return OrderAnswer::Invalid {
+            return OrderResponse::Invalid {
                 reason: "program is not an identifier".to_owned(),
             };
         };
@@ -269,20 +269,20 @@
         let released = self.cache.release_program(program, now);
         self.publish();
         if released {
-            OrderAnswer::Done
+            OrderResponse::Done
         } else {
-            OrderAnswer::Pending
+            OrderResponse::Pending
         }
     }
 
-    fn change_role(&mut self, role: &str) -> OrderAnswer {
+    fn change_role(&mut self, role: &str) -> OrderResponse {
         if !matches!(role, "prefill" | "decode" | "mixed") {
-            return OrderAnswer::Invalid {
+            return OrderResponse::Invalid {
                 reason: "role must be prefill, decode or mixed".to_owned(),
             };
         }
         role.clone_into(&mut self.role);
-        OrderAnswer::Done
+        OrderResponse::Done
     }
 
     fn finish_imports(&mut self, now: Timestamp) {
--- a/crates/lab/src/engine/http.rs
+++ b/crates/lab/src/engine/http.rs
@@ -15,7 +15,7 @@
 use luglink_engine_api::{
     ChatChunk, ChatRequest, EngineError, EngineErrorBody, EngineErrorCode, EngineEvents,
     EngineOrder, HEADER_ATTEMPT, HEADER_EPOCH, HEADER_MODEL_ADAPTER, HEADER_PRIORITY,
-    HEADER_PROGRAM, HEADER_SEQUENCE, HEADER_START_BY, OrderAnswer,
+    HEADER_PROGRAM, HEADER_SEQUENCE, HEADER_START_BY, OrderResponse,
 };
 use luglink_routing::BlockHash;
 use luglink_types::{EngineId, Epoch, ProgramId, Timestamp, TokenUsage};
@@ -382,7 +382,7 @@
 }
 
 #[derive(Message)]
-#[rtype(result = "OrderAnswer")]
+#[rtype(result = "OrderResponse")]
 struct Order(EngineOrder);
 
 impl Handler<Order> for EngineActor {
--- a/crates/lab/src/engine/orders.rs
+++ b/crates/lab/src/engine/orders.rs
@@ -1,6 +1,6 @@
 //! Fenced orders.
 
-use luglink_engine_api::{OrderAnswer, OrderFence};
+use luglink_engine_api::{OrderFence, OrderResponse};
 use std::collections::BTreeMap;
 
 /// The highest fence seen of each source.
@@ -11,10 +11,10 @@
 
 impl Fences {
     /// Admits an order, or says why not. The same fence twice is the same order sent again.
-    pub(crate) fn admit(&mut self, source: &str, fence: OrderFence) -> Result<(), OrderAnswer> {
+    pub(crate) fn admit(&mut self, source: &str, fence: OrderFence) -> Result<(), OrderResponse> {
         let highest = self.highest.entry(source.to_owned()).or_default();
         if fence < *highest {
-            return Err(OrderAnswer::Fenced { highest: *highest });
+            return Err(OrderResponse::Fenced { highest: *highest });
         }
         *highest = fence;
         Ok(())
--- a/crates/lab/src/sim/control.rs
+++ b/crates/lab/src/sim/control.rs
@@ -190,7 +190,7 @@
                 self.control_input(member, Input::Request { token, request });
             }
             Message::Ordered { answer, confirm } => {
-                let done = answer == luglink_engine_api::OrderAnswer::Done;
+                let done = answer == luglink_engine_api::OrderResponse::Done;
                 if done && delivery.process == control.process {
                     self.confirm_release(member, confirm);
                 }
--- a/crates/lab/src/sim/engines.rs
+++ b/crates/lab/src/sim/engines.rs
@@ -8,7 +8,7 @@
 use crate::sim::node::Node;
 use crate::sim::world::{World, derive_seed};
 use luglink_daemon::{ChatDispatch, Dispatch, DispatchBody, EngineEvent};
-use luglink_engine_api::{EngineOrder, OrderAnswer};
+use luglink_engine_api::{EngineOrder, OrderResponse};
 use luglink_program::ConfirmRelease;
 use luglink_routing::AttemptId;
 use luglink_types::{EngineId, Timestamp};
@@ -251,7 +251,7 @@
         let Some(core) = &mut self.engines[engine].core else {
             return;
         };
-        let answer: OrderAnswer = core.order(order, now);
+        let answer: OrderResponse = core.order(order, now);
         self.send(
             Node::Engine(engine),
             from,
--- a/crates/lab/src/sim/message.rs
+++ b/crates/lab/src/sim/message.rs
@@ -3,7 +3,7 @@
 use crate::sim::node::Node;
 use luglink_control::{Request, Response};
 use luglink_daemon::{Answer, Dispatch, EngineEvent, Event, TicketId};
-use luglink_engine_api::{EngineEvents, EngineOrder, OrderAnswer};
+use luglink_engine_api::{EngineEvents, EngineOrder, OrderResponse};
 use luglink_program::ConfirmRelease;
 use luglink_raft::Envelope;
 use luglink_routing::AttemptId;
@@ -98,7 +98,7 @@
     },
     /// The engine's answer.
     Ordered {
-        answer: OrderAnswer,
+        answer: OrderResponse,
         confirm: ConfirmRelease,
     },
     /// A caller's request; the event carries its ticket.
--- a/crates/lab/src/sim/operators.rs
+++ b/crates/lab/src/sim/operators.rs
@@ -10,7 +10,8 @@
 use crate::trace::{ChangeEvent, ChangeSet, ExpectedRevision};
 use luglink_control::{CONFIGURATION_GROUP, Request, Response};
 use luglink_resources::{
-    BudgetPolicy, Change, ChangeAnswer, ConfigurationView, Expected, Operation, Replica, Resource,
+    BudgetPolicy, Change, ChangeResponse, ConfigurationView, Operation, Replica, Resource,
+    RevisionPrecondition,
 };
 use luglink_types::{ChangeId, EngineId, Revision, Timestamp};
 use std::time::Duration;
@@ -146,7 +147,7 @@
             state.change = Some(Change {
                 change_id: ChangeId("setup".to_owned()),
                 operator: "lab".to_owned(),
-                expected: Expected::Exactly(Revision(0)),
+                expected: RevisionPrecondition::Exactly(Revision(0)),
                 operations: operations.clone(),
             });
         }
@@ -246,8 +247,10 @@
             }
         };
         let expected = match event.expected_revision {
-            ExpectedRevision::Current => Expected::Current,
-            ExpectedRevision::Exactly(revision) => Expected::Exactly(Revision(revision)),
+            ExpectedRevision::Current => RevisionPrecondition::Current,
+            ExpectedRevision::Exactly(revision) => {
+                RevisionPrecondition::Exactly(Revision(revision))
+            }
         };
         state.change = Some(Change {
             change_id: ChangeId(event.change_id.clone()),
@@ -260,9 +263,9 @@
         self.operator_asks(operator);
     }
 
-    fn change_answered(&mut self, operator: usize, answer: &ChangeAnswer) {
+    fn change_answered(&mut self, operator: usize, answer: &ChangeResponse) {
         let accepted = match answer {
-            ChangeAnswer::Accepted { revision } => Some((self.now, *revision)),
+            ChangeResponse::Accepted { revision } => Some((self.now, *revision)),
             _ => None,
         };
         if operator == 0 && accepted.is_none() {
@@ -290,7 +293,7 @@
             change_id,
             sent_at: state.sent_at,
             expected: match expected {
-                Some(Expected::Exactly(revision)) => Some(revision),
+                Some(RevisionPrecondition::Exactly(revision)) => Some(revision),
                 _ => None,
             },
             budget: state.budget.clone(),
--- a/crates/metrics-server/src/lib.rs
+++ b/crates/metrics-server/src/lib.rs
@@ -48,8 +48,8 @@
 
 fn options() -> ServeOptions {
     ServeOptions {
-        header_bytes: MAX_HEADER_BYTES,
-        idle: CONNECTION_IDLE,
+        max_header_bytes: MAX_HEADER_BYTES,
+        idle_timeout: CONNECTION_IDLE,
         unread: None,
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -15,6 +15,6 @@
 pub use connection::{FrameSender, frame_channel};
 pub use errors::NetError;
 pub use link::{Link, LinkEvent};
-pub use listener::{Accepted, serve};
+pub use listener::{ListenerEvent, serve};
 pub use request_client::RequestClient;
 pub use socket::{set_liveness, set_send_buffer};
--- a/crates/net/src/link.rs
+++ b/crates/net/src/link.rs
@@ -26,7 +26,7 @@
     /// A frame arrived.
     Frame(Frame),
     /// The connection is lost or could not be made; it is tried again.
-    Lost,
+    Disconnected,
 }
 
 /// A connection that is made again whenever it breaks. Frames sent while it comes up wait for
@@ -84,7 +84,7 @@
         if let Err(error) = ended {
             tracing::debug!(%address, %error, "link lost");
         }
-        on_event(LinkEvent::Lost);
+        on_event(LinkEvent::Disconnected);
         actix_rt::time::sleep(RECONNECT_PAUSE).await;
         let (sender, next) = greeting(hello);
         *current.borrow_mut() = Some(sender);
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -16,7 +16,7 @@
 
 /// What the accepting end is told.
 #[derive(Debug)]
-pub enum Accepted {
+pub enum ListenerEvent {
     /// A connection said hello; frames for it go to the sender.
     Opened {
         /// Number of the connection.
@@ -41,7 +41,7 @@
 }
 
 /// Accepts connections for ever. `on_event` is called on the current actix thread.
-pub async fn serve(listener: TcpListener, on_event: impl Fn(Accepted) + 'static) {
+pub async fn serve(listener: TcpListener, on_event: impl Fn(ListenerEvent) + 'static) {
     let on_event = Rc::new(on_event);
     let mut next_connection = 1;
     loop {
@@ -55,7 +55,7 @@
                     if let Err(error) = ended {
                         tracing::debug!(%address, %error, "connection closed");
                     }
-                    on_event(Accepted::Closed { connection });
+                    on_event(ListenerEvent::Closed { connection });
                 });
             }
             Err(error) => {
@@ -69,7 +69,7 @@
 async fn run(
     stream: TcpStream,
     connection: u64,
-    on_event: &impl Fn(Accepted),
+    on_event: &impl Fn(ListenerEvent),
 ) -> Result<(), NetError> {
     // A peer that is slow to read must not delay small answers.
     let _ = set_liveness(&stream);
@@ -77,7 +77,7 @@
     let mut reader = FrameReader::new(read_half);
     let hello = read_hello(&mut reader).await?;
     let (sender, frames) = frame_channel();
-    on_event(Accepted::Opened {
+    on_event(ListenerEvent::Opened {
         connection,
         hello,
         sender,
@@ -85,7 +85,7 @@
     let reading = async {
         loop {
             let frame = reader.next().await?;
-            on_event(Accepted::Frame { connection, frame });
+            on_event(ListenerEvent::Frame { connection, frame });
         }
     };
     tokio::select! {
--- a/crates/net/src/request_client.rs
+++ b/crates/net/src/request_client.rs
@@ -52,7 +52,7 @@
                     }
                 }
                 LinkEvent::Frame(_) => {}
-                LinkEvent::Lost => waiting.borrow_mut().clear(),
+                LinkEvent::Disconnected => waiting.borrow_mut().clear(),
             }
         });
         Self {
--- a/crates/net/tests/link.rs
+++ b/crates/net/tests/link.rs
@@ -1,6 +1,6 @@
 //! A link that comes up, breaks and comes up again.
 
-use luglink_net::{Accepted, RequestClient, serve};
+use luglink_net::{ListenerEvent, RequestClient, serve};
 use luglink_wire::{ClientRole, Frame, Hello, PROTOCOL_VERSION};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,12 +21,12 @@
     let address = listener.local_addr().unwrap();
     let senders = Rc::new(RefCell::new(std::collections::BTreeMap::new()));
     actix_rt::spawn(serve(listener, move |event| match event {
-        Accepted::Opened {
+        ListenerEvent::Opened {
             connection, sender, ..
         } => {
             senders.borrow_mut().insert(connection, sender);
         }
-        Accepted::Frame {
+        ListenerEvent::Frame {
             connection,
             frame: Frame::Request {
                 correlation, body, ..
@@ -34,7 +34,7 @@
         } => {
             senders.borrow()[&connection].send(Frame::response(correlation, body));
         }
-        Accepted::Frame { .. } | Accepted::Closed { .. } => {}
+        ListenerEvent::Frame { .. } | ListenerEvent::Closed { .. } => {}
     }));
     address
 }
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -322,7 +322,7 @@
     if refund == RefundRule::Never {
         return call.reservation;
     }
-    if finish.class.spent_nothing() {
+    if finish.class.is_unprocessed() {
         // Retries stay charged, so that a flapping engine cannot be tried for ever.
         return call.reservation.minus(&call.ceiling);
     }
--- a/crates/program/src/rules.rs
+++ b/crates/program/src/rules.rs
@@ -102,7 +102,7 @@
 /// What another attempt reserves. An attempt that an engine may have worked on is paid for
 /// beside the next one.
 pub(crate) fn retry_charge(call: &CallRecord, failed_as: OutcomeClass) -> Charge {
-    if failed_as.spent_nothing() {
+    if failed_as.is_unprocessed() {
         return ONE_RETRY;
     }
     let attempt = Charge {
@@ -121,7 +121,7 @@
 };
 
 pub(crate) fn executed_after(class: OutcomeClass) -> Executed {
-    if class.spent_nothing() {
+    if class.is_unprocessed() {
         Executed::No
     } else {
         Executed::Unknown
--- a/crates/program/tests/properties.rs
+++ b/crates/program/tests/properties.rs
@@ -190,7 +190,7 @@
             let call = begin_call(PARENT, Epoch(1), intent, "push");
             let reply = store.apply(Timestamp::ZERO, &Command::Begin(call));
             if matches!(reply, Reply::Begun(_)) {
-                runs += usize::from(!class.spent_nothing());
+                runs += usize::from(!class.is_unprocessed());
                 let finish = finish_call(PARENT, Epoch(1), 0, class);
                 store.apply(Timestamp::ZERO, &Command::Finish(finish));
             }
--- a/crates/raft/src/membership.rs
+++ b/crates/raft/src/membership.rs
@@ -48,7 +48,7 @@
 impl Membership {
     /// A membership of voters only.
     #[must_use]
-    pub fn of_voters(voters: impl IntoIterator<Item = Peer>) -> Self {
+    pub fn from_voters(voters: impl IntoIterator<Item = Peer>) -> Self {
         Self {
             voters: voters.into_iter().collect(),
             learners: BTreeSet::new(),
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -369,7 +369,7 @@
 
     /// How long the leader has gone without hearing from `peer`.
     #[must_use]
-    pub fn silence_of(&self, peer: Peer) -> Option<Duration> {
+    pub fn time_since_contact(&self, peer: Peer) -> Option<Duration> {
         let progress = self.progress.get(&peer)?;
         Some(self.now.since(progress.heard_at))
     }
@@ -380,7 +380,7 @@
         let voters = self.membership.voters.iter().copied();
         voters
             .filter(|peer| *peer != self.me() && fits(*peer))
-            .filter_map(|peer| Some((self.silence_of(peer)?, peer)))
+            .filter_map(|peer| Some((self.time_since_contact(peer)?, peer)))
             .min()
             .map(|(_, peer)| peer)
     }
--- a/crates/raft/tests/cluster.rs
+++ b/crates/raft/tests/cluster.rs
@@ -50,7 +50,7 @@
 
 impl Cluster {
     fn new() -> Self {
-        let membership = Membership::of_voters((1..=VOTERS).map(peer));
+        let membership = Membership::from_voters((1..=VOTERS).map(peer));
         let stored = |member: u32| Stored {
             snapshot: Snapshot {
                 membership: if member <= VOTERS {
--- a/crates/resources/src/change.rs
+++ b/crates/resources/src/change.rs
@@ -7,7 +7,7 @@
 
 /// The revision that a change was made against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Expected {
+pub enum RevisionPrecondition {
     /// Whatever is current; the last writer wins.
     Current,
     /// Exactly this one.
@@ -42,14 +42,14 @@
     /// Who asks.
     pub operator: String,
     /// The revision it was made against.
-    pub expected: Expected,
+    pub expected: RevisionPrecondition,
     /// What to do.
     pub operations: Vec<Operation>,
 }
 
 /// The answer to a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ChangeAnswer {
+pub enum ChangeResponse {
     /// It is in force from this revision on and never reverts.
     Accepted {
         /// The revision.
--- a/crates/resources/src/lib.rs
+++ b/crates/resources/src/lib.rs
@@ -13,7 +13,7 @@
 mod validate;
 mod view;
 
-pub use change::{Change, ChangeAnswer, Delta, Expected, Operation};
+pub use change::{Change, ChangeResponse, Delta, Operation, RevisionPrecondition};
 pub use errors::Violation;
 pub use resource::{
     Adapter, BudgetPolicy, ModelPool, PriorityLevel, ProgramClass, Replica, Resource, ResourceKey,
--- a/crates/resources/src/store.rs
+++ b/crates/resources/src/store.rs
@@ -1,6 +1,6 @@
 //! The state machine of the configuration group.
 
-use crate::change::{Change, ChangeAnswer, Delta, Expected};
+use crate::change::{Change, ChangeResponse, Delta, RevisionPrecondition};
 use crate::resource::{Resource, ResourceKey};
 use crate::validate::{apply_operation, validate_change};
 use luglink_types::{ChangeId, Revision};
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct AnsweredChange {
     change: Change,
-    answer: ChangeAnswer,
+    answer: ChangeResponse,
 }
 
 /// All resources and the recent history of changes.
@@ -60,16 +60,16 @@
 
     /// Applies a change, or says why not. A change id that was answered before gets the same
     /// answer again, whatever has happened since.
-    pub fn apply(&mut self, change: &Change) -> ChangeAnswer {
+    pub fn apply(&mut self, change: &Change) -> ChangeResponse {
         if let Some(answered) = self.answers.get(&change.change_id) {
             return if answered.change == *change {
                 answered.answer.clone()
             } else {
-                ChangeAnswer::ChangeIdReused
+                ChangeResponse::ChangeIdReused
             };
         }
         let answer = self.decide(change);
-        if let ChangeAnswer::Accepted { revision } = answer {
+        if let ChangeResponse::Accepted { revision } = answer {
             self.commit(change, revision);
         }
         self.remember(change, &answer);
@@ -94,20 +94,20 @@
         }
     }
 
-    fn decide(&self, change: &Change) -> ChangeAnswer {
-        if let Expected::Exactly(expected) = change.expected
+    fn decide(&self, change: &Change) -> ChangeResponse {
+        if let RevisionPrecondition::Exactly(expected) = change.expected
             && expected != self.revision
         {
-            return ChangeAnswer::Stale {
+            return ChangeResponse::Stale {
                 expected,
                 current: self.revision,
             };
         }
         let violations = validate_change(&self.resources, change);
         if !violations.is_empty() {
-            return ChangeAnswer::Invalid { violations };
+            return ChangeResponse::Invalid { violations };
         }
-        ChangeAnswer::Accepted {
+        ChangeResponse::Accepted {
             revision: self.revision.next(),
         }
     }
@@ -126,7 +126,7 @@
         }
     }
 
-    fn remember(&mut self, change: &Change, answer: &ChangeAnswer) {
+    fn remember(&mut self, change: &Change, answer: &ChangeResponse) {
         self.answers.insert(
             change.change_id.clone(),
             AnsweredChange {
--- a/crates/resources/src/view.rs
+++ b/crates/resources/src/view.rs
@@ -144,7 +144,7 @@
 
     /// The ceiling of programs of a class: that of the budget the class names, or none.
     #[must_use]
-    pub fn class_ceiling(&self, class: &str) -> Budget {
+    pub fn class_budget(&self, class: &str) -> Budget {
         self.class(class)
             .and_then(|class| self.get(ResourceKind::Budget, &class.budget))
             .map_or_else(Budget::default, |resource| match resource {
--- a/crates/resources/tests/properties.rs
+++ b/crates/resources/tests/properties.rs
@@ -1,8 +1,8 @@
 //! Whatever operators do: revisions are one order, answers are stable, and every reader arrives.
 
 use luglink_resources::{
-    BudgetPolicy, CatchUp, Change, ChangeAnswer, ConfigurationView, Expected, Operation,
-    ProgramClass, Resource, ResourceKey, ResourceKind, ResourceStore, Tenant,
+    BudgetPolicy, CatchUp, Change, ChangeResponse, ConfigurationView, Operation, ProgramClass,
+    Resource, ResourceKey, ResourceKind, ResourceStore, RevisionPrecondition, Tenant,
 };
 use luglink_types::{Budget, ChangeId, Priority, Revision};
 use proptest::prelude::*;
@@ -45,8 +45,8 @@
 
 fn change() -> impl Strategy<Value = Change> {
     let expected = prop_oneof![
-        Just(Expected::Current),
-        (0..12_u64).prop_map(|revision| Expected::Exactly(Revision(revision))),
+        Just(RevisionPrecondition::Current),
+        (0..12_u64).prop_map(|revision| RevisionPrecondition::Exactly(Revision(revision))),
     ];
     let operations = proptest::collection::vec(operation(), 1..4);
     (0..30_u32, expected, operations).prop_map(|(id, expected, operations)| Change {
@@ -78,11 +78,11 @@
             let answer = store.apply(change);
             prop_assert_eq!(&store.apply(change), &answer, "a resent change is answered the same");
             match answer {
-                ChangeAnswer::Accepted { revision } if store.revision() > before => {
+                ChangeResponse::Accepted { revision } if store.revision() > before => {
                     prop_assert_eq!(revision, before.next());
                     let own = match change.expected {
-                        Expected::Exactly(expected) => expected == before,
-                        Expected::Current => true,
+                        RevisionPrecondition::Exactly(expected) => expected == before,
+                        RevisionPrecondition::Current => true,
                     };
                     prop_assert!(own, "a stale change was accepted");
                 }
@@ -130,7 +130,7 @@
         let change = Change {
             change_id: ChangeId(format!("c{number}")),
             operator: "o".to_owned(),
-            expected: Expected::Exactly(Revision(number)),
+            expected: RevisionPrecondition::Exactly(Revision(number)),
             operations: vec![Operation::Set(Resource::Budget(BudgetPolicy {
                 name: "b".to_owned(),
                 budget: Budget {
@@ -139,7 +139,7 @@
                 },
             }))],
         };
-        let accepted = ChangeAnswer::Accepted {
+        let accepted = ChangeResponse::Accepted {
             revision: Revision(number + 1),
         };
         assert_eq!(store.apply(&change), accepted);
--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -144,7 +144,7 @@
 pub struct NewProgram<'request> {
     /// Hash of the program's name, the same on each attempt and at each gateway. Its upper half is
     /// the program's draw.
-    pub hash_fraction: u64,
+    pub admission_hash: u64,
     /// Route of the program.
     pub route: &'request Route,
     /// Tenant of the program.
@@ -245,8 +245,8 @@
         let fullness = memory.max(slots) / limit;
         let share = admitted_share(fullness);
         let tenant_share = self.tenant_share(new_program, fullness, fair_shares, now);
-        let unit_draw = unit_draw(new_program.hash_fraction);
-        let weighted_draw = unit_draw * self.draw_factor(new_program.hash_fraction, now);
+        let unit_draw = unit_draw(new_program.admission_hash);
+        let weighted_draw = unit_draw * self.draw_factor(new_program.admission_hash, now);
         // Earlier refusals give no precedence beyond the fair share.
         let is_admitted = if tenant_share < share {
             unit_draw < tenant_share
@@ -259,7 +259,7 @@
             (false, false) if memory >= slots => Some(Shortage::Memory),
             (false, false) => Some(Shortage::Slots),
         };
-        self.record_decision(new_program.hash_fraction, is_admitted, now);
+        self.record_decision(new_program.admission_hash, is_admitted, now);
         AdmissionDecision {
             refused_for,
             fullness,
--- a/crates/scheduling/src/features.rs
+++ b/crates/scheduling/src/features.rs
@@ -1,7 +1,7 @@
 //! Scheduling features that a deployment uses.
 
 use luglink_edge::{Configuration, Route, RouteKind};
-use luglink_types::Switches;
+use luglink_types::FeatureModes;
 
 /// Minimum number of attempts per request from which a route allows a second replica.
 const MIN_SECOND_REPLICA_ATTEMPTS: u32 = 2;
@@ -9,7 +9,7 @@
 /// Scheduling features enabled by the settings and the current configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Features {
-    switches: Switches,
+    modes: FeatureModes,
     /// True if the deployment expects more work than its replicas can do.
     expects_overload: bool,
 }
@@ -17,9 +17,9 @@
 impl Features {
     /// Creates the features of a process from its settings.
     #[must_use]
-    pub fn new(switches: Switches, expects_overload: bool) -> Self {
+    pub fn new(modes: FeatureModes, expects_overload: bool) -> Self {
         Self {
-            switches,
+            modes,
             expects_overload,
         }
     }
@@ -31,48 +31,48 @@
         let by_default = route.kind == RouteKind::Streaming && allows_second_replica(route);
         route.is_repeatable()
             && allows_second_replica(route)
-            && self.switches.moves.holds(by_default)
+            && self.modes.moves.is_enabled(by_default)
     }
 
     /// Returns true if unary requests are hedged earlier than the route's target latency requires.
     #[must_use]
     pub fn early_hedge(&self, configuration: &Configuration) -> bool {
-        self.switches
+        self.modes
             .moves
-            .holds(any_stream_can_move(configuration))
+            .is_enabled(any_stream_can_move(configuration))
     }
 
     /// Returns true if gateways exchange their statistics of the replicas.
     #[must_use]
     pub fn load_view(&self, configuration: &Configuration) -> bool {
         let by_default = self.expects_overload || any_stream_can_move(configuration);
-        self.switches.load_view.holds(by_default)
+        self.modes.load_view.is_enabled(by_default)
     }
 
     /// Returns true if replicas are chosen by the expected finish of a request.
     #[must_use]
     pub fn expected_finish(&self, configuration: &Configuration) -> bool {
         let by_default = self.expects_overload || any_stream_can_move(configuration);
-        self.switches.expected_finish.holds(by_default)
+        self.modes.expected_finish.is_enabled(by_default)
     }
 
     /// Returns true if programs are admitted by the memory that the running ones need until they
     /// end.
     #[must_use]
     pub fn working_set(&self) -> bool {
-        self.switches.working_set.holds(self.expects_overload)
+        self.modes.working_set.is_enabled(self.expects_overload)
     }
 
     /// Returns true if tenants and priorities get fair shares while capacity is short.
     #[must_use]
     pub fn fair_shares(&self) -> bool {
-        self.switches.fair_shares.holds(self.expects_overload)
+        self.modes.fair_shares.is_enabled(self.expects_overload)
     }
 
     /// Returns true if the bytes held for slow readers are limited.
     #[must_use]
     pub fn held_bytes(&self) -> bool {
-        self.switches.held_bytes.holds(true)
+        self.modes.held_bytes.is_enabled(true)
     }
 }
 
--- a/crates/scheduling/src/held_bytes.rs
+++ b/crates/scheduling/src/held_bytes.rs
@@ -22,7 +22,7 @@
 
 /// Limit that a request reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldBound {
+pub enum HeldBytesLimit {
     /// Limit of one request.
     Request,
     /// Limit of the request's tenant.
@@ -31,7 +31,7 @@
     Process,
 }
 
-impl HeldBound {
+impl HeldBytesLimit {
     /// Returns the name used in logs and metrics.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
@@ -45,22 +45,22 @@
 
 /// Holder that must release everything. Its bytes are no longer counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldCut {
+pub struct HeldAbort {
     /// Holder to cut.
     pub holder: HolderId,
     /// Bytes that it held.
     pub bytes: u64,
     /// Limit that was reached.
-    pub bound: HeldBound,
+    pub bound: HeldBytesLimit,
 }
 
 /// Answer to a holder that asks for more bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Growth {
     /// Granted once these holders have been cut.
-    Granted(Vec<HeldCut>),
+    Granted(Vec<HeldAbort>),
     /// Denied; the holder keeps what it had.
-    Denied(HeldBound),
+    Denied(HeldBytesLimit),
 }
 
 #[derive(Clone, Debug)]
@@ -134,16 +134,16 @@
         &mut self,
         tenant: Option<TenantName>,
         announced: u64,
-    ) -> Result<HolderId, HeldBound> {
+    ) -> Result<HolderId, HeldBytesLimit> {
         if announced > self.tenant_limit() {
-            return Err(HeldBound::Request);
+            return Err(HeldBytesLimit::Request);
         }
         let of_tenant = tenant.as_ref().map_or(0, |tenant| self.of_tenant(tenant));
         if of_tenant.saturating_add(announced) > self.tenant_limit() {
-            return Err(HeldBound::Tenant);
+            return Err(HeldBytesLimit::Tenant);
         }
         if self.total.saturating_add(announced) > self.limit {
-            return Err(HeldBound::Process);
+            return Err(HeldBytesLimit::Process);
         }
         let id = HolderId(self.next);
         self.next += 1;
@@ -158,7 +158,7 @@
     }
 
     /// Sets whether a holder can be cut. It cannot while a replica may run its request unobserved.
-    pub fn set_can_be_cut(&mut self, id: HolderId, can_be_cut: bool) {
+    pub fn set_abortable(&mut self, id: HolderId, can_be_cut: bool) {
         if let Some(holder) = self.holders.get_mut(&id) {
             holder.can_be_cut = can_be_cut;
         }
@@ -196,24 +196,36 @@
         &self,
         request: &GrowthRequest,
         tenant: Option<&TenantName>,
-    ) -> Result<Vec<HeldCut>, HeldBound> {
+    ) -> Result<Vec<HeldAbort>, HeldBytesLimit> {
         if request.added == 0 {
             return Ok(Vec::new());
         }
         if request.bytes > self.tenant_limit() {
-            return Err(HeldBound::Request);
+            return Err(HeldBytesLimit::Request);
         }
         let mut cuts = Vec::new();
         if let Some(name) = tenant {
             let after = self.of_tenant(name).saturating_add(request.added);
             let excess = after.saturating_sub(self.tenant_limit());
             let of_tenant = |holder: &Holder| holder.tenant.as_ref() == tenant;
-            self.choose_cuts(request, excess, HeldBound::Tenant, of_tenant, &mut cuts)?;
+            self.choose_cuts(
+                request,
+                excess,
+                HeldBytesLimit::Tenant,
+                of_tenant,
+                &mut cuts,
+            )?;
         }
         let freed: u64 = cuts.iter().map(|cut| cut.bytes).sum();
         let after = (self.total - freed).saturating_add(request.added);
         let excess = after.saturating_sub(self.limit);
-        self.choose_cuts(request, excess, HeldBound::Process, |_| true, &mut cuts)?;
+        self.choose_cuts(
+            request,
+            excess,
+            HeldBytesLimit::Process,
+            |_| true,
+            &mut cuts,
+        )?;
         Ok(cuts)
     }
 
@@ -224,19 +236,19 @@
         &self,
         request: &GrowthRequest,
         excess: u64,
-        bound: HeldBound,
+        bound: HeldBytesLimit,
         is_candidate: impl Fn(&Holder) -> bool,
-        cuts: &mut Vec<HeldCut>,
-    ) -> Result<(), HeldBound> {
+        cuts: &mut Vec<HeldAbort>,
+    ) -> Result<(), HeldBytesLimit> {
         if excess == 0 {
             return Ok(());
         }
         let is_uncut = |id: &HolderId| cuts.iter().all(|cut| cut.holder != *id);
-        let mut candidates: Vec<HeldCut> = self
+        let mut candidates: Vec<HeldAbort> = self
             .holders
             .iter()
             .filter(|(id, holder)| holder.can_be_cut && is_candidate(holder) && is_uncut(id))
-            .map(|(id, holder)| HeldCut {
+            .map(|(id, holder)| HeldAbort {
                 holder: *id,
                 bytes: if *id == request.id {
                     request.bytes
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -31,7 +31,7 @@
 pub use answer_lengths::AnswerLengths;
 pub use features::Features;
 pub use finish::{Expected, ReplicaState, SharedPart, Work, batch_factor, expect};
-pub use held_bytes::{Growth, HeldBound, HeldBytes, HeldCut, HolderId};
+pub use held_bytes::{Growth, HeldAbort, HeldBytes, HeldBytesLimit, HolderId};
 pub use load_shedding::{LoadShedder, ShedDecision};
 pub use load_view::{AgedStats, LoadView, VIEW_STALE_AFTER};
 pub use moves::{
--- a/crates/scheduling/src/pool/mod.rs
+++ b/crates/scheduling/src/pool/mod.rs
@@ -455,7 +455,7 @@
     }
 
     /// Records that a replica answered a request with a failure, or keeps one for much too long.
-    pub fn troubled(&mut self, id: &BackendId, now: Timestamp) {
+    pub fn note_failure(&mut self, id: &BackendId, now: Timestamp) {
         if let Some(record) = self.record(id) {
             record.note_failure(now);
         }
--- a/crates/scheduling/src/waits.rs
+++ b/crates/scheduling/src/waits.rs
@@ -137,7 +137,7 @@
 
     /// Returns the time of the fastest first events, once enough are known.
     #[must_use]
-    pub fn quickest_first_event(&self, now: Timestamp) -> Option<Duration> {
+    pub fn fastest_first_event(&self, now: Timestamp) -> Option<Duration> {
         self.first_events.quantile(FASTEST_QUANTILE, now)
     }
 
--- a/crates/scheduling/tests/admission.rs
+++ b/crates/scheduling/tests/admission.rs
@@ -181,7 +181,7 @@
 
 fn new_program(route: &Route, unit_draw: f64) -> NewProgram<'_> {
     NewProgram {
-        hash_fraction: ((unit_draw * 4_294_967_296.0) as u64) << 32,
+        admission_hash: ((unit_draw * 4_294_967_296.0) as u64) << 32,
         route,
         tenant: None,
         prompt_tokens: 1_000,
--- a/crates/scheduling/tests/expected_finish.rs
+++ b/crates/scheduling/tests/expected_finish.rs
@@ -207,7 +207,7 @@
 fn a_failing_replica_is_tried_again_later() {
     let mut pool = pool(true);
     for _ in 0..8 {
-        pool.troubled(&id(4), NOW);
+        pool.note_failure(&id(4), NOW);
     }
     let soon = pool.expected_at(&id(4), &work(1), NOW).unwrap();
     let later = NOW.plus(Duration::from_secs(30));
@@ -224,7 +224,7 @@
     for _ in 0..4 {
         pool.note_step(&id(1), Duration::from_millis(30), NOW);
     }
-    pool.troubled(&id(2), NOW);
+    pool.note_failure(&id(2), NOW);
     let replica_stats = pool.replica_stats(NOW).0;
     assert_eq!(replica_stats.len(), 2);
     let of = |engine| {
--- a/crates/scheduling/tests/fleet/mod.rs
+++ b/crates/scheduling/tests/fleet/mod.rs
@@ -236,7 +236,7 @@
             .tenant
             .map(|tenant| TenantName::from(format!("t{tenant}").as_str()));
         let new_program = NewProgram {
-            hash_fraction: xxh3_64(&id.to_le_bytes()),
+            admission_hash: xxh3_64(&id.to_le_bytes()),
             route: &route,
             tenant: tenant.as_ref(),
             prompt_tokens: requested.kind.prompt,
--- a/crates/scheduling/tests/held_bytes.rs
+++ b/crates/scheduling/tests/held_bytes.rs
@@ -1,6 +1,6 @@
 //! Replay of callers that stop reading: the bytes held by a process stay within its limit.
 
-use luglink_scheduling::{Growth, HeldBound, HeldBytes, HolderId};
+use luglink_scheduling::{Growth, HeldBytes, HeldBytesLimit, HolderId};
 use luglink_types::TenantName;
 use proptest::prelude::*;
 
@@ -26,7 +26,7 @@
     let mut max_held = 0;
     for number in 0..STALLED_CALLERS {
         if let Ok(holder) = held.admit(of(number), BODY_BYTES) {
-            held.set_can_be_cut(holder, true);
+            held.set_abortable(holder, true);
             open.push(holder);
         }
         max_held = max_held.max(held.total());
@@ -70,7 +70,10 @@
     let mut held = HeldBytes::new(LIMIT);
     let (_, max_held) = replay(&mut held, |_| tenant(1));
     assert!(max_held <= LIMIT / 2, "{max_held}");
-    assert_eq!(held.admit(tenant(1), LIMIT / 2), Err(HeldBound::Tenant));
+    assert_eq!(
+        held.admit(tenant(1), LIMIT / 2),
+        Err(HeldBytesLimit::Tenant)
+    );
     assert!(held.admit(tenant(2), LIMIT / 2).is_ok());
 }
 
@@ -81,7 +84,7 @@
     let newer = held.admit(None, 300).unwrap();
     let small = held.admit(None, 50).unwrap();
     for holder in [old, newer, small] {
-        held.set_can_be_cut(holder, true);
+        held.set_abortable(holder, true);
     }
     held.admit(None, 340).unwrap();
     let Growth::Granted(cuts) = held.resize(small, 100) else {
@@ -98,8 +101,8 @@
     let mut held = HeldBytes::new(1_000);
     let old = held.admit(None, 450).unwrap();
     let newest = held.admit(None, 450).unwrap();
-    held.set_can_be_cut(old, true);
-    held.set_can_be_cut(newest, true);
+    held.set_abortable(old, true);
+    held.set_abortable(newest, true);
     let grown = held.resize(newest, 500);
     assert_eq!(
         grown,
@@ -107,13 +110,19 @@
         "the holder may grow up to its limit"
     );
     held.admit(None, 50).unwrap();
-    assert_eq!(held.resize(newest, 501), Growth::Denied(HeldBound::Request));
+    assert_eq!(
+        held.resize(newest, 501),
+        Growth::Denied(HeldBytesLimit::Request)
+    );
     let grown = held.resize(old, 480);
     assert!(matches!(grown, Growth::Granted(cuts) if cuts[0].holder == newest));
     let newest = held.admit(None, 400).unwrap();
-    held.set_can_be_cut(newest, true);
+    held.set_abortable(newest, true);
     held.admit(None, 70).unwrap();
-    assert_eq!(held.resize(newest, 480), Growth::Denied(HeldBound::Process));
+    assert_eq!(
+        held.resize(newest, 480),
+        Growth::Denied(HeldBytesLimit::Process)
+    );
     assert_eq!(held.of_holder(old), Some(480));
 }
 
@@ -124,12 +133,12 @@
     let growing = held.admit(None, 400).unwrap();
     assert_eq!(
         held.resize(growing, 501),
-        Growth::Denied(HeldBound::Request)
+        Growth::Denied(HeldBytesLimit::Request)
     );
     held.admit(None, 100).unwrap();
     assert_eq!(
         held.resize(growing, 450),
-        Growth::Denied(HeldBound::Process)
+        Growth::Denied(HeldBytesLimit::Process)
     );
     assert_eq!(held.of_holder(sent), Some(500));
     assert_eq!(held.of_holder(growing), Some(400));
@@ -185,7 +194,7 @@
                     held.release(holder);
                 },
                 Step::SetCanBeCut(at, can) => if let Some(holder) = pick(&at) {
-                    held.set_can_be_cut(holder, can);
+                    held.set_abortable(holder, can);
                 },
             }
             let sum = |of: Option<u64>| -> u64 {
--- a/crates/scheduling/tests/moves.rs
+++ b/crates/scheduling/tests/moves.rs
@@ -5,7 +5,7 @@
     AwaitedEvent, ExtraSendBudget, Features, MoveDecision, RerunLimits, Restart, Stay,
     WaitHistogram, WaitQuantiles, Waiting, Waits, cannot_meet_deadline, decide_move, hedge_after,
 };
-use luglink_types::{Switch, Switches, Timestamp};
+use luglink_types::{FeatureMode, FeatureModes, Timestamp};
 use proptest::prelude::*;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -357,9 +357,9 @@
     assert!(auto.moves(&movable) && auto.early_hedge(&configuration(&movable)));
     assert!(!auto.moves(&single) && !auto.early_hedge(&configuration(&single)));
     assert!(!auto.moves(&once));
-    let switches = Switches {
-        moves: Switch::Off,
-        ..Switches::default()
+    let switches = FeatureModes {
+        moves: FeatureMode::Off,
+        ..FeatureModes::default()
     };
     let off = Features::new(switches, false);
     assert!(!off.moves(&movable) && !off.early_hedge(&configuration(&movable)));
--- a/crates/scheduling/tests/pool.rs
+++ b/crates/scheduling/tests/pool.rs
@@ -177,7 +177,7 @@
         "the replica is nearer"
     );
     for _ in 0..3 {
-        pool.troubled(&id("grey"), now);
+        pool.note_failure(&id("grey"), now);
         pool.succeeded(&id("grey"), Duration::from_millis(10));
     }
     // A success ends an ejection, but does not erase the recorded failures.
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -222,7 +222,7 @@
                     self.pools[gateway].note_step(&id, pause, now)
                 }
                 TurnEvent::First { gateway, wait } => self.pools[gateway].succeeded(&id, wait),
-                TurnEvent::Suspected { gateway } => self.pools[gateway].troubled(&id, now),
+                TurnEvent::Suspected { gateway } => self.pools[gateway].note_failure(&id, now),
                 TurnEvent::Ended(turn) => {
                     self.pools[turn.gateway].end(&id);
                     self.stats.turn_ms.push(now_ms - turn.started_ms);
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::daemon::unspecified;
 use crate::reader::Reader;
-use luglink_types::{Switch, Switches};
+use luglink_types::{FeatureMode, FeatureModes};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -69,7 +69,7 @@
     pub fail_closed: bool,
     /// Time without word after which it does, in milliseconds.
     pub revoke_ms: u64,
-    /// Conditions that the deployment expects. [`FleetSettings::expects_pressure`] reads them; those
+    /// Conditions that the deployment expects. [`FleetSettings::expects_overload`] reads them; those
     /// that this product does not know change nothing.
     pub conditions: Vec<String>,
 }
@@ -156,7 +156,7 @@
 
     /// Whether more work is to be expected than the replicas can do.
     #[must_use]
-    pub fn expects_pressure(&self) -> bool {
+    pub fn expects_overload(&self) -> bool {
         self.conditions.iter().any(|known| known == PRESSURE)
     }
 
@@ -199,7 +199,7 @@
     /// programs; 0 to look at none before programs begin.
     pub full_at: f64,
     /// Decisions under load that are taken.
-    pub scheduling: Switches,
+    pub scheduling: FeatureModes,
 }
 
 impl GatewaySettings {
@@ -221,14 +221,14 @@
     }
 }
 
-fn read_switches(reader: &mut Reader<'_>) -> Switches {
-    Switches {
-        load_view: reader.optional("gateway.scheduling.load_view", Switch::Auto),
-        expected_finish: reader.optional("gateway.scheduling.expected_finish", Switch::Auto),
-        moves: reader.optional("gateway.scheduling.moves", Switch::Auto),
-        working_set: reader.optional("gateway.scheduling.working_set", Switch::Auto),
-        fair_shares: reader.optional("gateway.scheduling.fair_shares", Switch::Auto),
-        held_bytes: reader.optional("gateway.scheduling.held_bytes", Switch::Auto),
+fn read_switches(reader: &mut Reader<'_>) -> FeatureModes {
+    FeatureModes {
+        load_view: reader.optional("gateway.scheduling.load_view", FeatureMode::Auto),
+        expected_finish: reader.optional("gateway.scheduling.expected_finish", FeatureMode::Auto),
+        moves: reader.optional("gateway.scheduling.moves", FeatureMode::Auto),
+        working_set: reader.optional("gateway.scheduling.working_set", FeatureMode::Auto),
+        fair_shares: reader.optional("gateway.scheduling.fair_shares", FeatureMode::Auto),
+        held_bytes: reader.optional("gateway.scheduling.held_bytes", FeatureMode::Auto),
     }
 }
 
@@ -259,7 +259,7 @@
 
 /// Settings of a control member of a managed fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ManagedSettings {
+pub struct ManagedMemberSettings {
     /// Address for operators.
     pub operator_listen: SocketAddr,
     /// Address for callers that ask where to go.
@@ -278,7 +278,7 @@
     pub metrics_listen: Option<SocketAddr>,
 }
 
-impl ManagedSettings {
+impl ManagedMemberSettings {
     pub(crate) fn read(reader: &mut Reader<'_>) -> Option<Self> {
         let operator_listen = reader.required("member.operator_listen");
         let resolution_listen = reader.required("member.resolution_listen");
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,5 +17,5 @@
 pub use control::ControlSettings;
 pub use daemon::DaemonSettings;
 pub use errors::{Fault, SettingsError};
-pub use fleet::{FleetSettings, GatewaySettings, ManagedSettings, StoreSettings};
+pub use fleet::{FleetSettings, GatewaySettings, ManagedMemberSettings, StoreSettings};
 pub use source::{MemberAddress, Role, SETTINGS_VARIABLE, Settings, load, settings_file};
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -3,7 +3,7 @@
 use crate::control::ControlSettings;
 use crate::daemon::DaemonSettings;
 use crate::errors::{FaultsSnafu, SettingsError, SyntaxSnafu, UnreadableSnafu};
-use crate::fleet::{FleetSettings, GatewaySettings, ManagedSettings, StoreSettings};
+use crate::fleet::{FleetSettings, GatewaySettings, ManagedMemberSettings, StoreSettings};
 use crate::reader::{FLAGS_SOURCE, Reader};
 use figment::Figment;
 use figment::providers::{Env, Format, Serialized, Toml};
@@ -61,7 +61,7 @@
     /// Of a turn store.
     pub store: Option<StoreSettings>,
     /// Of a control member of a managed fleet.
-    pub member: Option<ManagedSettings>,
+    pub member: Option<ManagedMemberSettings>,
 }
 
 /// One value that a flag overrides: its key and the value as text.
@@ -159,7 +159,7 @@
         member: section(
             reader,
             wanted("member", Role::Member),
-            ManagedSettings::read,
+            ManagedMemberSettings::read,
         ),
     };
     (reader.fault_count() == faults).then_some(settings)
--- a/crates/settings/tests/files.rs
+++ b/crates/settings/tests/files.rs
@@ -201,8 +201,8 @@
     let text = text.replace("# [gateway.scheduling]", "[gateway.scheduling]");
     let text = text.replace("# moves = \"auto\"", "moves = \"off\"");
     let settings = loaded(&write(&folder, &text));
-    assert!(settings.fleet.unwrap().expects_pressure());
+    assert!(settings.fleet.unwrap().expects_overload());
     let scheduling = settings.gateway.unwrap().scheduling;
-    assert_eq!(scheduling.moves, luglink_types::Switch::Off);
-    assert_eq!(scheduling.load_view, luglink_types::Switch::Auto);
+    assert_eq!(scheduling.moves, luglink_types::FeatureMode::Off);
+    assert_eq!(scheduling.load_view, luglink_types::FeatureMode::Auto);
 }
--- a/crates/store-server/src/peers.rs
+++ b/crates/store-server/src/peers.rs
@@ -42,7 +42,7 @@
         let address = *self.addresses.borrow().get(name)?;
         let hello = Hello {
             version: PROTOCOL_VERSION,
-            role: ClientRole::Writer,
+            role: ClientRole::StoreClient,
             id: 0,
         };
         let link = Rc::new(RequestClient::open(address, hello));
--- a/crates/store-server/src/server.rs
+++ b/crates/store-server/src/server.rs
@@ -6,7 +6,7 @@
 use crate::peers::Peers;
 use luglink_fleet::{KnownVersions, ObserverUpdate, Presence, Role, StoreName, StorePresence};
 use luglink_fleet_client::{ListSource, Observer, ObserverConfig, ObserverDelegate};
-use luglink_net::{Accepted, FrameSender};
+use luglink_net::{FrameSender, ListenerEvent};
 use luglink_quota::Tolerance;
 use luglink_storage::{FileDisk, WalConfig};
 use luglink_turns::{
@@ -195,23 +195,23 @@
         self.metrics.epoch.set(node.epoch() as f64);
     }
 
-    fn on_socket(self: &Rc<Self>, event: Accepted) {
+    fn on_socket(self: &Rc<Self>, event: ListenerEvent) {
         match event {
-            Accepted::Opened {
+            ListenerEvent::Opened {
                 connection, sender, ..
             } => {
                 self.clients.borrow_mut().insert(connection, sender);
             }
-            Accepted::Frame {
+            ListenerEvent::Frame {
                 connection,
                 frame: Frame::Request {
                     correlation, body, ..
                 },
             } => self.on_request(connection, correlation, &body),
-            Accepted::Frame { connection, .. } => {
+            ListenerEvent::Frame { connection, .. } => {
                 tracing::warn!(connection, "unexpected frame");
             }
-            Accepted::Closed { connection } => {
+            ListenerEvent::Closed { connection } => {
                 self.clients.borrow_mut().remove(&connection);
             }
         }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -7,7 +7,7 @@
 mod metrics;
 
 pub use errors::TelemetryError;
-pub use logs::{LogGuard, init_bounded_logs, init_logs};
+pub use logs::{LogGuard, init_logs, init_non_blocking_logs};
 pub use metrics::Metrics;
 
 /// A duration as log lines and headers give it: a whole number of milliseconds, rounded down. A
--- a/crates/telemetry/src/logs.rs
+++ b/crates/telemetry/src/logs.rs
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// The filter is malformed, or logs were set up before.
-pub fn init_bounded_logs(filter: &str) -> Result<LogGuard, TelemetryError> {
+pub fn init_non_blocking_logs(filter: &str) -> Result<LogGuard, TelemetryError> {
     let filter = EnvFilter::try_new(filter).context(FilterSnafu { filter })?;
     let (writer, guard) = NonBlockingBuilder::default()
         .buffered_lines_limit(BUFFERED_LINES)
--- a/crates/turns/src/admission.rs
+++ b/crates/turns/src/admission.rs
@@ -9,33 +9,33 @@
 
 /// What a look at a program's account, with the turn's own reservation in it, comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum BudgetDecision {
     /// The turn may be sent.
     Admit,
     /// The budget is nearly spent: others that reserve at the same moment may not be in sight
     /// yet. The account must be read from a quorum once more, now that the turn's own
     /// reservation is on one; of all that race, the one that reads last sees every other.
-    LookAgain,
+    ReadAgain,
     /// The turn does not fit.
     Refuse,
 }
 
-impl Admission {
+impl BudgetDecision {
     /// Judges a first look: `total` tokens of the account, the turn's own `ceiling` included.
     #[must_use]
-    pub fn at_first_look(total: u64, ceiling: u64, budget: u64) -> Self {
+    pub fn after_first_read(total: u64, ceiling: u64, budget: u64) -> Self {
         if total > budget {
             return Self::Refuse;
         }
         if total + CALM_TURNS * ceiling <= budget {
             return Self::Admit;
         }
-        Self::LookAgain
+        Self::ReadAgain
     }
 
     /// Judges a second look.
     #[must_use]
-    pub fn at_second_look(total: u64, budget: u64) -> Self {
+    pub fn after_second_read(total: u64, budget: u64) -> Self {
         if total > budget {
             Self::Refuse
         } else {
--- a/crates/turns/src/lib.rs
+++ b/crates/turns/src/lib.rs
@@ -24,9 +24,9 @@
 mod state;
 
 pub use account::{Account, Spend};
-pub use admission::Admission;
+pub use admission::BudgetDecision;
 pub use errors::TurnsError;
 pub use node::{Output, RequestToken, StoreConfig, StoreNode};
-pub use protocol::{Chain, ChainWish, StoreRequest, StoreResponse};
+pub use protocol::{Chain, ChainQuery, StoreRequest, StoreResponse};
 pub use record::{ProgramName, TurnId, TurnRecord};
-pub use replication::{Absence, Replication};
+pub use replication::{AbsenceProof, Replication};
--- a/crates/turns/src/node.rs
+++ b/crates/turns/src/node.rs
@@ -4,7 +4,7 @@
 use crate::errors::TurnsError;
 use crate::hand_over::HandOver;
 use crate::journal::{Entry, Journal};
-use crate::protocol::{Chain, ChainWish, StoreRequest, StoreResponse};
+use crate::protocol::{Chain, ChainQuery, StoreRequest, StoreResponse};
 use crate::record::{ProgramName, TurnId, TurnRecord};
 use crate::replication::Replication;
 use crate::state::State;
@@ -75,7 +75,7 @@
 enum Answer {
     Spent {
         program: ProgramName,
-        chain: Option<ChainWish>,
+        chain: Option<ChainQuery>,
         served_by: Option<BackendId>,
     },
     Done,
@@ -451,7 +451,7 @@
         held.served_by.clone()
     }
 
-    fn chain(&self, wish: &ChainWish) -> Chain {
+    fn chain(&self, wish: &ChainQuery) -> Chain {
         let Some(held) = self.state.turns.get(&wish.turn) else {
             return Chain::Absent {
                 incarnation: self.incarnation,
--- a/crates/turns/src/protocol.rs
+++ b/crates/turns/src/protocol.rs
@@ -8,7 +8,7 @@
 
 /// Asks for a turn and the turns that it goes on from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChainWish {
+pub struct ChainQuery {
     /// The turn.
     pub turn: TurnId,
 }
@@ -46,7 +46,7 @@
         /// Time for which the account is kept, in milliseconds.
         retention_ms: u64,
         /// A chain to look up with it.
-        chain: Option<ChainWish>,
+        chain: Option<ChainQuery>,
         /// The replica that served the turn, and holds the program's prompt in cache.
         served_by: Option<BackendId>,
     },
@@ -64,7 +64,7 @@
         carried: Vec<TurnRecord>,
     },
     /// Looks a chain up.
-    Lookup(ChainWish),
+    Lookup(ChainQuery),
     /// Hands over what the receiver should hold too.
     HandOver {
         /// Turns.
--- a/crates/turns/src/replication.rs
+++ b/crates/turns/src/replication.rs
@@ -45,11 +45,11 @@
 
 /// Collects the words of stores that lack a turn, until it is sure that there is none.
 #[derive(Debug, Default)]
-pub struct Absence {
+pub struct AbsenceProof {
     lacking: BTreeSet<StoreName>,
 }
 
-impl Absence {
+impl AbsenceProof {
     /// Takes a store's answer. One that may not have been filled yet proves nothing.
     pub fn note(&mut self, view: &StoreView, store: &StoreName, chain: &Chain) {
         if let Chain::Absent { incarnation } = chain
--- a/crates/turns/tests/admission.rs
+++ b/crates/turns/tests/admission.rs
@@ -1,6 +1,6 @@
 //! Turns that race for one budget, over stores that hear of them in any order.
 
-use luglink_turns::{Account, Admission, Spend, TurnId};
+use luglink_turns::{Account, BudgetDecision, Spend, TurnId};
 use proptest::prelude::*;
 
 const STORES: usize = 3;
@@ -18,7 +18,7 @@
     /// Stores that it reads at a second look, once it has to.
     second_look: Option<Vec<usize>>,
     reads: Vec<usize>,
-    verdict: Option<Admission>,
+    verdict: Option<BudgetDecision>,
 }
 
 impl Writer {
@@ -41,7 +41,7 @@
             self.seen.merge(&stores[store]);
             if reads.is_empty() {
                 let total = self.seen.total();
-                self.verdict = Some(Admission::at_second_look(total, budget));
+                self.verdict = Some(BudgetDecision::after_second_read(total, budget));
             }
             return;
         }
@@ -61,8 +61,8 @@
     }
 
     fn judge(&mut self, budget: u64) {
-        match Admission::at_first_look(self.seen.total(), CEILING, budget) {
-            Admission::LookAgain => {
+        match BudgetDecision::after_first_read(self.seen.total(), CEILING, budget) {
+            BudgetDecision::ReadAgain => {
                 let reads = self.reads.iter().copied().take(QUORUM);
                 self.second_look = Some(reads.collect());
             }
@@ -98,7 +98,7 @@
     }
     let admitted = writers
         .iter()
-        .filter(|writer| writer.verdict == Some(Admission::Admit));
+        .filter(|writer| writer.verdict == Some(BudgetDecision::Admit));
     admitted.count() as u64 * CEILING
 }
 
@@ -131,7 +131,7 @@
     }
     let admitted = writers
         .iter()
-        .filter(|writer| writer.verdict == Some(Admission::Admit));
+        .filter(|writer| writer.verdict == Some(BudgetDecision::Admit));
     assert!(admitted.count() as u64 * CEILING <= budget);
 }
 
--- a/crates/turns/tests/golden.rs
+++ b/crates/turns/tests/golden.rs
@@ -8,7 +8,7 @@
 use luglink_quota::{Limit, Purpose, QuotaRequest, QuotaResponse, Tolerance};
 use luglink_storage::{Disk, FileDisk, MemoryDisk, Wal, WalConfig};
 use luglink_turns::{
-    Account, Chain, ChainWish, Output, ProgramName, Replication, RequestToken, Spend, StoreConfig,
+    Account, Chain, ChainQuery, Output, ProgramName, Replication, RequestToken, Spend, StoreConfig,
     StoreNode, StoreRequest, StoreResponse, TurnId, TurnRecord,
 };
 use luglink_types::Timestamp;
@@ -64,7 +64,7 @@
             turn: turn("t"),
             spend: Spend::Reserved(300),
             retention_ms: 60_000,
-            chain: Some(ChainWish { turn: turn("s") }),
+            chain: Some(ChainQuery { turn: turn("s") }),
             served_by: Some(BackendId("r1".to_owned())),
         },
         StoreRequest::Account(program()),
@@ -74,7 +74,7 @@
             tokens: 45,
             carried: vec![record("s", &[])],
         },
-        StoreRequest::Lookup(ChainWish { turn: turn("t") }),
+        StoreRequest::Lookup(ChainQuery { turn: turn("t") }),
         StoreRequest::HandOver {
             turns: vec![record("t", &[])],
             accounts: vec![(program(), account(), 60_000)],
@@ -234,7 +234,7 @@
         panic!("expected an account, got {account:?}");
     };
     assert_eq!(account.spend_of(&turn("u")), Some(Spend::Reserved(300)));
-    let wish = ChainWish { turn: turn("t") };
+    let wish = ChainQuery { turn: turn("t") };
     let chain = ask(&mut node, StoreRequest::Lookup(wish));
     let StoreResponse::Chain(Chain::Found { turn: found, .. }) = chain else {
         panic!("expected the turn, got {chain:?}");
--- a/crates/turns/tests/store.rs
+++ b/crates/turns/tests/store.rs
@@ -4,8 +4,8 @@
 use luglink_quota::Tolerance;
 use luglink_storage::{CrashDamage, MemoryDisk, WalConfig};
 use luglink_turns::{
-    Absence, Account, Chain, ChainWish, Output, ProgramName, Replication, RequestToken, Spend,
-    StoreConfig, StoreNode, StoreRequest, StoreResponse, TurnId, TurnRecord,
+    AbsenceProof, Account, Chain, ChainQuery, Output, ProgramName, Replication, RequestToken,
+    Spend, StoreConfig, StoreNode, StoreRequest, StoreResponse, TurnId, TurnRecord,
 };
 use luglink_types::Timestamp;
 use std::collections::BTreeMap;
@@ -103,7 +103,7 @@
 }
 
 fn lookup(node: &mut StoreNode<MemoryDisk>, id: &str, now: Timestamp) -> Chain {
-    let wish = ChainWish {
+    let wish = ChainQuery {
         turn: TurnId(id.to_owned()),
     };
     match ask(node, StoreRequest::Lookup(wish), now) {
@@ -454,7 +454,7 @@
     let registry = view_of(&[("a", 1), ("b", 2), ("c", 3)]);
     let view = registry.view();
     let absent = |incarnation| Chain::Absent { incarnation };
-    let mut absence = Absence::default();
+    let mut absence = AbsenceProof::default();
     absence.note(view, &name("a"), &absent(1));
     assert!(!absence.is_certain(view, replication), "one may lack it");
     absence.note(view, &name("b"), &absent(77));
@@ -465,5 +465,5 @@
     absence.note(view, &name("b"), &absent(2));
     assert!(absence.is_certain(view, replication));
     let nobody = StoreView::default();
-    assert!(!Absence::default().is_certain(&nobody, replication));
+    assert!(!AbsenceProof::default().is_certain(&nobody, replication));
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -23,5 +23,5 @@
 pub use outcome::OutcomeClass;
 pub use priority::Priority;
 pub use refusal::{Executed, Refusal, RefusalCode};
-pub use switches::{Switch, Switches};
+pub use switches::{FeatureMode, FeatureModes};
 pub use time::Timestamp;
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -31,7 +31,7 @@
 
     /// Whether the engine certainly spent nothing on the attempt.
     #[must_use]
-    pub const fn spent_nothing(self) -> bool {
+    pub const fn is_unprocessed(self) -> bool {
         matches!(self, Self::NotDispatched | Self::RejectedBeforeProcessing)
     }
 }
--- a/crates/types/src/switches.rs
+++ b/crates/types/src/switches.rs
@@ -5,7 +5,7 @@
 /// Whether a decision is taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Switch {
+pub enum FeatureMode {
     /// Where the configuration in force, or what the deployment expects, calls for it.
     #[default]
     Auto,
@@ -15,12 +15,12 @@
     Off,
 }
 
-impl Switch {
-    /// Whether the decision is taken, when `called_for` says whether anything calls for it.
+impl FeatureMode {
+    /// Whether the decision is taken, when `is_needed` says whether anything calls for it.
     #[must_use]
-    pub fn holds(self, called_for: bool) -> bool {
+    pub fn is_enabled(self, is_needed: bool) -> bool {
         match self {
-            Self::Auto => called_for,
+            Self::Auto => is_needed,
             Self::On => true,
             Self::Off => false,
         }
@@ -29,17 +29,17 @@
 
 /// The decisions under load that can be switched.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Switches {
+pub struct FeatureModes {
     /// Gateways of a zone tell each other what they see of the replicas.
-    pub load_view: Switch,
+    pub load_view: FeatureMode,
     /// Replicas are chosen by when the request is expected to be finished.
-    pub expected_finish: Switch,
+    pub expected_finish: FeatureMode,
     /// Requests that wait at a slow replica go to another one.
-    pub moves: Switch,
+    pub moves: FeatureMode,
     /// Programs are let in by the memory that those under way need until they end.
-    pub working_set: Switch,
+    pub working_set: FeatureMode,
     /// Tenants and kinds of request get fair shares while room is short.
-    pub fair_shares: Switch,
+    pub fair_shares: FeatureMode,
     /// Bytes held for slow readers are bounded.
-    pub held_bytes: Switch,
+    pub held_bytes: FeatureMode,
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -29,7 +29,7 @@
     Observer,
     /// A client of a turn store.
     #[deku(id = "4")]
-    Writer,
+    StoreClient,
 }
 
 /// First frame of a connection.
--- a/crates/wire/tests/golden.rs
+++ b/crates/wire/tests/golden.rs
@@ -11,7 +11,7 @@
         ClientRole::Member => "hello-member",
         ClientRole::Daemon => "hello-daemon",
         ClientRole::Observer => "hello-observer",
-        ClientRole::Writer => "hello-writer",
+        ClientRole::StoreClient => "hello-writer",
     };
     let version = PROTOCOL_VERSION;
     let id = 0x0102_0304;
@@ -34,7 +34,7 @@
         ClientRole::Member,
         ClientRole::Daemon,
         ClientRole::Observer,
-        ClientRole::Writer,
+        ClientRole::StoreClient,
     ];
     let others = [
         Frame::peer(7, vec![1, 2, 3]),
