--- a/app/luglink/src/control.rs
+++ b/app/luglink/src/control.rs
@@ -1,4 +1,4 @@
-//! `luglink control`.
+//! `luglink control`: runs a control member.
 
 use crate::exit::{Exit, Failure};
 use crate::options::ServerOptions;
@@ -6,15 +6,15 @@
 use luglink_settings::{ControlSettings, Role, load};
 
 pub(crate) fn run(options: ServerOptions) -> Result<Exit, Failure> {
-    let unusable = |error: String| Failure::new(Exit::Unusable, error);
-    let overrides = options.overrides().map_err(unusable)?;
+    let invalid_input = |error: String| Failure::new(Exit::InvalidInput, error);
+    let overrides = options.overrides().map_err(invalid_input)?;
     let settings = load(options.config.as_deref(), overrides, Role::Control)
-        .map_err(|error| unusable(error.to_string()))?;
+        .map_err(|error| invalid_input(error.to_string()))?;
     luglink_telemetry::init_logs(&settings.log_filter)
-        .map_err(|error| unusable(error.to_string()))?;
+        .map_err(|error| invalid_input(error.to_string()))?;
     let control = settings
         .control
-        .ok_or_else(|| unusable("the settings have no section [control]".to_owned()))?;
+        .ok_or_else(|| invalid_input("the settings have no section [control]".to_owned()))?;
     actix_rt::System::new().block_on(serve(control))
 }
 
@@ -30,7 +30,7 @@
     tokio::select! {
         failure = server.failed() => {
             let reason = failure.map_or_else(
-                || "the control member stopped".to_owned(),
+                || "the control member stopped unexpectedly".to_owned(),
                 |failure| failure.to_string(),
             );
             return Err(unavailable(reason));
--- a/app/luglink/src/ctl.rs
+++ b/app/luglink/src/ctl.rs
@@ -1,4 +1,4 @@
-//! `luglink ctl`: the operator client.
+//! `luglink ctl`: command-line client of the administration API.
 
 use crate::exit::{Exit, Failure};
 use crate::options::{CtlCommand, CtlOptions};
@@ -10,12 +10,12 @@
 use std::path::Path;
 
 pub(crate) fn run(options: CtlOptions) -> Result<Exit, Failure> {
-    let client =
-        AdminClient::new(options.address).map_err(|error| Failure::new(Exit::Unusable, error))?;
-    actix_rt::System::new().block_on(carry_out(&client, options.command))
+    let client = AdminClient::new(options.address)
+        .map_err(|error| Failure::new(Exit::InvalidInput, error))?;
+    actix_rt::System::new().block_on(execute(&client, options.command))
 }
 
-async fn carry_out(client: &AdminClient, command: CtlCommand) -> Result<Exit, Failure> {
+async fn execute(client: &AdminClient, command: CtlCommand) -> Result<Exit, Failure> {
     match command {
         CtlCommand::Apply {
             file,
@@ -58,7 +58,7 @@
         CtlCommand::Status => Ok(status(client).await),
         CtlCommand::Drain => {
             client.drain().await.map_err(client_failure)?;
-            println!("handed over");
+            println!("leadership transfer started");
             Ok(Exit::Success)
         }
         CtlCommand::Member {
@@ -87,7 +87,7 @@
 
 fn client_failure(error: ClientError) -> Failure {
     let exit = match error {
-        ClientError::NoAddress => Exit::Unusable,
+        ClientError::NoAddress => Exit::InvalidInput,
         ClientError::Refused { .. } => Exit::Refused,
         ClientError::Unreachable { .. } => Exit::Unavailable,
     };
@@ -95,10 +95,10 @@
 }
 
 fn read_operations(file: &Path) -> Result<Vec<v1::Operation>, Failure> {
-    let unusable =
-        |error: String| Failure::new(Exit::Unusable, format!("{}: {error}", file.display()));
-    let text = std::fs::read_to_string(file).map_err(|error| unusable(error.to_string()))?;
-    let resources = parse_resource_file(&text).map_err(|error| unusable(error.to_string()))?;
+    let invalid_input =
+        |error: String| Failure::new(Exit::InvalidInput, format!("{}: {error}", file.display()));
+    let text = std::fs::read_to_string(file).map_err(|error| invalid_input(error.to_string()))?;
+    let resources = parse_resource_file(&text).map_err(|error| invalid_input(error.to_string()))?;
     let operations = resources.into_operations();
     Ok(operations.iter().map(operation_to_proto).collect())
 }
@@ -113,29 +113,32 @@
         }
         Some(Answer::StaleCurrentRevision(current)) => Err(Failure::new(
             Exit::Refused,
-            format!("stale: the current revision is {current}; nothing changed"),
+            format!("stale expected revision: the current revision is {current}; nothing changed"),
         )),
         Some(Answer::Invalid(violations)) => Err(Failure::new(
             Exit::Refused,
-            violation_lines(&violations.violations),
+            format_violations(&violations.violations),
         )),
         Some(Answer::ChangeIdReused(_)) => Err(Failure::new(
             Exit::Refused,
-            "the change id was used for a different change; nothing changed",
+            "the change id belongs to a different change; nothing changed",
+        )),
+        None => Err(Failure::new(
+            Exit::Unavailable,
+            "the control member sent an empty response",
         )),
-        None => Err(Failure::new(Exit::Unavailable, "the member gave no answer")),
     }
 }
 
-fn violation_lines(violations: &[v1::Violation]) -> String {
+fn format_violations(violations: &[v1::Violation]) -> String {
     let lines = violations.iter().map(|violation| {
         format!(
-            "\n  {}: `{}` breaks the rule: {}",
+            "\n  {}: invalid value `{}`: {}",
             violation.field, violation.value, violation.rule
         )
     });
     format!(
-        "the change breaks rules; nothing changed{}",
+        "invalid change; nothing changed{}",
         lines.collect::<String>()
     )
 }
@@ -159,14 +162,14 @@
     println!("revision {}", response.revision);
     for resource in response.resources {
         match resource_from_proto(resource) {
-            Ok(resource) => println!("{}", resource_line(&resource)),
-            Err(error) => println!("not understood: {error}"),
+            Ok(resource) => println!("{}", format_resource(&resource)),
+            Err(error) => println!("cannot decode resource: {error}"),
         }
     }
     Ok(Exit::Success)
 }
 
-fn resource_line(resource: &Resource) -> String {
+fn format_resource(resource: &Resource) -> String {
     serde_json::to_string(resource).unwrap_or_else(|error| error.to_string())
 }
 
@@ -183,37 +186,37 @@
         let Some(message) = message else {
             return Ok(Exit::Success);
         };
-        let what = if message.snapshot {
+        let kind = if message.snapshot {
             "snapshot"
         } else {
             "change"
         };
-        println!("revision {} ({what})", message.revision);
+        println!("revision {} ({kind})", message.revision);
         for operation in message.operations {
             match operation_from_proto(operation) {
-                Ok(operation) => println!("  {}", operation_line(&operation)),
-                Err(error) => println!("  not understood: {error}"),
+                Ok(operation) => println!("  {}", format_operation(&operation)),
+                Err(error) => println!("  cannot decode operation: {error}"),
             }
         }
     }
 }
 
-fn operation_line(operation: &luglink_resources::Operation) -> String {
+fn format_operation(operation: &luglink_resources::Operation) -> String {
     serde_json::to_string(operation).unwrap_or_else(|error| error.to_string())
 }
 
 async fn status(client: &AdminClient) -> Exit {
-    let mut any = false;
+    let mut is_reachable = false;
     for (address, status) in client.status().await {
         match status {
             Err(status) => println!("{address}: {}", status.message()),
             Ok(status) => {
-                any = true;
+                is_reachable = true;
                 print_status(&status);
             }
         }
     }
-    if any {
+    if is_reachable {
         Exit::Success
     } else {
         Exit::Unavailable
@@ -239,13 +242,13 @@
             group.term,
             group.commit,
             group.log_entries,
-            peers(&group.voters),
-            peers(&group.learners)
+            format_peers(&group.voters),
+            format_peers(&group.learners)
         );
     }
 }
 
-fn peers(peers: &[v1::Peer]) -> String {
+fn format_peers(peers: &[v1::Peer]) -> String {
     let names: Vec<String> = peers
         .iter()
         .map(|peer| format!("{}/{}", peer.member, peer.incarnation))
@@ -259,9 +262,10 @@
         .filter(|kind| *kind != v1::ResourceKind::Unspecified)
         .ok_or_else(|| {
             Failure::new(
-                Exit::Unusable,
+                Exit::InvalidInput,
                 format!(
-                    "`{text}` is not tenant, class, model_pool, adapter, priority, budget or service"
+                    "unknown resource kind `{text}`: expected tenant, class, model_pool, adapter, priority, \
+                     budget or service"
                 ),
             )
         })
@@ -273,8 +277,8 @@
         "promote" => Ok(v1::MembershipAction::Promote),
         "remove" => Ok(v1::MembershipAction::Remove),
         _ => Err(Failure::new(
-            Exit::Unusable,
-            format!("`{text}` is not add-learner, promote or remove"),
+            Exit::InvalidInput,
+            format!("unknown membership action `{text}`: expected add-learner, promote or remove"),
         )),
     }
 }
--- a/app/luglink/src/daemon.rs
+++ b/app/luglink/src/daemon.rs
@@ -1,4 +1,4 @@
-//! `luglink daemon`.
+//! `luglink daemon`: runs the daemon that serves the callers of one machine.
 
 use crate::exit::{Exit, Failure};
 use crate::options::ServerOptions;
@@ -6,15 +6,15 @@
 use luglink_settings::{DaemonSettings, Role, load};
 
 pub(crate) fn run(options: ServerOptions) -> Result<Exit, Failure> {
-    let unusable = |error: String| Failure::new(Exit::Unusable, error);
-    let overrides = options.overrides().map_err(unusable)?;
+    let invalid_input = |error: String| Failure::new(Exit::InvalidInput, error);
+    let overrides = options.overrides().map_err(invalid_input)?;
     let settings = load(options.config.as_deref(), overrides, Role::Daemon)
-        .map_err(|error| unusable(error.to_string()))?;
+        .map_err(|error| invalid_input(error.to_string()))?;
     luglink_telemetry::init_logs(&settings.log_filter)
-        .map_err(|error| unusable(error.to_string()))?;
+        .map_err(|error| invalid_input(error.to_string()))?;
     let daemon = settings
         .daemon
-        .ok_or_else(|| unusable("the settings have no section [daemon]".to_owned()))?;
+        .ok_or_else(|| invalid_input("the settings have no section [daemon]".to_owned()))?;
     actix_rt::System::new().block_on(serve(daemon))
 }
 
--- a/app/luglink/src/exit.rs
+++ b/app/luglink/src/exit.rs
@@ -1,19 +1,19 @@
-//! Exit codes.
+//! Exit codes and errors that end the process.
 
 use std::process::ExitCode;
 
-/// How the process ends. The codes are part of the interface; `--help` lists them.
+/// Outcome of the process. The exit codes are part of the interface and listed in `--help`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Exit {
-    /// Done.
+    /// The operation completed.
     Success,
-    /// The settings, files or arguments cannot be used.
-    Unusable,
-    /// The operation was refused, for example as stale or invalid.
+    /// The settings, files or arguments are invalid.
+    InvalidInput,
+    /// The operation was rejected, for example as stale or invalid.
     Refused,
-    /// No member answered, or the process could not go on.
+    /// No control member answered, or the process cannot continue.
     Unavailable,
-    /// A planned stop ran out of time with requests in flight.
+    /// A planned stop timed out with requests in flight.
     DrainTimeout,
 }
 
@@ -21,7 +21,7 @@
     fn from(exit: Exit) -> Self {
         let code = match exit {
             Exit::Success => 0,
-            Exit::Unusable => 2,
+            Exit::InvalidInput => 2,
             Exit::Refused => 3,
             Exit::Unavailable => 4,
             Exit::DrainTimeout => 5,
@@ -30,7 +30,7 @@
     }
 }
 
-/// A failure: what to tell, and how to end.
+/// Error that ends the process, with its message and outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct Failure {
     pub(crate) message: String,
--- a/app/luglink/src/fleet.rs
+++ b/app/luglink/src/fleet.rs
@@ -1,8 +1,8 @@
-//! The processes of a managed fleet: `luglink gateway`, `luglink store`, `luglink member`.
+//! Processes of a managed fleet: `luglink gateway`, `luglink store`, `luglink member`.
 
 use crate::exit::{Exit, Failure};
-use crate::options::{FleetOptions, Spelling};
-use crate::reload::{ReloadWatch, last_written};
+use crate::options::{DialectName, FleetOptions};
+use crate::reload::{SettingsWatcher, modified_at};
 use crate::shutdown::stop_requested;
 use luglink_control_server::{ManagedServerConfig, start_managed};
 use luglink_edge::{Dialect, LuglinkDialect};
@@ -20,38 +20,40 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 
-/// Part of the memory limit that a gateway gives to turns it has seen.
-const TURN_CACHE_SHARE: u64 = 8;
+/// Divisor of the memory limit that gives the maximum size of a gateway's turn cache.
+const TURN_CACHE_DIVISOR: u64 = 8;
 
-/// Part of the memory limit that a gateway may hold for callers and replicas that read slowly. The
-/// process itself, its connections and the turns it has seen need the rest.
-const HELD_BYTES_SHARE: u64 = 4;
+/// Divisor of the memory limit that gives the maximum number of bytes buffered for callers and
+/// replicas that read slowly. The process, its connections and the turn cache need the rest.
+const HELD_BYTES_DIVISOR: u64 = 4;
 
-/// Time kept back from a planned stop's limit, for the process to end by itself.
+/// Part of the stop timeout that is reserved for the process to exit after the requests in flight
+/// have ended.
 const STOP_RESERVE: Duration = Duration::from_millis(500);
 
+/// Loaded settings of a process and what is needed to reload them.
 struct Process {
     file: Option<PathBuf>,
-    /// When the file was written that `settings` were read from.
-    file_written: Option<SystemTime>,
+    /// Modification time of the file, taken before `settings` were read from it.
+    file_modified_at: Option<SystemTime>,
     overrides: Vec<(String, String)>,
     role: Role,
     settings: Settings,
     fleet: FleetSettings,
     dialect: Rc<dyn Dialect>,
-    _logs: LogGuard,
+    _log_guard: LogGuard,
 }
 
 impl Process {
-    /// Watches the settings, before anything else is done: a signal that nobody expects would end
-    /// the process.
-    fn watch(&self) -> Result<ReloadWatch, Failure> {
-        ReloadWatch::new(self.file.clone(), self.file_written).map_err(unavailable)
+    /// Starts to watch the settings. Must be called before anything else starts: SIGHUP ends a
+    /// process without a handler.
+    fn watch_settings(&self) -> Result<SettingsWatcher, Failure> {
+        SettingsWatcher::new(self.file.clone(), self.file_modified_at).map_err(unavailable)
     }
 }
 
-fn unusable(error: impl ToString) -> Failure {
-    Failure::new(Exit::Unusable, error.to_string())
+fn invalid_input(error: impl ToString) -> Failure {
+    Failure::new(Exit::InvalidInput, error.to_string())
 }
 
 fn unavailable(error: impl ToString) -> Failure {
@@ -59,33 +61,34 @@
 }
 
 fn prepare(options: &FleetOptions, role: Role) -> Result<Process, Failure> {
-    let overrides = options.server.overrides().map_err(unusable)?;
+    let overrides = options.server.overrides().map_err(invalid_input)?;
     let file = settings_file(options.server.config.clone());
-    let file_written = last_written(file.as_ref());
+    let file_modified_at = modified_at(file.as_ref());
     let settings =
-        load(options.server.config.as_deref(), overrides.clone(), role).map_err(unusable)?;
-    let logs = luglink_telemetry::init_non_blocking_logs(&settings.log_filter).map_err(unusable)?;
+        load(options.server.config.as_deref(), overrides.clone(), role).map_err(invalid_input)?;
+    let log_guard =
+        luglink_telemetry::init_non_blocking_logs(&settings.log_filter).map_err(invalid_input)?;
     let fleet = settings
         .fleet
         .clone()
-        .ok_or_else(|| unusable("the settings have no section [fleet]"))?;
+        .ok_or_else(|| invalid_input("the settings have no section [fleet]"))?;
     let dialect: Rc<dyn Dialect> = match options.dialect {
-        Spelling::Luglink => Rc::new(LuglinkDialect::default()),
-        Spelling::Platform => Rc::new(PlatformDialect::default()),
+        DialectName::Luglink => Rc::new(LuglinkDialect::default()),
+        DialectName::Platform => Rc::new(PlatformDialect::default()),
     };
     Ok(Process {
         file,
-        file_written,
+        file_modified_at,
         overrides,
         role,
         settings,
         fleet,
         dialect,
-        _logs: logs,
+        _log_guard: log_guard,
     })
 }
 
-fn observer(fleet: &FleetSettings) -> ObserverConfig {
+fn observer_config(fleet: &FleetSettings) -> ObserverConfig {
     ObserverConfig {
         seeds: fleet.member_seeds(),
         member_port: fleet.member_port(),
@@ -96,11 +99,11 @@
     Replication::surviving(fleet.tolerated_losses)
 }
 
-/// Waits for a planned stop. Whenever the settings change meanwhile, hands the members that they
-/// name now to `on_members`; everything else in them holds from the next start.
-async fn until_stopped(
+/// Waits for a stop signal. Whenever the settings change, passes the control members that they name
+/// to `on_members`. All other changes take effect at the next start.
+async fn serve_until_stopped(
     process: &Process,
-    mut reload: ReloadWatch,
+    mut reload: SettingsWatcher,
     on_members: impl Fn(Vec<SocketAddr>),
 ) -> Result<(), Failure> {
     let stop = stop_requested();
@@ -122,23 +125,23 @@
     match loaded.map(|settings| settings.fleet) {
         Ok(Some(fleet)) => {
             let members = fleet.member_seeds();
-            tracing::info!(?members, "settings read anew");
+            tracing::info!(?members, "settings reloaded");
             on_members(members);
         }
         Ok(None) => {}
-        Err(error) => tracing::error!(%error, "changed settings cannot be used; those before hold"),
+        Err(error) => tracing::error!(%error, "cannot reload settings; keeping the previous ones"),
     }
 }
 
 pub(crate) fn gateway(options: FleetOptions) -> Result<Exit, Failure> {
     let process = prepare(&options, Role::Gateway)?;
     actix_rt::System::new().block_on(async {
-        let reload = process.watch()?;
+        let reload = process.watch_settings()?;
         let gateway = process
             .settings
             .gateway
             .as_ref()
-            .ok_or_else(|| unusable("the settings have no section [gateway]"))?;
+            .ok_or_else(|| invalid_input("the settings have no section [gateway]"))?;
         let fleet = &process.fleet;
         let stop_timeout = Duration::from_secs_f64(fleet.stop_s);
         let config = GatewayConfig {
@@ -147,7 +150,7 @@
             listen: gateway.listen,
             ready_listen: gateway.ready_listen,
             metrics_listen: gateway.metrics_listen,
-            observer: observer(fleet),
+            observer: observer_config(fleet),
             list_address: fleet.list_address,
             list_calls_per_s: fleet.list_calls_per_s,
             list_stale_after: fleet.list_stale_after(),
@@ -158,14 +161,14 @@
                 .fail_closed
                 .then(|| Duration::from_millis(fleet.revoke_ms)),
             stop_timeout: stop_timeout.saturating_sub(STOP_RESERVE),
-            held_bytes_limit: (fleet.memory_mb << 20) / HELD_BYTES_SHARE,
-            turn_cache_bytes: usize::try_from((fleet.memory_mb << 20) / TURN_CACHE_SHARE)
+            held_bytes_limit: (fleet.memory_mb << 20) / HELD_BYTES_DIVISOR,
+            turn_cache_bytes: usize::try_from((fleet.memory_mb << 20) / TURN_CACHE_DIVISOR)
                 .unwrap_or(usize::MAX),
         };
         let server = luglink_gateway_server::start(config, Rc::clone(&process.dialect))
             .await
             .map_err(unavailable)?;
-        until_stopped(&process, reload, |members| server.add_members(&members)).await?;
+        serve_until_stopped(&process, reload, |members| server.add_members(&members)).await?;
         Ok(match server.stop().await {
             true => Exit::Success,
             false => Exit::DrainTimeout,
@@ -176,12 +179,12 @@
 pub(crate) fn store(options: FleetOptions) -> Result<Exit, Failure> {
     let process = prepare(&options, Role::Store)?;
     actix_rt::System::new().block_on(async {
-        let reload = process.watch()?;
+        let reload = process.watch_settings()?;
         let store = process
             .settings
             .store
             .as_ref()
-            .ok_or_else(|| unusable("the settings have no section [store]"))?;
+            .ok_or_else(|| invalid_input("the settings have no section [store]"))?;
         let fleet = &process.fleet;
         let config = StoreServerConfig {
             name: fleet.name.clone(),
@@ -196,13 +199,13 @@
                 overage: fleet.quota_overage,
                 slack: fleet.quota_slack,
             },
-            observer: observer(fleet),
+            observer: observer_config(fleet),
             metrics_listen: store.metrics_listen,
         };
         let server = luglink_store_server::start(config)
             .await
             .map_err(unavailable)?;
-        until_stopped(&process, reload, |members| server.add_members(&members)).await?;
+        serve_until_stopped(&process, reload, |members| server.add_members(&members)).await?;
         Ok(Exit::Success)
     })
 }
@@ -210,19 +213,19 @@
 pub(crate) fn member(options: FleetOptions) -> Result<Exit, Failure> {
     let process = prepare(&options, Role::Member)?;
     actix_rt::System::new().block_on(async {
-        let reload = process.watch()?;
+        let reload = process.watch_settings()?;
         let config = ManagedServerConfig {
             fleet: process.fleet.clone(),
             member: process
                 .settings
                 .member
                 .clone()
-                .ok_or_else(|| unusable("the settings have no section [member]"))?,
+                .ok_or_else(|| invalid_input("the settings have no section [member]"))?,
         };
         let server = start_managed(&config, Rc::clone(&process.dialect))
             .await
             .map_err(unavailable)?;
-        until_stopped(&process, reload, |members| server.set_seeds(members)).await?;
+        serve_until_stopped(&process, reload, |members| server.set_seeds(members)).await?;
         server.stop().await;
         Ok(Exit::Success)
     })
--- a/app/luglink/src/main.rs
+++ b/app/luglink/src/main.rs
@@ -1,6 +1,7 @@
-//! `luglink`: daemon, control member, the processes of a managed fleet and the
-//! operator client in one binary. It only composes the
-//! crates that do the work.
+//! The `luglink` binary: daemon, control member, processes of a managed fleet and operator client.
+//!
+//! It parses the command line, loads the settings and starts the process that another crate
+//! implements.
 #![forbid(unsafe_code)]
 
 mod check_config;
--- a/app/luglink/src/reload.rs
+++ b/app/luglink/src/reload.rs
@@ -1,34 +1,34 @@
-//! Notices that the settings have changed: by SIGHUP, or because the file is another one.
+//! Detects changed settings by SIGHUP or by the modification time of the settings file.
 
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Time between looks at the file.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between checks of the file's modification time.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When a file was written last; `None` when that cannot be told.
-pub(crate) fn last_written(file: Option<&PathBuf>) -> Option<SystemTime> {
-    let data = std::fs::metadata(file?).ok()?;
-    data.modified().ok()
+/// Returns the modification time of a file; `None` if there is no file or it cannot be read.
+pub(crate) fn modified_at(file: Option<&PathBuf>) -> Option<SystemTime> {
+    let metadata = std::fs::metadata(file?).ok()?;
+    metadata.modified().ok()
 }
 
-/// Watches the settings.
-pub(crate) struct ReloadWatch {
-    hang_up: Signal,
+/// Watches the settings of a process.
+pub(crate) struct SettingsWatcher {
+    hangup: Signal,
     file: Option<PathBuf>,
     modified: Option<SystemTime>,
 }
 
-impl ReloadWatch {
-    /// Watches `file`, which had been written last at `modified` when it was read. It may have
-    /// changed since; that must not go unnoticed.
+impl SettingsWatcher {
+    /// Watches `file`, whose modification time was `modified` before the settings were read. A change
+    /// between reading and this call is detected by the first check.
     pub(crate) fn new(
         file: Option<PathBuf>,
         modified: Option<SystemTime>,
     ) -> std::io::Result<Self> {
         Ok(Self {
-            hang_up: signal(SignalKind::hangup())?,
+            hangup: signal(SignalKind::hangup())?,
             file,
             modified,
         })
@@ -37,16 +37,16 @@
     /// Waits until the settings may have changed.
     pub(crate) async fn wait(&mut self) {
         loop {
-            let asked = tokio::select! {
-                _ = self.hang_up.recv() => true,
-                () = actix_rt::time::sleep(LOOK_INTERVAL) => false,
+            let is_signaled = tokio::select! {
+                _ = self.hangup.recv() => true,
+                () = actix_rt::time::sleep(POLL_INTERVAL) => false,
             };
-            let modified = last_written(self.file.as_ref());
-            let is_other = modified.is_some() && modified != self.modified;
-            if is_other {
+            let modified = modified_at(self.file.as_ref());
+            let is_modified = modified.is_some() && modified != self.modified;
+            if is_modified {
                 self.modified = modified;
             }
-            if asked || is_other {
+            if is_signaled || is_modified {
                 return;
             }
         }
--- a/app/luglink/src/shutdown.rs
+++ b/app/luglink/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals of a planned stop.
+//! Signals that request a planned stop.
 
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -10,6 +10,6 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    tracing::info!("a planned stop begins");
+    tracing::info!("received a stop signal");
     Ok(())
 }
--- a/app/luglink/tests/processes.rs
+++ b/app/luglink/tests/processes.rs
@@ -1,96 +1,105 @@
-//! The real binaries under kills and planned stops.
+//! Tests of a cluster of `luglink` processes: crashes, planned stops, the operator client and faulty
+//! settings.
 
 mod support;
 
 use luglink_types::Role;
 use std::process::Command;
-use support::{LUGLINK, Processes, text};
+use support::{LUGLINK, TestCluster, text};
 
 fn contents(history: &[serde_json::Value]) -> Vec<String> {
     let content = |message: &serde_json::Value| message["content"].as_str().map(str::to_owned);
     history.iter().filter_map(content).collect()
 }
 
-/// A daemon dies between two turns; the next call at another daemon has the whole history. Then
-/// the leader dies, and then both at once.
+/// A daemon is killed between two turns, then the leader, then both at once. The next call at a
+/// running daemon must still have the whole history.
 #[actix_rt::test]
-async fn a_program_survives_its_daemon_and_the_leader() {
-    let mut fleet = Processes::start().await;
-    let program = fleet.create_program(0).await;
-    let first = fleet.call(0, &program, "turn-1", 6).await;
-    fleet.daemons[0].kill();
-    let second = fleet.call(1, &program, "turn-2", 6).await;
+async fn a_program_keeps_its_history_when_daemon_and_leader_are_killed() {
+    let mut cluster = TestCluster::start().await;
+    let program = cluster.create_program(0).await;
+    let first = cluster.call(0, &program, "turn-1", 6).await;
+    cluster.daemons[0].kill();
+    let second = cluster.call(1, &program, "turn-2", 6).await;
     assert_ne!(first["content"], second["content"]);
-    let leader = fleet.leader_of(1).await;
-    fleet.control[leader].kill();
-    fleet.call(1, &program, "turn-3", 6).await;
-    fleet.control[leader].start_again();
-    fleet.daemons[0].start_again();
-    fleet.wait_until_ready(0).await;
-    let leader = fleet.leader_of(1).await;
-    fleet.control[leader].kill();
-    fleet.daemons[1].kill();
-    fleet.call(0, &program, "turn-4", 6).await;
-    let history = contents(&fleet.history(0, &program).await);
+    let leader = cluster.leader_of(1).await;
+    cluster.control[leader].kill();
+    cluster.call(1, &program, "turn-3", 6).await;
+    cluster.control[leader].restart();
+    cluster.daemons[0].restart();
+    cluster.wait_until_ready(0).await;
+    let leader = cluster.leader_of(1).await;
+    cluster.control[leader].kill();
+    cluster.daemons[1].kill();
+    cluster.call(0, &program, "turn-4", 6).await;
+    let history = contents(&cluster.history(0, &program).await);
     assert_eq!(history.len(), 8, "{history:?}");
     for (turn, pair) in history.chunks(2).enumerate() {
         let key = format!("turn-{}", turn + 1);
         assert!(pair[0].contains(&format!("request={key} ")), "{pair:?}");
         assert!(pair[1].starts_with(&format!("re:{key} ")), "{pair:?}");
     }
-    assert_last_prompt_has_every_turn(&fleet);
-    // A key that was answered gives the same answer at any daemon, and no second run.
-    let runs = fleet.observer.history().executions.len();
-    let again = fleet.call(0, &program, "turn-1", 6).await;
-    assert_eq!(again["content"], first["content"]);
-    assert_eq!(fleet.observer.history().executions.len(), runs);
+    assert_last_prompt_has_every_turn(&cluster);
+    // A repeated idempotency key returns the first response at any daemon without a second run.
+    let execution_count = cluster.observer.history().executions.len();
+    let repeated = cluster.call(0, &program, "turn-1", 6).await;
+    assert_eq!(repeated["content"], first["content"]);
+    assert_eq!(cluster.observer.history().executions.len(), execution_count);
 }
 
-fn assert_last_prompt_has_every_turn(fleet: &Processes) {
-    let seen = fleet.observer.history();
-    let last = seen.executions.last().expect("calls were run");
-    let answers = last.prompt.iter().filter(|it| it.role == Role::Assistant);
-    let answers: Vec<&str> = answers.map(|it| it.content.as_str()).collect();
+fn assert_last_prompt_has_every_turn(cluster: &TestCluster) {
+    let observed = cluster.observer.history();
+    let last = observed.executions.last().expect("calls were run");
+    let answers = last
+        .prompt
+        .iter()
+        .filter(|message| message.role == Role::Assistant);
+    let answers: Vec<&str> = answers.map(|message| message.content.as_str()).collect();
     assert_eq!(answers.len(), 3, "{answers:?}");
 }
 
-/// SIGTERM under load: every call that was accepted is answered, and the process ends with 0.
+/// After SIGTERM with calls in flight, every accepted call gets its response and the process exits
+/// with code 0.
 #[actix_rt::test]
-async fn a_planned_stop_cuts_off_no_call() {
-    let mut fleet = Processes::start().await;
+async fn a_planned_stop_completes_all_calls_in_flight() {
+    let mut cluster = TestCluster::start().await;
     let mut programs = Vec::new();
     for _ in 0..8 {
-        programs.push(fleet.create_program(0).await);
+        programs.push(cluster.create_program(0).await);
     }
     let keys: Vec<String> = (0..8).map(|index| format!("call-{index}")).collect();
     let calls = programs
         .iter()
         .zip(&keys)
-        .map(|(program, key)| fleet.try_call(0, program, key, 150));
+        .map(|(program, key)| cluster.try_call(0, program, key, 150));
     let calls = futures_util::future::join_all(calls);
     let stop = async {
-        while fleet.observer.history().executions.len() < programs.len() {
+        while cluster.observer.history().executions.len() < programs.len() {
             actix_rt::time::sleep(std::time::Duration::from_millis(10)).await;
         }
-        fleet.daemons[0].terminate();
+        cluster.daemons[0].terminate();
     };
     let (answers, ()) = futures_util::future::join(calls, stop).await;
     for (status, answer) in answers {
         assert_eq!(status, 200, "{answer}");
     }
-    let status = fleet.daemons[0].ended().await;
+    let status = cluster.daemons[0].wait_for_exit().await;
     assert_eq!(status.code(), Some(0));
-    let leader = fleet.leader_of(1).await;
-    fleet.control[leader].terminate();
-    assert_eq!(fleet.control[leader].ended().await.code(), Some(0));
-    fleet.call(1, &programs[0], "after", 4).await;
+    let leader = cluster.leader_of(1).await;
+    cluster.control[leader].terminate();
+    assert_eq!(
+        cluster.control[leader].wait_for_exit().await.code(),
+        Some(0)
+    );
+    cluster.call(1, &programs[0], "after", 4).await;
 }
 
-/// The operator client: apply, resend, stale, invalid, get, status.
+/// Operator client: applying a file, a retry with the same change id, a stale revision, an invalid
+/// change, reading a resource, and drain.
 #[actix_rt::test]
-async fn operators_get_clear_answers() {
-    let fleet = Processes::start().await;
-    let file = fleet.folder().join("budget.toml");
+async fn ctl_reports_the_outcome_of_each_command() {
+    let cluster = TestCluster::start().await;
+    let file = cluster.folder().join("budget.toml");
     std::fs::write(
         &file,
         "[[budget]]\nname = \"small\"\nbudget = { tokens = 5 }\n",
@@ -98,7 +107,7 @@
     .unwrap();
     let file = file.display().to_string();
     let apply = |change: &str, revision: &str| {
-        fleet.ctl(&[
+        cluster.ctl(&[
             "apply",
             "--file",
             &file,
@@ -110,28 +119,32 @@
     };
     let first = apply("c1", "1");
     assert_eq!(text(&first.stdout), "accepted as revision 2\n");
-    let resent = apply("c1", "1");
-    assert_eq!(text(&resent.stdout), "accepted as revision 2\n");
+    let retried = apply("c1", "1");
+    assert_eq!(text(&retried.stdout), "accepted as revision 2\n");
     let stale = apply("c2", "1");
     assert_eq!(stale.status.code(), Some(3));
     assert!(text(&stale.stderr).contains("the current revision is 2"));
-    let got = text(&fleet.ctl(&["get", "budget", "small"]).stdout);
-    assert!(got.contains("\"tokens\":5"), "{got}");
-    let bad = fleet.folder().join("bad.toml");
-    std::fs::write(&bad, "[[class]]\nname = \"c\"\nbudget = \"missing\"\n").unwrap();
-    let bad = bad.display().to_string();
-    let invalid = fleet.ctl(&["apply", "--file", &bad, "--change-id", "c3"]);
+    let budgets = text(&cluster.ctl(&["get", "budget", "small"]).stdout);
+    assert!(budgets.contains("\"tokens\":5"), "{budgets}");
+    let invalid_file = cluster.folder().join("bad.toml");
+    std::fs::write(
+        &invalid_file,
+        "[[class]]\nname = \"c\"\nbudget = \"missing\"\n",
+    )
+    .unwrap();
+    let invalid_file = invalid_file.display().to_string();
+    let invalid = cluster.ctl(&["apply", "--file", &invalid_file, "--change-id", "c3"]);
     assert_eq!(invalid.status.code(), Some(3));
     assert!(
         text(&invalid.stderr).contains("missing"),
         "{}",
         text(&invalid.stderr)
     );
-    let drained = fleet.ctl_at(0, &["drain"]);
+    let drained = cluster.ctl_at(0, &["drain"]);
     assert!(drained.status.success(), "{}", text(&drained.stderr));
 }
 
-/// Adds the arguments of a cluster of one member.
+/// Adds the arguments of a control member that is its own cluster.
 fn control_arguments<'a>(command: &'a mut Command, folder: &str) -> &'a mut Command {
     let address = || luglink_lab::fleet::reserve_address().unwrap().to_string();
     let listen = address();
@@ -149,7 +162,7 @@
 }
 
 #[test]
-fn a_data_folder_that_cannot_be_written_is_refused_clearly() {
+fn a_data_folder_that_cannot_be_created_is_reported() {
     let mut command = Command::new(LUGLINK);
     let output = control_arguments(&mut command, "/proc/luglink-data")
         .output()
@@ -163,9 +176,9 @@
     assert!(message.contains("/proc/luglink-data"), "{message}");
 }
 
-/// A limit on the size of files stands in for a disk that is full.
+/// Emulates a full disk by a file size limit of 0.
 #[test]
-fn a_disk_that_takes_no_more_stops_the_member_with_a_clear_message() {
+fn a_failed_write_stops_the_member_and_is_reported() {
     let folder = tempfile::tempdir().unwrap();
     let mut shell = Command::new("sh");
     shell.args([
@@ -183,7 +196,7 @@
 }
 
 #[test]
-fn check_config_prints_every_fault_with_its_place() {
+fn check_config_prints_every_error_with_its_line() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("bad.toml");
     let settings = "[daemon]\nid = \"x\"\nzone = \"\"\nlisten = \"127.0.0.1:1\"\nmembers = []\n\
@@ -195,13 +208,16 @@
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(2));
-    let shown = format!("{}{}", text(&output.stdout), text(&output.stderr));
+    let messages = format!("{}{}", text(&output.stdout), text(&output.stderr));
     for expected in [
         ":2: daemon.id",
         ":3: daemon.zone",
         ":5: daemon.members",
         ":6: daemon.colour",
     ] {
-        assert!(shown.contains(expected), "`{expected}` is not in\n{shown}");
+        assert!(
+            messages.contains(expected),
+            "`{expected}` is not in\n{messages}"
+        );
     }
 }
--- a/app/luglink/tests/reload.rs
+++ b/app/luglink/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change under a running process of a managed fleet.
+//! Tests of reloading the settings of a running gateway.
 
 use rustix::process::{Pid, Signal, kill_process};
 use std::fs::File;
@@ -7,12 +7,12 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// Time in which anything that is waited for must have happened; far beyond what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of every wait, far above the usual duration.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-const PAUSE: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A gateway, with its settings and its logs in a folder.
+/// Gateway process with a folder for its settings and logs.
 struct RunningGateway {
     child: Child,
     folder: TempDir,
@@ -36,16 +36,16 @@
         gateway
     }
 
-    /// Waits until the log has `count` lines with `text`.
+    /// Waits until at least `count` lines of the log contain `text`.
     fn wait_for(&self, text: &str, count: usize) {
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
             let log = std::fs::read_to_string(self.folder.path().join("log")).unwrap();
             if log.lines().filter(|line| line.contains(text)).count() >= count {
                 return;
             }
-            assert!(since.elapsed() < PATIENCE, "no `{text}` in:\n{log}");
-            std::thread::sleep(PAUSE);
+            assert!(started.elapsed() < WAIT_TIMEOUT, "no `{text}` in:\n{log}");
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
@@ -65,7 +65,7 @@
     folder.join("settings.toml")
 }
 
-/// Settings that name `seed` as the one control member. Nobody answers there.
+/// Writes settings that name `seed` as the only control member. No process listens there.
 fn write_settings(folder: &Path, seed: &str) {
     let text = format!(
         "[fleet]\nname = \"g\"\nzone = \"z\"\nip = \"127.0.0.1\"\nports = [7100, 7115]\n\
@@ -76,29 +76,32 @@
 }
 
 #[test]
-fn a_changed_file_is_read_without_a_signal_and_its_members_are_asked() {
+fn a_changed_file_is_reloaded_without_a_signal_and_its_members_are_used() {
     let gateway = RunningGateway::start("127.0.0.2:1");
     write_settings(gateway.folder.path(), "127.0.0.3:1");
-    gateway.wait_for("settings read anew", 1);
+    gateway.wait_for("settings reloaded", 1);
     gateway.wait_for("127.0.0.3:7100", 1);
 }
 
 #[test]
-fn a_hang_up_reads_the_settings_and_ends_nothing() {
+fn sighup_reloads_the_settings_and_the_process_keeps_running() {
     let mut gateway = RunningGateway::start("127.0.0.2:1");
     gateway.signal(Signal::HUP);
-    gateway.wait_for("settings read anew", 1);
+    gateway.wait_for("settings reloaded", 1);
     gateway.signal(Signal::HUP);
-    gateway.wait_for("settings read anew", 2);
-    assert!(gateway.child.try_wait().unwrap().is_none(), "it has ended");
+    gateway.wait_for("settings reloaded", 2);
+    assert!(
+        gateway.child.try_wait().unwrap().is_none(),
+        "the gateway has exited"
+    );
 }
 
 #[test]
-fn faulty_settings_change_nothing_and_a_planned_stop_still_ends_it_cleanly() {
+fn faulty_settings_are_ignored_and_a_planned_stop_still_succeeds() {
     let mut gateway = RunningGateway::start("127.0.0.2:1");
     std::fs::write(settings_path(gateway.folder.path()), "[fleet\n").unwrap();
     gateway.signal(Signal::HUP);
-    gateway.wait_for("changed settings cannot be used", 1);
+    gateway.wait_for("cannot reload settings", 1);
     gateway.signal(Signal::TERM);
     let status = gateway.child.wait().unwrap();
     assert_eq!(status.code(), Some(0));
--- a/app/luglink/tests/support/mod.rs
+++ b/app/luglink/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes for tests: the test starts the binaries, the product never does.
-#![allow(dead_code)] // Each test file uses some of it.
+//! Cluster of `luglink` processes for tests.
+#![allow(dead_code)] // Each test file uses only a part of it.
 
 use awc::Client;
 use luglink_lab::engine::EngineConfig;
@@ -16,38 +16,38 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// The binary under test.
+/// Path of the binary under test.
 pub const LUGLINK: &str = env!("CARGO_BIN_EXE_luglink");
 
-/// Time in which anything that is waited for must have happened; far beyond what it takes.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of every wait, far above the usual duration.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-const PAUSE: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 const CONTROL_MEMBERS: usize = 3;
 const DAEMONS: usize = 2;
 const ENGINES: usize = 2;
 
-/// One process and what it was started with.
-pub struct Process {
+/// `luglink` process that can be killed and restarted with the same arguments.
+pub struct TestProcess {
     arguments: Vec<String>,
     log: PathBuf,
     child: Option<Child>,
 }
 
-impl Process {
+impl TestProcess {
     fn start(arguments: Vec<String>, log: PathBuf) -> Self {
         let mut process = Self {
             arguments,
             log,
             child: None,
         };
-        process.start_again();
+        process.restart();
         process
     }
 
-    /// Starts the process with the same arguments.
-    pub fn start_again(&mut self) {
+    /// Starts the process with the same arguments; its log starts empty.
+    pub fn restart(&mut self) {
         let log = File::create(&self.log).expect("a log file can be made");
         let child = Command::new(LUGLINK)
             .args(&self.arguments)
@@ -58,7 +58,7 @@
         self.child = Some(child);
     }
 
-    /// Kills the process as `kill -9` does.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().expect("the process can be killed");
@@ -66,36 +66,36 @@
         }
     }
 
-    /// Asks the process to stop as planned.
+    /// Requests a planned stop with SIGTERM.
     pub fn terminate(&self) {
         let child = self.child.as_ref().expect("the process runs");
         kill_process(Pid::from_child(child), Signal::TERM).expect("the signal is sent");
     }
 
-    /// Waits for the end of a process that was asked to stop.
-    pub async fn ended(&mut self) -> ExitStatus {
+    /// Waits until the process exits and returns its exit status.
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
         let mut child = self.child.take().expect("the process runs");
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
             if let Some(status) = child.try_wait().expect("the process can be asked") {
                 return status;
             }
-            assert!(since.elapsed() < PATIENCE, "the process did not stop");
-            actix_rt::time::sleep(PAUSE).await;
+            assert!(started.elapsed() < WAIT_TIMEOUT, "the process did not stop");
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-impl Drop for Process {
+impl Drop for TestProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-/// A fleet of processes with emulated engines inside the test.
-pub struct Processes {
-    pub control: Vec<Process>,
-    pub daemons: Vec<Process>,
+/// Cluster of control member and daemon processes, with emulated engines in the test process.
+pub struct TestCluster {
+    pub control: Vec<TestProcess>,
+    pub daemons: Vec<TestProcess>,
     pub engines: Vec<EngineServer>,
     pub observer: Observer,
     pub client: Client,
@@ -104,8 +104,8 @@
     data: TempDir,
 }
 
-impl Processes {
-    /// Starts everything and waits until the daemons are ready.
+impl TestCluster {
+    /// Starts all processes and engines and waits until the daemons are ready.
     pub async fn start() -> Self {
         let data = tempfile::tempdir().expect("a folder can be made");
         let observer = Observer::default();
@@ -118,65 +118,65 @@
                 EngineServer::start(engine, any, config, 1, started, observer.clone()).unwrap()
             })
             .collect();
-        let members: Vec<SocketAddr> = (0..CONTROL_MEMBERS).map(|_| address()).collect();
-        let admin: Vec<SocketAddr> = (0..CONTROL_MEMBERS).map(|_| address()).collect();
-        let listen: Vec<SocketAddr> = (0..DAEMONS).map(|_| address()).collect();
+        let members: Vec<SocketAddr> = (0..CONTROL_MEMBERS).map(|_| reserved_address()).collect();
+        let admin: Vec<SocketAddr> = (0..CONTROL_MEMBERS).map(|_| reserved_address()).collect();
+        let listen: Vec<SocketAddr> = (0..DAEMONS).map(|_| reserved_address()).collect();
         let settings = data.path().join("settings.toml");
         std::fs::write(&settings, settings_file(&members)).unwrap();
-        let process = |role: &str, index: usize, sets: Vec<String>| {
+        let process = |role: &str, index: usize, overrides: Vec<String>| {
             let mut arguments = vec![
                 role.to_owned(),
                 "--config".to_owned(),
                 settings.display().to_string(),
             ];
-            for set in sets {
-                arguments.extend(["--set".to_owned(), set]);
+            for setting in overrides {
+                arguments.extend(["--set".to_owned(), setting]);
             }
             let log = data.path().join(format!("{role}-{index}.log"));
-            Process::start(arguments, log)
+            TestProcess::start(arguments, log)
         };
         let control = (0..CONTROL_MEMBERS).map(|index| {
             let folder = data.path().join(format!("data-{index}"));
-            let sets = vec![
+            let overrides = vec![
                 format!("control.id={}", index + 1),
                 format!("control.listen={}", members[index]),
                 format!("control.admin_listen={}", admin[index]),
                 format!("control.data_folder={}", folder.display()),
             ];
-            process("control", index, sets)
+            process("control", index, overrides)
         });
-        let control: Vec<Process> = control.collect();
+        let control: Vec<TestProcess> = control.collect();
         let daemons = (0..DAEMONS).map(|index| {
-            let sets = vec![
+            let overrides = vec![
                 format!("daemon.id={index}"),
                 format!("daemon.listen={}", listen[index]),
             ];
-            process("daemon", index, sets)
+            process("daemon", index, overrides)
         });
-        let daemons: Vec<Process> = daemons.collect();
-        let fleet = Self {
+        let daemons: Vec<TestProcess> = daemons.collect();
+        let cluster = Self {
             control,
             daemons,
             engines,
             observer,
-            client: Client::builder().timeout(PATIENCE).finish(),
+            client: Client::builder().timeout(WAIT_TIMEOUT).finish(),
             admin,
             listen,
             data,
         };
-        fleet.configure().await;
+        cluster.configure().await;
         for daemon in 0..DAEMONS {
-            fleet.wait_until_ready(daemon).await;
+            cluster.wait_until_ready(daemon).await;
         }
-        fleet
+        cluster
     }
 
-    /// Folder of the test.
+    /// Returns the temporary folder of the test.
     pub fn folder(&self) -> &Path {
         self.data.path()
     }
 
-    /// Runs the operator client.
+    /// Runs the operator client with the addresses of all members.
     pub fn ctl(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(LUGLINK);
         command.arg("ctl");
@@ -186,7 +186,7 @@
         command.args(arguments).output().expect("the client runs")
     }
 
-    /// Runs the operator client against one member.
+    /// Runs the operator client with the address of one member.
     pub fn ctl_at(&self, member: usize, arguments: &[&str]) -> Output {
         let address = self.admin[member].to_string();
         let mut command = Command::new(LUGLINK);
@@ -194,16 +194,19 @@
         command.output().expect("the client runs")
     }
 
-    /// The place of the member that leads a group.
+    /// Waits until a group has a leader and returns the index of the leading member.
     pub async fn leader_of(&self, group: u32) -> usize {
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
             let output = self.ctl(&["status"]);
-            if let Some(leader) = leader_in(&text(&output.stdout), group) {
+            if let Some(leader) = parse_leader(&text(&output.stdout), group) {
                 return leader - 1;
             }
-            assert!(since.elapsed() < PATIENCE, "group {group} has no leader");
-            actix_rt::time::sleep(PAUSE).await;
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "group {group} has no leader"
+            );
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -221,38 +224,44 @@
             "--expected-revision",
             "0",
         ];
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
             let output = self.ctl(&arguments);
             if output.status.success() {
                 return;
             }
-            let why = text(&output.stderr);
-            assert!(since.elapsed() < PATIENCE, "cannot configure: {why}");
-            actix_rt::time::sleep(PAUSE).await;
+            let error = text(&output.stderr);
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "cannot apply the resources: {error}"
+            );
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until a daemon says that it is ready.
+    /// Waits until the readiness check of a daemon succeeds.
     pub async fn wait_until_ready(&self, daemon: usize) {
         let url = format!("http://{}/readyz", self.listen[daemon]);
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
             let answer = self.client.get(&url).send().await;
             if answer.is_ok_and(|answer| answer.status().is_success()) {
                 return;
             }
-            assert!(since.elapsed() < PATIENCE, "daemon {daemon} is not ready");
-            actix_rt::time::sleep(PAUSE).await;
+            assert!(
+                started.elapsed() < WAIT_TIMEOUT,
+                "daemon {daemon} is not ready"
+            );
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// A URL at a daemon.
+    /// Returns the URL of a path at a daemon.
     pub fn url(&self, daemon: usize, path: &str) -> String {
         format!("http://{}{path}", self.listen[daemon])
     }
 
-    /// Creates a program.
+    /// Creates a program and returns its identifier.
     pub async fn create_program(&self, daemon: usize) -> String {
         let body = json!({ "tenant": "desk", "class": "chat", "model": "model" });
         let url = self.url(daemon, "/v1/programs");
@@ -262,20 +271,20 @@
         created["program"].as_str().unwrap().to_owned()
     }
 
-    /// Makes a call, again and again under the same key until it is answered.
+    /// Makes a call and repeats it with the same idempotency key until it succeeds.
     pub async fn call(&self, daemon: usize, program: &str, key: &str, tokens: u64) -> Value {
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
             let (status, answer) = self.try_call(daemon, program, key, tokens).await;
             if status == 200 {
                 return answer;
             }
-            assert!(since.elapsed() < PATIENCE, "{status} {answer}");
-            actix_rt::time::sleep(PAUSE).await;
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{status} {answer}");
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Makes a call once. Status 0 stands for a broken connection.
+    /// Makes a call once. Returns status 0 if the request fails without a response.
     pub async fn try_call(
         &self,
         daemon: usize,
@@ -302,7 +311,7 @@
         }
     }
 
-    /// The conversation as the control members hold it.
+    /// Returns the conversation of a program as the control members store it.
     pub async fn history(&self, daemon: usize, program: &str) -> Vec<Value> {
         let url = self.url(daemon, &format!("/v1/programs/{program}"));
         let mut response = self.client.get(url).send().await.unwrap();
@@ -311,30 +320,30 @@
     }
 }
 
-fn address() -> SocketAddr {
+fn reserved_address() -> SocketAddr {
     reserve_address().expect("a port is free")
 }
 
-/// Output as text.
+/// Converts the output of a process to text.
 pub fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn leader_in(status: &str, group: u32) -> Option<usize> {
+fn parse_leader(status: &str, group: u32) -> Option<usize> {
     let prefix = format!("group {group} term");
     let lines = status
         .lines()
         .filter(|line| line.trim().starts_with(&prefix));
     let leaders = lines.filter_map(|line| {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let place = words.iter().position(|word| *word == "leader")?;
-        words.get(place + 1)?.parse().ok()
+        let position = words.iter().position(|word| *word == "leader")?;
+        words.get(position + 1)?.parse().ok()
     });
     leaders.max()
 }
 
 fn settings_file(members: &[SocketAddr]) -> String {
-    let list = |section: &str| {
+    let members_section = |section: &str| {
         let entries = members
             .iter()
             .enumerate()
@@ -347,8 +356,8 @@
     };
     format!(
         "[log]\nfilter = \"warn\"\n{}bootstrap = true\n{}zone = \"a\"\nengine_poll_ms = 200\n",
-        list("control"),
-        list("daemon")
+        members_section("control"),
+        members_section("daemon")
     )
 }
 
