--- a/xtask/src/generate.rs
+++ b/xtask/src/generate.rs
@@ -1,35 +1,35 @@
-//! Generates the code of the administration API from its schema, without any installed tool.
+//! Generates the code of the administration API from its schema. Needs no installed `protoc`.
 
 use std::path::{Path, PathBuf};
 
 const SCHEMA: &str = "luglink/admin/v1/admin.proto";
 const GENERATED_FILE: &str = "luglink.admin.v1.rs";
 
-/// Root of the repository.
+/// Returns the root of the repository.
 pub(crate) fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-/// Writes the generated code.
+/// Generates the code into the source tree.
 pub(crate) fn write() -> Result<(), String> {
     generate_into(&root().join("crates/admin-api/src/generated"))
 }
 
-/// Fails when the committed code differs from what the schema gives.
+/// Returns an error if the committed code differs from the code generated from the schema.
 pub(crate) fn check() -> Result<(), String> {
     let folder = root().join("target/xtask-generated");
     generate_into(&folder)?;
     let read = |path: PathBuf| {
         std::fs::read_to_string(&path).map_err(|error| format!("{}: {error}", path.display()))
     };
-    let fresh = read(folder.join(GENERATED_FILE))?;
+    let generated = read(folder.join(GENERATED_FILE))?;
     let committed = read(
         root()
             .join("crates/admin-api/src/generated")
             .join(GENERATED_FILE),
     )?;
-    if fresh != committed {
-        return Err("generated code is not current: run `cargo run -p xtask -- generate`".into());
+    if generated != committed {
+        return Err("generated code is out of date: run `cargo run -p xtask -- generate`".into());
     }
     Ok(())
 }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,21 +1,21 @@
-//! Chores of the repository: generated code and rules that the compiler does not check.
+//! Development tasks: code generation and checks that the compiler does not make.
 //!
-//! `cargo run -p xtask -- generate` writes the code of the administration API anew;
-//! `-- check` fails when it is not current, or when a pure crate depends on I/O, time or threads.
+//! `cargo run -p xtask -- generate` generates the code of the administration API; `-- check` fails if
+//! that code is out of date or a pure crate uses I/O, a clock or threads.
 
 mod generate;
 mod purity;
 
 use bpaf::Bpaf;
 
-/// Chores of the repository
+/// Development tasks of the repository
 #[derive(Clone, Copy, Debug, Bpaf)]
 #[bpaf(options)]
 enum Task {
-    /// Write the generated code anew
+    /// Generate the code of the administration API
     #[bpaf(command)]
     Generate,
-    /// Check that generated code is current and pure crates are pure
+    /// Check that the generated code is up to date and pure crates use no I/O, clock or threads
     #[bpaf(command)]
     Check,
 }
--- a/xtask/src/purity.rs
+++ b/xtask/src/purity.rs
@@ -1,9 +1,10 @@
-//! Pure crates contain decisions only: no I/O runtime, no clock, no threads.
+//! Checks that pure crates use no I/O, clock, threads or system randomness, so that simulations of
+//! them are deterministic.
 
 use crate::generate::root;
 use std::path::Path;
 
-/// Crates that must stay pure.
+/// Crates that are checked.
 const PURE_CRATES: &[&str] = &[
     "types",
     "program",
@@ -21,10 +22,10 @@
     "scheduling",
 ];
 
-/// Dependencies that a pure crate must not name.
+/// Prefixes of dependencies that a pure crate must not have.
 const FORBIDDEN_DEPENDENCIES: &[&str] = &["tokio", "actix", "awc", "tonic", "reqwest", "hyper"];
 
-/// Code that a pure crate must not contain.
+/// Text that the source of a pure crate must not contain outside comments.
 const FORBIDDEN_CODE: &[&str] = &[
     "Instant::now",
     "time::Instant",
@@ -38,7 +39,7 @@
     "from_os_rng",
 ];
 
-/// Fails on the first rule that is broken.
+/// Returns an error for the first violation.
 pub(crate) fn check() -> Result<(), String> {
     for name in PURE_CRATES {
         let folder = root().join("crates").join(name);
@@ -87,7 +88,7 @@
         }
         if let Some(code) = FORBIDDEN_CODE.iter().find(|code| line.contains(**code)) {
             return Err(format!(
-                "{}:{}: a pure crate must not use `{code}`",
+                "{}:{}: pure crate uses `{code}`",
                 path.display(),
                 number + 1
             ));
