--- a/app/luglink/src/fleet.rs
+++ b/app/luglink/src/fleet.rs
@@ -60,6 +60,7 @@
     Failure::new(Exit::Unavailable, error.to_string())
 }
 
+/// Loads the settings and starts logging.
 fn prepare(options: &FleetOptions, role: Role) -> Result<Process, Failure> {
     let overrides = options.server.overrides().map_err(invalid_input)?;
     let file = settings_file(options.server.config.clone());
@@ -103,7 +104,7 @@
 /// to `on_members`. All other changes take effect at the next start.
 async fn serve_until_stopped(
     process: &Process,
-    mut reload: SettingsWatcher,
+    mut watcher: SettingsWatcher,
     on_members: impl Fn(Vec<SocketAddr>),
 ) -> Result<(), Failure> {
     let stop = stop_requested();
@@ -111,11 +112,13 @@
     loop {
         tokio::select! {
             stopped = &mut stop => return stopped.map_err(unavailable),
-            () = reload.wait() => reload_members(process, &on_members),
+            () = watcher.wait() => reload_members(process, &on_members),
         }
     }
 }
 
+/// Loads the settings again and passes their control members to `on_members`. Invalid settings are
+/// logged and change nothing.
 fn reload_members(process: &Process, on_members: &impl Fn(Vec<SocketAddr>)) {
     let loaded = load(
         process.file.as_deref(),
@@ -125,7 +128,10 @@
     match loaded.map(|settings| settings.fleet) {
         Ok(Some(fleet)) => {
             let members = fleet.member_seeds();
-            tracing::info!(?members, "settings reloaded");
+            tracing::info!(
+                ?members,
+                "settings reloaded; only the control members take effect before a restart"
+            );
             on_members(members);
         }
         Ok(None) => {}
@@ -136,7 +142,7 @@
 pub(crate) fn gateway(options: FleetOptions) -> Result<Exit, Failure> {
     let process = prepare(&options, Role::Gateway)?;
     actix_rt::System::new().block_on(async {
-        let reload = process.watch_settings()?;
+        let watcher = process.watch_settings()?;
         let gateway = process
             .settings
             .gateway
@@ -168,7 +174,7 @@
         let server = luglink_gateway_server::start(config, Rc::clone(&process.dialect))
             .await
             .map_err(unavailable)?;
-        serve_until_stopped(&process, reload, |members| server.add_members(&members)).await?;
+        serve_until_stopped(&process, watcher, |members| server.add_members(&members)).await?;
         Ok(match server.stop().await {
             true => Exit::Success,
             false => Exit::DrainTimeout,
@@ -179,7 +185,7 @@
 pub(crate) fn store(options: FleetOptions) -> Result<Exit, Failure> {
     let process = prepare(&options, Role::Store)?;
     actix_rt::System::new().block_on(async {
-        let reload = process.watch_settings()?;
+        let watcher = process.watch_settings()?;
         let store = process
             .settings
             .store
@@ -205,7 +211,7 @@
         let server = luglink_store_server::start(config)
             .await
             .map_err(unavailable)?;
-        serve_until_stopped(&process, reload, |members| server.add_members(&members)).await?;
+        serve_until_stopped(&process, watcher, |members| server.add_members(&members)).await?;
         Ok(Exit::Success)
     })
 }
@@ -213,7 +219,7 @@
 pub(crate) fn member(options: FleetOptions) -> Result<Exit, Failure> {
     let process = prepare(&options, Role::Member)?;
     actix_rt::System::new().block_on(async {
-        let reload = process.watch_settings()?;
+        let watcher = process.watch_settings()?;
         let config = ManagedServerConfig {
             fleet: process.fleet.clone(),
             member: process
@@ -225,7 +231,7 @@
         let server = start_managed(&config, Rc::clone(&process.dialect))
             .await
             .map_err(unavailable)?;
-        serve_until_stopped(&process, reload, |members| server.set_seeds(members)).await?;
+        serve_until_stopped(&process, watcher, |members| server.set_seeds(members)).await?;
         server.stop().await;
         Ok(Exit::Success)
     })
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The test command of the README. Tests that KNOWN-RED.txt names are passed over and printed.
+# Runs all tests except the known failures in KNOWN-RED.txt, which it prints.
 set -euo pipefail
 cd "$(dirname "$0")"
 passed_over=()
