--- a/app/luglink/src/options.rs
+++ b/app/luglink/src/options.rs
@@ -172,7 +172,7 @@
     /// Print the configuration and then every change, until interrupted
     #[bpaf(command)]
     Watch {
-        /// Print only changes after this revision; 0 prints the whole configuration first
+        /// Last known revision; with 0, the whole configuration is printed first
         #[bpaf(long, argument("N"), fallback(0))]
         after: u64,
     },
--- a/app/luglink/tests/support/mod.rs
+++ b/app/luglink/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Cluster of `luglink` processes for tests.
+//! Cluster of `luglink` processes for tests. The tests start the processes; luglink starts none itself.
 #![allow(dead_code)] // Each test file uses only a part of it.
 
 use awc::Client;
