--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -197,7 +197,7 @@
         metrics: metrics.clone(),
     };
     let handler = Rc::new(move |request: Request<Incoming>| service.clone().handle(request));
-    let (_, signal) = stopper();
+    let (_, signal) = stop_channel();
     actix_rt::spawn(serve(listener, serve_options, signal, handler));
 }
 
@@ -217,7 +217,7 @@
         metrics: metrics.clone(),
     };
     let handler = Rc::new(move |request: Request<Incoming>| service.clone().handle(request));
-    let (_, signal) = stopper();
+    let (_, signal) = stop_channel();
     actix_rt::spawn(serve(listener, serve_options, signal, handler));
 }
 
--- a/crates/control-server/src/relay.rs
+++ b/crates/control-server/src/relay.rs
@@ -172,7 +172,7 @@
 
 /// Sends a report without waiting for the response. A lost report is replaced by the next one.
 fn send_report(link: &RequestClient, body: Vec<u8>) {
-    if !link.tell(body) {
+    if !link.send_one_way(body) {
         tracing::debug!(address = %link.address(), "cannot send a report to a member of the zone");
     }
 }
--- a/crates/control/tests/golden/values.rs
+++ b/crates/control/tests/golden/values.rs
@@ -391,7 +391,7 @@
     Entry {
         index: 300,
         term: 2,
-        at: Timestamp::from_millis(5),
+        appended_at: Timestamp::from_millis(5),
         payload,
     }
 }
--- a/crates/gateway-server/src/chain_search.rs
+++ b/crates/gateway-server/src/chain_search.rs
@@ -30,7 +30,7 @@
     /// Adds the response of a store.
     pub(crate) fn add_response(&mut self, view: &StoreView, store: &StoreName, chain: Chain) {
         self.has_answer = true;
-        self.absence.note(view, store, &chain);
+        self.absence.record(view, store, &chain);
         if let Chain::Found { turn, ancestors } = chain {
             self.head = Some(Rc::new(*turn));
             for ancestor in ancestors {
--- a/crates/gateway-server/src/program.rs
+++ b/crates/gateway-server/src/program.rs
@@ -225,7 +225,7 @@
     };
     let seconds = started_at.elapsed().as_secs_f64();
     gateway.metrics.reserve_seconds.observe(seconds);
-    let is_first_turn = program.previous.is_none() && response.account.is_begun_by(&turn);
+    let is_first_turn = program.previous.is_none() && response.account.is_first_turn(&turn);
     if is_first_turn {
         admit(gateway, inbound, program)?;
     }
--- a/crates/gateway-server/src/server.rs
+++ b/crates/gateway-server/src/server.rs
@@ -65,7 +65,7 @@
     let seed = rand::rng().next_u64();
     tracing::info!(name = config.name, zone = config.zone, %address, "gateway started");
     let gateway = Rc::new(Gateway::new(config, dialect, metrics, seed));
-    let (stopper, signal) = stopper();
+    let (stop_handle, signal) = stop_channel();
     serve_callers(&gateway, callers, signal.clone());
     serve_readiness(&gateway, readiness);
     actix_rt::spawn(list::keep_current(Rc::clone(&gateway)));
@@ -75,7 +75,7 @@
         address,
         metrics_address,
         gateway,
-        stopper,
+        stop_handle,
         signal,
         observer,
     })
@@ -126,7 +126,7 @@
         let gateway = Rc::clone(&gateway);
         async move { Ok::<_, Abort>(readiness_response(&gateway, &request)) }
     });
-    let (_, signal) = stopper();
+    let (_, signal) = stop_channel();
     actix_rt::spawn(serve(listener, readiness_options, signal, handler));
 }
 
@@ -159,7 +159,7 @@
             "gateway stopping"
         );
         actix_rt::time::sleep(STOP_GRACE_PERIOD).await;
-        self.stopper.stop();
+        self.stop_handle.stop();
         while started_at.elapsed() < self.gateway.config.stop_timeout {
             if self.gateway.in_flight.get() == 0 && self.signal.open_connections() == 0 {
                 tracing::info!(ms = milliseconds(started_at.elapsed()), "gateway stopped");
--- a/crates/gateway-server/src/stream.rs
+++ b/crates/gateway-server/src/stream.rs
@@ -287,7 +287,7 @@
         let left = self.inbound.remaining();
         tokio::select! {
             biased;
-            () = sender.gone() => Step::CallerDisconnected,
+            () = sender.closed() => Step::CallerDisconnected,
             bound = self.inbound.held.wait_for_abort() => Step::Aborted(bound),
             frame = source.incoming.frame() => match frame {
                 Some(Ok(frame)) => Step::Data(frame.into_data().unwrap_or_default()),
@@ -528,7 +528,7 @@
         };
         tokio::select! {
             biased;
-            () = sender.gone() => Err("caller_gone"),
+            () = sender.closed() => Err("caller_gone"),
             moved = self.move_to(source, other) => moved,
         }
     }
--- a/crates/gateway-server/src/turn_client.rs
+++ b/crates/gateway-server/src/turn_client.rs
@@ -327,7 +327,7 @@
         &self,
         turn: &TurnRecord,
         tokens: u64,
-        carried: &[Rc<TurnRecord>],
+        foreign_ancestors: &[Rc<TurnRecord>],
         deadline: Instant,
     ) -> Result<(), StoresUnavailable> {
         let attempt = || async {
@@ -335,7 +335,10 @@
                 epoch: self.epoch(),
                 turn: Box::new(turn.clone()),
                 tokens,
-                carried: carried.iter().map(|turn| (**turn).clone()).collect(),
+                foreign_ancestors: foreign_ancestors
+                    .iter()
+                    .map(|turn| (**turn).clone())
+                    .collect(),
             };
             self.write(&turn.program, &request).await
         };
