--- a/crates/control-server/src/managed.rs
+++ b/crates/control-server/src/managed.rs
@@ -19,7 +19,7 @@
 use luglink_control::{ControlConfig, ControlNode, ManagedConfig, Request as ControlRequest};
 use luglink_edge::Dialect;
 use luglink_fleet::ListReadLimits;
-use luglink_http::{ServeOptions, serve, stopper};
+use luglink_http::{ServeOptions, serve, stop_channel};
 use luglink_settings::{FleetSettings, ManagedMemberSettings};
 use luglink_storage::FileDisk;
 use luglink_types::MemberId;
@@ -179,7 +179,7 @@
     ServeOptions {
         max_header_bytes: 16 << 10,
         idle_timeout: CONNECTION_IDLE_TIMEOUT,
-        unread: None,
+        write_stall_timeout: None,
     }
 }
 
--- a/crates/gateway-server/src/admission.rs
+++ b/crates/gateway-server/src/admission.rs
@@ -143,7 +143,7 @@
     let zone_share = ZoneShare::of(gateway, service);
     let demand = state.estimate_demand(service, zone_share.gateways, now);
     let new_program = NewProgram {
-        admission_hash: admission_hash,
+        admission_hash,
         route: &inbound.route,
         tenant: inbound.caller.tenant().map(|tenant| &tenant.name),
         prompt_tokens: prompt_tokens(inbound),
--- a/crates/gateway-server/src/server.rs
+++ b/crates/gateway-server/src/server.rs
@@ -10,7 +10,9 @@
 use hyper::body::Incoming;
 use luglink_edge::{Dialect, Limits};
 use luglink_fleet_client::Observer;
-use luglink_http::{Abort, Body, ServeOptions, StopHandle, StopSignal, empty_body, serve, stopper};
+use luglink_http::{
+    Abort, Body, ServeOptions, StopHandle, StopSignal, empty_body, serve, stop_channel,
+};
 use luglink_telemetry::milliseconds;
 use rand::RngCore;
 use snafu::ResultExt;
@@ -41,7 +43,7 @@
     /// Address for metrics; `None` if they are not served.
     pub metrics_address: Option<SocketAddr>,
     gateway: Rc<Gateway>,
-    stopper: StopHandle,
+    stop_handle: StopHandle,
     signal: StopSignal,
     observer: Rc<Observer<Gateway>>,
 }
@@ -101,7 +103,7 @@
                 idle_timeout: Duration::from_millis(
                     limits.idle_timeout_ms + limits.header_timeout_ms,
                 ),
-                unread: features.held_bytes().then_some(UNREAD_CONNECTION_TIMEOUT),
+                write_stall_timeout: features.held_bytes().then_some(UNREAD_CONNECTION_TIMEOUT),
             }
         }
     };
@@ -116,7 +118,7 @@
     ServeOptions {
         max_header_bytes: 16 << 10,
         idle_timeout: READINESS_IDLE_TIMEOUT,
-        unread: None,
+        write_stall_timeout: None,
     }
 }
 
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -14,4 +14,4 @@
 
 pub use body::{Body, BodyError, BodySender, empty_body, full_body, stream_body};
 pub use client::{ClientConnection, ConnectError, SendError, connect};
-pub use server::{Abort, ServeOptions, StopHandle, StopSignal, serve, stopper};
+pub use server::{Abort, ServeOptions, StopHandle, StopSignal, serve, stop_channel};
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -56,7 +56,7 @@
 
 /// A handle that stops a server, and its signal.
 #[must_use]
-pub fn stopper() -> (StopHandle, StopSignal) {
+pub fn stop_channel() -> (StopHandle, StopSignal) {
     let (sender, stop) = watch::channel(false);
     let signal = StopSignal {
         stop,
--- a/crates/http/tests/unread.rs
+++ b/crates/http/tests/unread.rs
@@ -26,7 +26,7 @@
     let options = move || ServeOptions {
         max_header_bytes: 16 << 10,
         idle_timeout: Duration::from_secs(30),
-        unread: limit,
+        write_stall_timeout: limit,
     };
     let has_ended = Rc::new(Cell::new(false));
     let ended = Rc::clone(&has_ended);
--- a/crates/metrics-server/src/lib.rs
+++ b/crates/metrics-server/src/lib.rs
@@ -50,7 +50,7 @@
     ServeOptions {
         max_header_bytes: MAX_HEADER_BYTES,
         idle_timeout: CONNECTION_IDLE,
-        unread: None,
+        write_stall_timeout: None,
     }
 }
 
--- a/crates/turns/tests/store.rs
+++ b/crates/turns/tests/store.rs
@@ -455,7 +455,7 @@
     let view = registry.view();
     let absent = |incarnation| Chain::Absent { incarnation };
     let mut absence = AbsenceProof::default();
-    absence.note(view, &name("a"), &absent(1));
+    absence.record(view, &name("a"), &absent(1));
     assert!(!absence.is_certain(view, replication), "one may lack it");
     absence.record(view, &name("b"), &absent(77));
     assert!(
