--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -13,8 +13,8 @@
 /// Maximum number of queued parts of a streamed body.
 const MAX_QUEUED_PARTS: usize = 64;
 
-/// Maximum number of queued bytes of a streamed body; a single part may be longer. Callers that read
-/// continuously do not reach the limit.
+/// Maximum number of queued bytes of a streamed body; a single part may be longer. Callers that
+/// read continuously do not reach the limit.
 const MAX_QUEUED_BYTES: u32 = 64 << 10;
 
 /// The body cannot be completed. The connection must be aborted, so that the receiver does not take
--- a/crates/http/src/write_stall.rs
+++ b/crates/http/src/write_stall.rs
@@ -1,7 +1,8 @@
 //! Server connection with a limit on stalled writes.
 //!
 //! If the peer stops reading, unsent data stays in memory until the operating system closes the
-//! connection. That can take many minutes, and never happens if the peer is alive but does not read.
+//! connection. That can take many minutes, and never happens if the peer is alive but does not
+//! read.
 
 use std::future::Future;
 use std::io::{Error, ErrorKind, Result};
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -21,8 +21,8 @@
 pub struct FrameSender(mpsc::Sender<Frame>);
 
 impl FrameSender {
-    /// Queues a frame. If the queue is full or the connection is closed, drops the frame and returns
-    /// false.
+    /// Queues a frame. If the queue is full or the connection is closed, drops the frame and
+    /// returns false.
     pub fn send(&self, frame: Frame) -> bool {
         self.0.try_send(frame).is_ok()
     }
--- a/crates/net/src/socket.rs
+++ b/crates/net/src/socket.rs
@@ -19,9 +19,9 @@
     SockRef::from(stream).set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
-/// Sets the size of the connection's send buffer in bytes. The operating system reports a full buffer
-/// as writable only after a third of it has been read. With the default size of several megabytes, a
-/// peer that reads slowly looks for seconds like one that does not read at all.
+/// Sets the size of the connection's send buffer in bytes. The operating system reports a full
+/// buffer as writable only after a third of it has been read. With the default size of several
+/// megabytes, a peer that reads slowly looks for seconds like one that does not read at all.
 ///
 /// # Errors
 /// The operating system rejects the option.
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -256,9 +256,9 @@
     ) -> Result<(LogIndex, Term), ProposeError> {
         self.now = self.now.max(now);
         self.ensure_may_propose()?;
-        // A leader must first commit an entry of its own term. Otherwise an uncommitted change of an
-        // earlier leader could take effect in parallel with this one (see the 2015 erratum to the
-        // Raft thesis).
+        // A leader must first commit an entry of its own term. Otherwise an uncommitted change of
+        // an earlier leader could take effect in parallel with this one (see the 2015 erratum to
+        // the Raft thesis).
         let committed_in_term = self.log.term_at(self.commit) == Some(self.hard_state.term);
         ensure!(
             self.membership_index <= self.commit && committed_in_term,
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -244,8 +244,8 @@
             let stalled = index <= progress.match_index && progress.next_index > index + 1;
             progress.on_accepted(index.min(last_index));
             if stalled && progress.in_flight == 0 {
-                // The follower has fewer entries than were sent, and no append is in flight: appends
-                // were lost.
+                // The follower has fewer entries than were sent, and no append is in flight:
+                // appends were lost.
                 progress.next_index = progress.match_index + 1;
             }
         } else {
@@ -256,8 +256,8 @@
         self.continue_transfer();
     }
 
-    /// Advances the commit index to the last entry that a quorum has stored, if that entry is of the
-    /// current term. An entry of an earlier term could still be overwritten after a quorum has
+    /// Advances the commit index to the last entry that a quorum has stored, if that entry is of
+    /// the current term. An entry of an earlier term could still be overwritten after a quorum has
     /// stored it (figure 8 of the Raft paper).
     pub(crate) fn advance_commit(&mut self) {
         if !self.is_leader() {
--- a/crates/storage/src/errors.rs
+++ b/crates/storage/src/errors.rs
@@ -17,8 +17,8 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The log is damaged or unreadable in a place that a crash cannot explain: the data was already
-    /// synced.
+    /// The log is damaged or unreadable in a place that a crash cannot explain: the data was
+    /// already synced.
     #[snafu(display(
         "log file `{file}` is damaged at byte {offset}: {reason}; restore the file, or empty the \
          data folder and let the other members bring this one up to date"
--- a/crates/storage/src/wal.rs
+++ b/crates/storage/src/wal.rs
@@ -8,8 +8,8 @@
 const SEGMENT_PREFIX: &str = "wal-";
 const SEGMENT_SUFFIX: &str = ".log";
 
-/// Reason for rejecting an intact batch of another version. The batch may have been acknowledged, so
-/// it must not be truncated as a torn tail.
+/// Reason for rejecting an intact batch of another version. The batch may have been acknowledged,
+/// so it must not be truncated as a torn tail.
 const UNKNOWN_LAYOUT_REASON: &str = "the batch has a layout that this build does not know";
 
 /// Parameters of the log.
@@ -113,8 +113,8 @@
         self.segment_bytes >= self.config.segment_bytes
     }
 
-    /// Starts a new segment with the next batch. The caller should first write the state that allows
-    /// it to remove older segments later.
+    /// Starts a new segment with the next batch. The caller should first write the state that
+    /// allows it to remove older segments later.
     pub fn start_segment(&mut self) {
         self.segment += 1;
         self.segment_bytes = 0;
@@ -132,7 +132,8 @@
         self.oldest_segment
     }
 
-    /// Removes all segments before `segment`, oldest first, so that a crash in between leaves no gap.
+    /// Removes all segments before `segment`, oldest first, so that a crash in between leaves no
+    /// gap.
     ///
     /// # Errors
     /// The disk fails.
--- a/crates/storage/tests/wal.rs
+++ b/crates/storage/tests/wal.rs
@@ -61,7 +61,8 @@
         match Wal::open(&mut disk, SMALL_SEGMENTS) {
             Err(StorageError::Corrupt { .. } | StorageError::Gap { .. }) => {}
             Err(other) => prop_assert!(false, "unexpected error {other}"),
-            // Damage in the last batch is indistinguishable from a torn tail, so that batch is lost.
+            // Damage in the last batch is indistinguishable from a torn tail, so that batch is
+            // lost.
             Ok((_, recovered)) => prop_assert_eq!(recovered.batches.len(), batches.len() - 1),
         }
     }
--- a/crates/wire/src/extension.rs
+++ b/crates/wire/src/extension.rs
@@ -1,8 +1,8 @@
 //! Message extensions: fields that newer builds add to a message.
 //!
 //! The layout of a message never changes, so that builds of different versions can run together.
-//! New fields follow the message as numbered parts. A build ignores parts that it does not know, and
-//! a message from an older build has no parts.
+//! New fields follow the message as numbered parts. A build ignores parts that it does not know,
+//! and a message from an older build has no parts.
 
 use crate::errors::{BodySnafu, WireError};
 use serde::de::DeserializeOwned;
--- a/crates/wire/tests/support/golden.rs
+++ b/crates/wire/tests/support/golden.rs
@@ -1,8 +1,8 @@
 //! Golden bytes that an earlier build wrote. Each line of a file is `label hex`.
 //!
 //! The current build must decode them to the value that was written, and its own encoding of the
-//! value must begin with them. Then the earlier build can decode it too, because it ignores trailing
-//! parts.
+//! value must begin with them. Then the earlier build can decode it too, because it ignores
+//! trailing parts.
 #![allow(dead_code, reason = "each test uses a part of it")]
 
 use serde::Serialize;
