--- a/crates/turns/tests/store.rs
+++ b/crates/turns/tests/store.rs
@@ -467,6 +467,6 @@
     );
     absence.record(view, &name("b"), &absent(2));
     assert!(absence.is_certain(view, replication));
-    let nobody = StoreView::default();
-    assert!(!AbsenceProof::default().is_certain(&nobody, replication));
+    let empty_view = StoreView::default();
+    assert!(!AbsenceProof::default().is_certain(&empty_view, replication));
 }
