--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -56,8 +56,8 @@
     pub program: ProgramId,
     /// The new owner.
     pub daemon: DaemonId,
-    /// Identifier of this claim. The current claim of the program has no further effect; a
-    /// superseded claim is refused.
+    /// Identifier of this claim. A repeat of the current claim renews the lease and does not change
+    /// the owner; a superseded claim is refused.
     pub claim: Claim,
 }
 
@@ -68,8 +68,8 @@
     pub program: ProgramId,
     /// Epoch of the requesting daemon.
     pub epoch: Epoch,
-    /// Number of the intent, which the owner increments within its epoch. An intent with a lower
-    /// number than an earlier arrival is a late duplicate whose sender no longer waits for it.
+    /// Number of the intent, which the owner increments within its epoch. An intent whose number is
+    /// not higher than the latest one is a late duplicate, and its sender does not wait for a reply.
     pub intent: u64,
     /// Position of the call, if the caller states it.
     pub sequence: Option<Sequence>,
@@ -81,8 +81,8 @@
     pub input_tokens: u64,
     /// Maximum number of generated tokens, enforced by the engine.
     pub max_output_tokens: u64,
-    /// Maximum that the caller requested, if any. Only this value is part of the fingerprint: a
-    /// default may differ when the same request is sent again.
+    /// Maximum that the caller requested, if any. The fingerprint contains this value and not
+    /// `max_output_tokens`, because a default may differ when the same request is sent again.
     pub requested_output_tokens: Option<u64>,
     /// Price of one token in millionths of the currency unit.
     pub cost_per_token_micros: u64,
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -38,7 +38,7 @@
     pub claim: Claim,
     /// Number of the owner's latest intent.
     pub last_intent: u64,
-    /// Time of the last renewal or other command of the owner that renews the lease.
+    /// Time of the owner's latest claim, new intent, outcome or lease renewal.
     pub renewed_at: Timestamp,
 }
 
@@ -183,8 +183,9 @@
         ))
     }
 
-    /// Marks the call in flight as uncertain after its owner was lost. Returns its reservation,
-    /// which the caller must charge in full because the engine may have spent it.
+    /// Marks the call in flight, if any, as uncertain when its owner is replaced, its owner's lease
+    /// expires or its program ends. Returns the reservation, which must be charged in full because
+    /// the engine may have spent it.
     pub(crate) fn abandon_call_in_flight(&mut self) -> Option<Charge> {
         let call = self.calls.last_mut().filter(|call| call.in_flight())?;
         let CallState::InFlight {
@@ -350,7 +351,7 @@
     Charge {
         calls: 1,
         tokens,
-        // Unlimited tokens with a price of zero cost nothing.
+        // If tokens are free, an unlimited number of them must not result in an unlimited cost.
         cost_micros: if tokens == UNLIMITED && price_micros == 0 {
             0
         } else {
--- a/crates/program/src/window.rs
+++ b/crates/program/src/window.rs
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Time after which no engine starts the attempt, whatever the engine's clock shows.
+    /// Time after which no engine starts the attempt, if clocks differ by at most
+    /// [`MAX_CLOCK_SKEW`].
     #[must_use]
     pub fn latest_possible_start(&self) -> Timestamp {
         self.start_by.plus(MAX_CLOCK_SKEW)
--- a/crates/turns/src/protocol.rs
+++ b/crates/turns/src/protocol.rs
@@ -88,7 +88,7 @@
         /// Chain, if the request asked for one.
         chain: Option<Chain>,
         /// Replica that served the program's last turn, if this store knows it. The value is a
-        /// hint that is not stored on disk.
+        /// hint that is not stored on disk and is lost when the process ends.
         served_by: Option<BackendId>,
     },
     /// The program's account at this store.
--- a/crates/turns/src/replication.rs
+++ b/crates/turns/src/replication.rs
@@ -60,8 +60,9 @@
         }
     }
 
-    /// Returns true if no store can have the turn. A committed turn is on at least a quorum of the
-    /// disks, so it cannot exist if fewer stores than a quorum have not been ruled out.
+    /// Returns true if no store can have the turn. A committed turn was written to at least a quorum
+    /// of the view's stores, including lost ones. It therefore cannot exist if the stores that
+    /// are not yet known to lack it are fewer than a quorum.
     #[must_use]
     pub fn is_certain(&self, view: &StoreView, replication: Replication) -> bool {
         let remaining = view.len() - self.stores_without_turn.len().min(view.len());
