--- a/crates/program/src/call.rs
+++ b/crates/program/src/call.rs
@@ -10,7 +10,7 @@
 /// Answer of a completed call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
-    /// Position of the call in its program.
+    /// Sequence number of the call in its program.
     pub sequence: Sequence,
     /// Complete text.
     pub text: String,
@@ -53,7 +53,7 @@
 /// A call and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRecord {
-    /// Position in the program.
+    /// Sequence number of the call in its program.
     pub sequence: Sequence,
     /// Idempotency key of the call, if the caller set one.
     pub key: Option<IdempotencyKey>,
--- a/crates/program/src/command.rs
+++ b/crates/program/src/command.rs
@@ -68,10 +68,11 @@
     pub program: ProgramId,
     /// Epoch of the requesting daemon.
     pub epoch: Epoch,
-    /// Number of the intent, which the owner increments within its epoch. An intent whose number is
-    /// not higher than the latest one is a late duplicate, and its sender does not wait for a reply.
+    /// Number of the intent, which the owner increments within its epoch. An intent whose number
+    /// is not higher than the latest one is a late duplicate, and its sender does not wait for a
+    /// reply.
     pub intent: u64,
-    /// Position of the call, if the caller states it.
+    /// Sequence number of the call, if the caller states it.
     pub sequence: Option<Sequence>,
     /// Idempotency key of the call, if the caller set one.
     pub key: Option<IdempotencyKey>,
@@ -147,7 +148,7 @@
     Finished,
     /// The caller abandoned it, or it exceeded its idle timeout.
     Abandoned,
-    /// Its deadline passed.
+    /// The deadline of the program passed.
     DeadlinePassed,
     /// Its parent program ended.
     ParentEnded,
@@ -190,8 +191,8 @@
     End(EndProgram),
     /// See [`ConfirmRelease`].
     ConfirmRelease(ConfirmRelease),
-    /// Applies every lease, deadline, idle timeout and retention that has expired at the entry's
-    /// timestamp.
+    /// Applies the expiry of every lease, deadline, idle timeout and retention that has passed at
+    /// the entry's timestamp.
     Expire,
 }
 
--- a/crates/program/src/expiry.rs
+++ b/crates/program/src/expiry.rs
@@ -8,7 +8,8 @@
 /// Time for which the answers of an ended program can still be requested.
 const ENDED_PROGRAM_RETENTION: Duration = Duration::from_secs(900);
 
-/// Time since the last renewal of an owner's lease after which its call in flight becomes uncertain.
+/// Time since the last renewal of an owner's lease after which its call in flight becomes
+/// uncertain.
 const OWNER_LEASE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Change that is due for a program because of elapsed time.
--- a/crates/program/src/program.rs
+++ b/crates/program/src/program.rs
@@ -255,7 +255,8 @@
                 self.next_sequence = call.sequence.next();
                 self.calls.push(call);
             }
-            // The request did not take effect, so its sequence and its key can be used again.
+            // The request did not take effect, so its sequence number and its key can be used
+            // again.
             OutcomeClass::NotDispatched
             | OutcomeClass::RejectedBeforeProcessing
             | OutcomeClass::EngineRetryable => {}
--- a/crates/program/src/reply.rs
+++ b/crates/program/src/reply.rs
@@ -16,7 +16,7 @@
     pub program: ProgramId,
     /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Sequence of the next call.
+    /// Sequence number of the next call.
     pub next_sequence: Sequence,
     /// Specification of the program.
     pub spec: ProgramSpec,
@@ -31,7 +31,7 @@
 /// Reply to a durable intent, which permits the daemon to dispatch the attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Begun {
-    /// Sequence of the call.
+    /// Sequence number of the call.
     pub sequence: Sequence,
     /// Attempt to dispatch.
     pub attempt: AttemptNumber,
@@ -56,7 +56,7 @@
     pub owner: DaemonId,
     /// Epoch of the owner.
     pub epoch: Epoch,
-    /// Sequence of the next call.
+    /// Sequence number of the next call.
     pub next_sequence: Sequence,
     /// Amount that has been spent.
     pub spent: Charge,
@@ -79,7 +79,7 @@
     AlreadyAnswered(StoredAnswer),
     /// The outcome is durable.
     Finished {
-        /// Sequence of the program's next call.
+        /// Sequence number of the program's next call.
         next_sequence: Sequence,
     },
     /// The command took effect and returns no value.
--- a/crates/program/src/rules.rs
+++ b/crates/program/src/rules.rs
@@ -102,7 +102,7 @@
 }
 
 /// Computes the additional reservation for a retry. If an engine may have processed the failed
-/// attempt, that attempt stays charged besides the next one.
+/// attempt, it stays charged in addition to the next one.
 pub(crate) fn retry_charge(call: &CallRecord, failed_as: OutcomeClass) -> Charge {
     if failed_as.is_unprocessed() {
         return ONE_RETRY;
@@ -140,6 +140,6 @@
 pub(crate) fn unknown_outcome() -> Refusal {
     Refusal::uncertain(
         RefusalCode::OutcomeUnknown,
-        "unknown whether the request ran, and it must not run twice",
+        "it is unknown whether the request ran, and it must not run twice",
     )
 }
--- a/crates/program/tests/start_window.rs
+++ b/crates/program/tests/start_window.rs
@@ -33,7 +33,7 @@
     let gap = next.window.not_before.since(lost.window.start_by);
     assert!(
         gap >= MAX_CLOCK_SKEW,
-        "gap of {gap:?} is less than the clock skew"
+        "gap of {gap:?} is less than the maximum clock skew"
     );
     assert!(next.window.start_by > next.window.not_before);
 }
--- a/crates/store-server/src/server.rs
+++ b/crates/store-server/src/server.rs
@@ -46,7 +46,7 @@
     pub data_folder: PathBuf,
     /// True if the whole deployment starts for the first time.
     pub first_start: bool,
-    /// Number of copies.
+    /// Number of copies of each record.
     pub replication: Replication,
     /// Maximum size of a journal segment in bytes.
     pub segment_bytes: u64,
@@ -236,7 +236,7 @@
                 }
             }
             Err(error) => {
-                tracing::warn!(%error, "cannot decode request");
+                tracing::warn!(%error, "cannot decode request from client");
                 self.metrics.failures.inc();
                 let reason = error.to_string();
                 self.reply(token, &StoreResponse::Failed { reason });
@@ -255,7 +255,7 @@
             match output {
                 Output::Reply { token, response } => {
                     if let StoreResponse::Failed { reason } = &*response {
-                        tracing::error!(reason, "write failed");
+                        tracing::error!(reason, "cannot make the records of a request durable");
                         self.metrics.failures.inc();
                     }
                     self.reply(token, &response);
@@ -278,7 +278,7 @@
             Ok(body) => {
                 client.send(Frame::response(token.request, body));
             }
-            Err(error) => tracing::error!(%error, "cannot encode response"),
+            Err(error) => tracing::error!(%error, "cannot encode response to client"),
         }
     }
 
--- a/crates/turns/src/node.rs
+++ b/crates/turns/src/node.rs
@@ -56,7 +56,7 @@
 pub struct StoreConfig {
     /// Name of the store.
     pub name: StoreName,
-    /// Number of copies.
+    /// Number of copies of each record.
     pub replication: Replication,
     /// Limits of the journal.
     pub wal: WalConfig,
@@ -246,7 +246,7 @@
         self.hand_over.on_acknowledged(by, number);
     }
 
-    /// Advances the time and removes what has expired.
+    /// Advances the time and removes expired turns and accounts.
     pub fn tick(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
         if self.now >= self.expiry_due {
@@ -442,7 +442,7 @@
             .unwrap_or_default()
     }
 
-    /// Records the replica that served a turn of a program, if it is given, and returns the last
+    /// Records the replica that served a turn of a program, if it is known, and returns the last
     /// recorded one.
     fn update_last_replica(
         &mut self,
--- a/crates/turns/src/protocol.rs
+++ b/crates/turns/src/protocol.rs
@@ -54,7 +54,8 @@
     },
     /// Reads the account of a program.
     Account(ProgramName),
-    /// Stores a turn, settles its tokens, and extends the retention of its ancestors to its own.
+    /// Stores a turn, settles its tokens, and extends the retention of its ancestors to at least
+    /// its own.
     Keep {
         /// Epoch of the writer's view of the stores.
         epoch: u64,
@@ -62,7 +63,7 @@
         turn: Box<TurnRecord>,
         /// Tokens that the turn took.
         tokens: u64,
-        /// Ancestors that belong to another program, whose records other stores may own.
+        /// Ancestors that belong to another program and may be owned by other stores.
         foreign_ancestors: Vec<TurnRecord>,
     },
     /// Looks up a chain.
--- a/crates/turns/src/record.rs
+++ b/crates/turns/src/record.rs
@@ -11,7 +11,7 @@
 
 /// Adds the tenant to an identifier from a caller, so that no caller can address records of
 /// another tenant, or of a caller without a tenant, by choosing the same identifier. Without a
-/// tenant the identifier stays unchanged, which keeps it equal to that of existing records.
+/// tenant the identifier stays unchanged, so that existing records keep their identifiers.
 fn tenant_scoped(tenant: Option<&TenantName>, identifier: &str) -> String {
     match tenant {
         Some(tenant) => format!("{tenant}{TENANT_SEPARATOR}{identifier}"),
--- a/crates/turns/src/replication.rs
+++ b/crates/turns/src/replication.rs
@@ -50,8 +50,8 @@
 }
 
 impl AbsenceProof {
-    /// Records a store's response. It counts only if the view shows that the store is not still
-    /// being filled and that its disk was not replaced.
+    /// Records a store's response. The response counts only if the store has the same disk as in
+    /// the view and has received all records that it owns ([`StoreView::is_authoritative`]).
     pub fn record(&mut self, view: &StoreView, store: &StoreName, chain: &Chain) {
         if let Chain::Absent { incarnation } = chain
             && view.is_authoritative(store, *incarnation)
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Returns true if no store can have the turn. A committed turn was written to at least a quorum
-    /// of the view's stores, including lost ones. It therefore cannot exist if the stores that
-    /// are not yet known to lack it are fewer than a quorum.
+    /// Returns true if no store can have the turn. A committed turn was written to at least a
+    /// quorum of the view's stores, including lost ones. It therefore cannot exist if fewer stores
+    /// than a quorum have not been recorded as lacking it.
     #[must_use]
     pub fn is_certain(&self, view: &StoreView, replication: Replication) -> bool {
         let remaining = view.len() - self.stores_without_turn.len().min(view.len());
--- a/crates/turns/src/state.rs
+++ b/crates/turns/src/state.rs
@@ -36,7 +36,8 @@
 }
 
 impl State {
-    /// Returns true if applying the entry would change the state.
+    /// Returns true if the entry contains a new turn, new tokens or a view. A longer retention of a
+    /// known turn or account does not count.
     pub(crate) fn is_changed_by(&self, entry: &Entry) -> bool {
         match entry {
             Entry::Turn(record) => !self.turns.contains_key(&record.id),
--- a/crates/turns/tests/store.rs
+++ b/crates/turns/tests/store.rs
@@ -141,7 +141,7 @@
             assert_eq!(*turn, record("t2", "p", &["t1"]));
             assert_eq!(ancestors, vec![record("t1", "p", &[])]);
         }
-        Chain::Absent { .. } => panic!("the chain is lost"),
+        Chain::Absent { .. } => panic!("the turn is absent after the restart"),
     }
 }
 
