--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -72,7 +72,8 @@
     connection: u64,
     on_event: &impl Fn(ListenerEvent),
 ) -> Result<(), NetError> {
-    // The connection also works without these options.
+    // With these options, small responses do not wait until a slow peer has acknowledged earlier
+    // ones. The connection also works without them.
     let _ = set_tcp_options(&stream);
     let (read_half, write_half) = stream.into_split();
     let mut reader = FrameReader::new(read_half);
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -136,7 +136,8 @@
                 last_term,
                 transfer,
             };
-            // The node's own vote must be persisted before other nodes reply to the request.
+            // The node's own vote must be persisted before the request is sent. Otherwise the
+            // node could lose it in a crash and vote for another candidate in the same term.
             self.send_after_sync(peer, self.hard_state.term, message);
         }
         if self.has_quorum_of_votes() {
@@ -175,7 +176,7 @@
 
     pub(crate) fn on_vote(&mut self, from: Peer, last_index: LogIndex, last_term: Term) {
         let can_vote = self.hard_state.voted_for.is_none_or(|voted| voted == from);
-        // A node outside the membership may have lost its log; its vote must not count.
+        // A node outside the membership has an empty or foreign log; its vote must not count.
         let granted = can_vote
             && self.role == Role::Follower
             && self.membership.is_voter(self.me)
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -104,7 +104,9 @@
     }
 
     /// Sends a heartbeat. It refers to the last matched entry, so that the reply reveals lost
-    /// appends and replication resumes from the entries that the follower really has.
+    /// appends and replication resumes from the entries that the follower really has. Each reply
+    /// also frees a place in the append window, which a lost append would otherwise occupy forever.
+    /// If the entries after the last match are discarded, it refers to a later entry.
     fn send_heartbeat(&mut self, peer: Peer) {
         let resend_after = self.config.election_timeout * SNAPSHOT_RESEND_ELECTION_TIMEOUTS;
         let now = self.now;
@@ -189,8 +191,8 @@
         index < self.log.snapshot_index() || self.log.term_at(index) == Some(term)
     }
 
-    /// Returns the next index that the leader should send: the end of this log if the log is too
-    /// short, otherwise the first entry of the conflicting term.
+    /// Returns the index that the leader should send next: the one after the last entry if this log
+    /// is too short, otherwise the first entry of the conflicting term.
     fn conflict_hint(&self, index: LogIndex) -> LogIndex {
         if index > self.log.last_index() {
             return self.log.last_index() + 1;
--- a/crates/raft/tests/cluster.rs
+++ b/crates/raft/tests/cluster.rs
@@ -15,7 +15,7 @@
 
 const VOTER_COUNT: u32 = 3;
 
-/// Number of rounds within which a group must commit an entry once messages are no longer lost.
+/// Number of rounds within which a group must commit two entries once messages are no longer lost.
 const MAX_RECOVERY_ROUNDS: usize = 600;
 
 fn peer(member: u32) -> Peer {
@@ -224,7 +224,8 @@
         self.process_ready(member);
     }
 
-    /// Restarts a node from its persisted state. Its pending work is lost.
+    /// Restarts a node from its persisted state. Its pending work is lost, and its unsent messages
+    /// are never sent.
     fn crash(&mut self, member: u32) {
         let now = self.now;
         let node = self.nodes.get_mut(&member).unwrap();
@@ -254,7 +255,7 @@
         node.raft.compact(last);
     }
 
-    /// Delivers all messages and asserts that the group commits new entries.
+    /// Delivers all messages and asserts that the group commits at least two new entries.
     fn recover(&mut self) {
         let before = self.committed.len();
         for _ in 0..MAX_RECOVERY_ROUNDS {
@@ -269,7 +270,7 @@
                 return;
             }
         }
-        panic!("no entry was committed after message loss ended");
+        panic!("fewer than two entries were committed after message loss ended");
     }
 }
 
@@ -420,7 +421,7 @@
         let (leader, passed) = first_leader(&mut cluster);
         assert_eq!(leader, 1, "start {restarts}");
         assert!(passed <= heartbeat, "start {restarts}: {passed:?}");
-        // If the first voter is down, the second one is elected one heartbeat interval later.
+        // If the first voter is down, the second one is elected within two heartbeat intervals.
         let mut cluster = Cluster::new();
         cluster.nodes.remove(&1);
         for (member, node) in &mut cluster.nodes {
--- a/crates/storage/src/memory_disk.rs
+++ b/crates/storage/src/memory_disk.rs
@@ -65,7 +65,8 @@
         self.full = full;
     }
 
-    /// Sets whether syncs fail, which leaves earlier writes unsynced.
+    /// Sets whether [`Disk::sync`] and [`Disk::replace`] fail. Writes before a failed sync stay
+    /// unsynced. [`MemoryDisk::crash`] resets the setting.
     pub fn set_sync_fails(&mut self, fails: bool) {
         self.sync_fails = fails;
     }
--- a/crates/storage/src/wal.rs
+++ b/crates/storage/src/wal.rs
@@ -113,8 +113,8 @@
         self.segment_bytes >= self.config.segment_bytes
     }
 
-    /// Starts a new segment with the next batch. The caller should first write the state that allows
-    /// it to remove older segments later.
+    /// Starts a new segment with the next batch. That batch should contain the state that allows the
+    /// caller to remove older segments later.
     pub fn start_segment(&mut self) {
         self.segment += 1;
         self.segment_bytes = 0;
