--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -110,7 +110,7 @@
     /// Sends a request and waits for the head of its response.
     ///
     /// # Errors
-    /// The error tells whether the server may have received the request.
+    /// The error states whether the server may have received the request.
     pub async fn send(&mut self, request: Request<Body>) -> Result<Response<Incoming>, SendError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 servers and clients on the actix runtime, based on hyper's connection API.
 //!
-//! `actix-web` and `awc` hide information that a gateway needs: an `actix-web` handler is not told
-//! that its caller has disconnected, and an `awc` client does not report whether a request that
+//! `actix-web` and `awc` hide information that a gateway needs: an `actix-web` handler is not
+//! notified when its caller disconnects, and an `awc` client does not report whether a request that
 //! failed on a pooled connection was sent. hyper's connection API reports both. The administration
 //! and daemon interfaces use `actix-web` and `awc`.
 #![forbid(unsafe_code)]
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -43,7 +43,7 @@
 #[snafu(display("the handler aborted the connection"))]
 pub struct Abort;
 
-/// Handle that tells servers to stop.
+/// Handle that stops servers.
 #[derive(Clone, Debug)]
 pub struct StopHandle(Rc<watch::Sender<bool>>);
 
--- a/crates/http/src/write_stall.rs
+++ b/crates/http/src/write_stall.rs
@@ -1,4 +1,4 @@
-//! Server connection with a limit on stalled writes.
+//! Server connection with a timeout for stalled writes.
 //!
 //! If the peer stops reading, unsent data stays in memory until the operating system closes the
 //! connection. That can take many minutes, and never happens if the peer is alive but does not read.
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Fails a write that has been pending for longer than the limit.
+    /// Fails a write that has been pending for longer than the timeout.
     fn check_progress<T>(
         &mut self,
         written: Poll<Result<T>>,
--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -68,7 +68,7 @@
     }
 }
 
-/// Writes queued frames, in batches, until the connection fails. If the sender is dropped, the
+/// Writes queued frames in batches until the connection fails. If the sender is dropped, the
 /// connection stays open for reading.
 pub(crate) async fn write_frames(
     mut half: OwnedWriteHalf,
--- a/crates/net/src/errors.rs
+++ b/crates/net/src/errors.rs
@@ -8,7 +8,7 @@
 #[snafu(visibility(pub(crate)))]
 pub enum NetError {
     /// An operation of the operating system failed.
-    #[snafu(display("cannot {action}: {source}"))]
+    #[snafu(display("connection error: cannot {action}: {source}"))]
     Io {
         /// Operation that failed.
         action: &'static str,
--- a/crates/raft/src/election.rs
+++ b/crates/raft/src/election.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Returns true if this node leads or heard from its leader within the election timeout.
+    /// Returns true if this node leads or had contact with its leader within the election timeout.
     fn has_recent_leader_contact(&self) -> bool {
         if self.is_leader() {
             return true;
--- a/crates/raft/src/message.rs
+++ b/crates/raft/src/message.rs
@@ -40,8 +40,8 @@
         last_index: LogIndex,
         /// Term of that entry.
         last_term: Term,
-        /// True if the leader requested this election. Followers then vote even though they have
-        /// recently heard from the leader.
+        /// True if the leader requested this election. Followers then vote even though they had
+        /// recent contact with the leader.
         transfer: bool,
     },
     /// Reply to a vote request.
@@ -77,6 +77,6 @@
         /// Snapshot to install.
         snapshot: Snapshot,
     },
-    /// Tells the receiver to start an election immediately.
+    /// Asks the receiver to start an election immediately.
     TimeoutNow,
 }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -435,7 +435,7 @@
         });
     }
 
-    /// Returns the election timeout of a node that has not heard from a leader since it started:
+    /// Returns the election timeout of a node without contact with a leader since its start:
     /// half a heartbeat interval, plus one interval for each voter that precedes this node. Voters
     /// that start together then start their elections one after the other instead of splitting the
     /// vote, and the first available voter with an up-to-date log is elected without further delay.
@@ -453,7 +453,7 @@
     }
 
     pub(crate) fn reset_election_deadline(&mut self) {
-        // A node that has not heard from a leader since it started sends a pre-vote after a short
+        // A node without contact with a leader since it started sends a pre-vote after a short
         // time. This does not disrupt the group: nodes in contact with a leader reject it. A
         // candidate waits for the full timeout; otherwise candidates could split the vote
         // repeatedly.
--- a/crates/raft/src/replication.rs
+++ b/crates/raft/src/replication.rs
@@ -381,16 +381,16 @@
         }
     }
 
-    /// Returns the time since this leader last heard from `peer`, or `None` if this node does not
-    /// lead or `peer` is not one of its followers.
+    /// Returns the time since the last reply from `peer`, or `None` if this node does not lead or
+    /// `peer` is not one of its followers.
     #[must_use]
     pub fn time_since_contact(&self, peer: Peer) -> Option<Duration> {
         let progress = self.progress.get(&peer)?;
         Some(self.now.since(progress.last_contact))
     }
 
-    /// Returns the voter that this leader heard from most recently, excluding itself, among those
-    /// that `is_eligible` accepts.
+    /// Returns the voter that replied to this leader most recently, among those that `is_eligible`
+    /// accepts. The leader itself is excluded.
     #[must_use]
     pub fn successor(&self, is_eligible: impl Fn(Peer) -> bool) -> Option<Peer> {
         let voters = self.membership.voters.iter().copied();
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -63,7 +63,7 @@
         #[deku(count = "length")]
         body: Vec<u8>,
     },
-    /// Request.
+    /// Request, answered by a response with the same correlation.
     #[deku(id = "3")]
     Request {
         /// Identifier that the response repeats.
