--- a/crates/admin-api/src/client.rs
+++ b/crates/admin-api/src/client.rs
@@ -27,10 +27,10 @@
     /// The client has no addresses.
     #[snafu(display("no address of a control member is configured"))]
     NoAddress,
-    /// A member rejected the request, and another member would reject it too.
+    /// A request to a member failed, and no other member is tried.
     #[snafu(display("{}: {}", status.code(), status.message()))]
     Refused {
-        /// Status that the member returned.
+        /// Status of the request.
         status: Box<Status>,
     },
     /// No member processed the request.
@@ -105,7 +105,7 @@
         change_membership(v1::ChangeMembershipRequest) -> v1::ChangeMembershipResponse
     }
 
-    /// Streams the configuration from the first reachable member.
+    /// Streams the configuration from the first member that accepts the request.
     ///
     /// # Errors
     /// Returns an error if no member accepted the request.
--- a/crates/engine-api/src/events.rs
+++ b/crates/engine-api/src/events.rs
@@ -28,7 +28,7 @@
     pub waiting: u32,
     /// Prompt tokens that have not been computed yet.
     pub prefill_tokens: u64,
-    /// Free cache blocks.
+    /// Cache blocks that are free or that no request uses.
     pub free_blocks: u64,
     /// True if the engine accepts no new requests.
     pub draining: bool,
--- a/crates/resources/src/resource.rs
+++ b/crates/resources/src/resource.rs
@@ -18,7 +18,7 @@
     /// Maximum number of concurrent calls in the whole fleet; 0 for no limit.
     #[serde(default)]
     pub max_concurrent_calls: u32,
-    /// Maximum token rate in the whole fleet; 0 for no limit.
+    /// Maximum number of tokens per second in the whole fleet; 0 for no limit.
     #[serde(default)]
     pub tokens_per_second: u64,
 }
--- a/crates/resources/src/view.rs
+++ b/crates/resources/src/view.rs
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Returns the budget of the programs of a class. It is unlimited if the class names none.
+    /// Returns the budget of the programs of a class. It is unlimited if the class does not exist, or
+    /// names no budget or one that does not exist.
     #[must_use]
     pub fn class_budget(&self, class: &str) -> Budget {
         self.class(class)
--- a/crates/settings/src/errors.rs
+++ b/crates/settings/src/errors.rs
@@ -3,7 +3,7 @@
 use snafu::Snafu;
 use std::fmt;
 
-/// Invalid setting and its location.
+/// Missing, unknown or invalid setting, and its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// File and line, environment variable or flag that sets it.
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -14,8 +14,8 @@
 /// of its rate.
 const DEFAULT_QUOTA_OVERAGE_RATIO: f64 = 0.1;
 
-/// Default number of requests by which a tenant may exceed its limit in addition. It lets each of a
-/// few stores hold some of them.
+/// Default additional number of requests by which a tenant may exceed its limit: enough for each of a
+/// few stores to hold some.
 const DEFAULT_QUOTA_SLACK_REQUESTS: f64 = 20.0;
 
 /// Default utilization from which a replica receives no new programs. Utilization does not include
@@ -154,7 +154,7 @@
         Duration::from_millis(self.drain_ms / 2)
     }
 
-    /// Returns true if the deployment expects more work than its replicas can process.
+    /// Returns true if the deployment at times expects more work than its replicas can process.
     #[must_use]
     pub fn expects_overload(&self) -> bool {
         self.conditions
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -63,7 +63,7 @@
     }
 
     /// Registers the keys of a section that this process does not use, and drops its faults. The file
-    /// may be shared with processes that use the section and override it with flags.
+    /// may be shared with processes that use the section and set the rest of it with flags.
     pub(crate) fn register_keys<T>(
         &mut self,
         read: impl FnOnce(&mut Self) -> Option<T>,
@@ -122,7 +122,7 @@
     }
 }
 
-/// Name of the metadata of settings that flags override.
+/// Name that the metadata of settings from flags has.
 pub(crate) const FLAGS_SOURCE: &str = "flags";
 
 fn collect_unknown_keys(
--- a/crates/settings/src/source.rs
+++ b/crates/settings/src/source.rs
@@ -64,7 +64,7 @@
     pub member: Option<ManagedMemberSettings>,
 }
 
-/// Settings that flags override: keys and values as text.
+/// Settings from flags: keys and values as text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Flags(Vec<(String, String)>);
 
@@ -138,7 +138,7 @@
         reader.check(
             "daemon",
             false,
-            "must have a section [daemon], [control] or [fleet]",
+            "a section [daemon], [control] or [fleet] is required",
         );
     }
     let uses_fleet = is_managed || (role == Role::Any && has_section("fleet"));
--- a/crates/settings/tests/files.rs
+++ b/crates/settings/tests/files.rs
@@ -149,6 +149,7 @@
 }
 
 /// Processes of several roles may share a file and set the rest of their own section with flags.
+/// A process requires only its own section to be complete.
 #[test]
 fn an_unused_section_may_be_incomplete_but_may_not_contain_unknown_keys() {
     let folder = tempfile::tempdir().unwrap();
--- a/crates/types/src/refusal.rs
+++ b/crates/types/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: the reasons for which luglink does not serve a request.
+//! Refusals: the closed set of reasons for which luglink does not serve a request.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -97,7 +97,7 @@
 }
 
 impl Refusal {
-    /// Creates a refusal of a request that has not run.
+    /// Creates a refusal of a request that has not run and will not run.
     #[must_use]
     pub fn not_run(code: RefusalCode, detail: impl Into<String>) -> Self {
         Self {
