--- a/crates/admin-api/src/convert.rs
+++ b/crates/admin-api/src/convert.rs
@@ -35,7 +35,7 @@
     })
 }
 
-/// Converts the response to a change to a message.
+/// Converts a change response to a message.
 #[must_use]
 pub fn response_to_proto(response: ChangeResponse) -> v1::ApplyResponse {
     use v1::apply_response::Answer;
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -147,8 +147,9 @@
         }
     }
 
-    /// Returns the age from which the list is stale, so that a gateway reads it itself: half of the
-    /// time after which a leaving replica must not receive work. The other half remains for reading.
+    /// Returns the age at which the list of replicas is stale and a gateway reads it itself: half of
+    /// the time after which a leaving replica must not receive work. The other half remains for
+    /// reading.
     #[must_use]
     pub fn list_stale_after(&self) -> Duration {
         Duration::from_millis(self.drain_ms / 2)
--- a/crates/types/src/budget.rs
+++ b/crates/types/src/budget.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Limit that stands for no limit.
+/// Value of a limit that means unlimited.
 pub const UNLIMITED: u64 = u64::MAX;
 
 /// Limits on the resources that a program uses during its lifetime. Tokens are new prompt tokens
@@ -100,7 +100,7 @@
     }
 }
 
-/// Amounts reserved or spent, one in each dimension that adds up.
+/// Amounts reserved or spent, in all dimensions of a budget except the deadline.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Charge {
     /// Model calls.
--- a/crates/types/src/feature_modes.rs
+++ b/crates/types/src/feature_modes.rs
@@ -16,7 +16,7 @@
 }
 
 impl FeatureMode {
-    /// Returns true if the feature is on. `by_default` is the result for the mode `Auto`.
+    /// Returns true if the feature is on. The result for the mode `Auto` is `by_default`.
     #[must_use]
     pub fn is_enabled(self, by_default: bool) -> bool {
         match self {
