--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -14,8 +14,8 @@
 /// of its rate.
 const DEFAULT_QUOTA_OVERAGE_RATIO: f64 = 0.1;
 
-/// Default number of requests by which a tenant may exceed its limit in addition. It lets each of a
-/// few stores hold some of them.
+/// Default additional number of requests by which a tenant may exceed its limit: enough for each of a
+/// few stores to hold some.
 const DEFAULT_QUOTA_SLACK_REQUESTS: f64 = 20.0;
 
 /// Default utilization from which a replica receives no new programs. Utilization does not include
@@ -147,14 +147,15 @@
         }
     }
 
-    /// Returns the age from which the list is stale, so that a gateway reads it itself: half of the
-    /// time after which a leaving replica must not receive work. The other half remains for reading.
+    /// Returns the age at which the list of replicas is stale and a gateway reads it itself: half of
+    /// the time after which a leaving replica must not receive work. The other half remains for
+    /// reading.
     #[must_use]
     pub fn list_stale_after(&self) -> Duration {
         Duration::from_millis(self.drain_ms / 2)
     }
 
-    /// Returns true if the deployment expects more work than its replicas can process.
+    /// Returns true if the deployment at times expects more work than its replicas can process.
     #[must_use]
     pub fn expects_overload(&self) -> bool {
         self.conditions
