--- a/crates/daemon-server/src/platform.rs
+++ b/crates/daemon-server/src/platform.rs
@@ -18,8 +18,8 @@
     pub live: Vec<u32>,
 }
 
-/// Time between two polls. A replica must get no new work three seconds after it is listed as
-/// leaving.
+/// Time between two polls. From three seconds after it is listed as leaving, a replica must get no
+/// new work.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Polls the platform's list and passes the leaving replicas to the daemon.
--- a/crates/daemon/src/attempts.rs
+++ b/crates/daemon/src/attempts.rs
@@ -287,7 +287,8 @@
     }
 
     /// Fails a call whose program's deadline has passed: refuses the caller at once and cancels a
-    /// running attempt, whose outcome is recorded as uncertain.
+    /// running attempt, whose outcome is recorded as uncertain. A call whose intent or outcome is
+    /// being recorded is left to the reply.
     pub(crate) fn fail_at_deadline(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/daemon/src/daemon.rs
+++ b/crates/daemon/src/daemon.rs
@@ -402,7 +402,8 @@
 
     /// Sends a watch for a newer configuration to one member; see [`Daemon::on_watch`]. After a
     /// failed watch, the next member must answer at once. Otherwise the daemon could spend the time
-    /// within which a change must be in force on waiting for unreachable members.
+    /// within which a change must be in force on waiting for members that do not
+    /// answer.
     fn watch_configuration(&mut self) {
         self.watch_due = None;
         let member = self.config.members[self.watch_member];
--- a/crates/daemon/src/programs.rs
+++ b/crates/daemon/src/programs.rs
@@ -241,7 +241,8 @@
     }
 
     /// Removes the least recently used idle programs until the history cache is within its limits.
-    /// The next call of such a program takes it over again, which returns the history.
+    /// The next call of such a program takes it over again under a new epoch, which returns the
+    /// history.
     pub(crate) fn trim_history_cache(&mut self) {
         let mut idle: Vec<(Timestamp, ProgramId, usize)> = self
             .programs
--- a/crates/daemon/tests/daemon.rs
+++ b/crates/daemon/tests/daemon.rs
@@ -168,8 +168,8 @@
     assert_eq!(harness.refusal_of(ticket).executed, Executed::Unknown);
 }
 
-/// The chosen engine starts to leave while the intent is being recorded. The call must go to
-/// another engine.
+/// The chosen engine starts to leave while the intent is being recorded. It must not get the
+/// call, which must go to another engine.
 #[test]
 fn engine_that_leaves_while_the_intent_is_recorded_gets_no_call() {
     let mut harness = Harness::start(config());
