--- a/crates/daemon-server/src/api.rs
+++ b/crates/daemon-server/src/api.rs
@@ -35,7 +35,7 @@
     pub(crate) repeatable: bool,
 }
 
-/// Response to a created program.
+/// Response to a request that created a program.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ProgramCreated {
     pub(crate) program: String,
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -352,8 +352,8 @@
             return self.reacquire(id);
         }
         if refusal.code == RefusalCode::ControlUnavailable {
-            // Whether the intent was recorded is unknown; the next takeover, under a new epoch,
-            // finds out.
+            // Whether the intent was recorded is unknown. The next takeover, under a new epoch,
+            // resolves this.
             self.close_refused(id, refusal.clone());
             self.drop_program(program, &refusal);
             return;
@@ -395,7 +395,7 @@
         self.programs.remove(&program);
     }
 
-    /// Sends an intent for an ended program. It cannot start a run, but finds a stored answer.
+    /// Sends an intent for an ended program. It cannot start a run; it can only find a stored answer.
     fn request_stored_answer(&mut self, id: CallId) {
         let Some(call) = self.calls.get_mut(&id) else {
             return;
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -24,8 +24,8 @@
     pub max_queued_calls: usize,
     /// Maximum number of waiting calls of one program.
     pub max_waiting_per_program: usize,
-    /// Time in the queue of a pool's oldest call above which no new programs are admitted to the
-    /// pool.
+    /// Limit on the time that a pool's oldest call has been queued. Beyond it, no new programs are
+    /// admitted to the pool.
     pub admission_wait_limit: Duration,
     /// Longest time a call waits while no engine is usable.
     pub max_engine_wait: Duration,
--- a/crates/daemon/src/control_client.rs
+++ b/crates/daemon/src/control_client.rs
@@ -188,7 +188,7 @@
         expired
     }
 
-    /// Moves the deadlines of all operations back by `extension`.
+    /// Postpones the deadlines of all operations by `extension`.
     pub(crate) fn extend_deadlines(&mut self, extension: Duration) {
         for operation in self.operations.values_mut() {
             operation.attempt_deadline = operation.attempt_deadline.plus(extension);
--- a/crates/daemon/src/lookup.rs
+++ b/crates/daemon/src/lookup.rs
@@ -27,7 +27,7 @@
 }
 
 impl ActiveLookup {
-    /// Moves the deadline back by `extension`.
+    /// Postpones the deadline by `extension`.
     pub(crate) fn extend_deadline(&mut self, extension: Duration) {
         self.deadline = self.deadline.plus(extension);
     }
--- a/crates/daemon/src/queue.rs
+++ b/crates/daemon/src/queue.rs
@@ -60,7 +60,7 @@
         old.map(|queued| queued.call).collect()
     }
 
-    /// Returns the queueing time of the oldest call of a pool.
+    /// Returns the time at which the oldest call of a pool was queued.
     pub(crate) fn oldest_queued_at(&self, pool: &ModelName) -> Option<Timestamp> {
         let own = self.calls.iter().filter(|queued| queued.pool == *pool);
         own.map(|queued| queued.queued_at).min()
