--- a/app/luglink/src/ctl.rs
+++ b/app/luglink/src/ctl.rs
@@ -79,7 +79,7 @@
                 .change_membership(request)
                 .await
                 .map_err(client_failure)?;
-            println!("membership change proposed");
+            println!("proposed");
             Ok(Exit::Success)
         }
     }
--- a/app/luglink/src/options.rs
+++ b/app/luglink/src/options.rs
@@ -172,7 +172,7 @@
     /// Print the configuration and then every change, until interrupted
     #[bpaf(command)]
     Watch {
-        /// Last known revision; with 0, the whole configuration is printed first
+        /// Last known revision; a snapshot is printed first if the changes after it are no longer kept
         #[bpaf(long, argument("N"), fallback(0))]
         after: u64,
     },
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Runs all tests except the known failures in KNOWN-RED.txt, which it prints.
+# Runs all tests except the known failures in KNOWN-RED.txt, which it prints. The README names this
+# script as the test command.
 set -euo pipefail
 cd "$(dirname "$0")"
 passed_over=()
