--- a/app/luglink/src/ctl.rs
+++ b/app/luglink/src/ctl.rs
@@ -95,8 +95,12 @@
 }
 
 fn read_operations(file: &Path) -> Result<Vec<v1::Operation>, Failure> {
-    let invalid_input =
-        |error: String| Failure::new(Exit::InvalidInput, format!("{}: {error}", file.display()));
+    let invalid_input = |error: String| {
+        Failure::new(
+            Exit::InvalidInput,
+            format!("cannot read resources from {}: {error}", file.display()),
+        )
+    };
     let text = std::fs::read_to_string(file).map_err(|error| invalid_input(error.to_string()))?;
     let resources = parse_resource_file(&text).map_err(|error| invalid_input(error.to_string()))?;
     let operations = resources.into_operations();
--- a/app/luglink/src/fleet.rs
+++ b/app/luglink/src/fleet.rs
@@ -20,11 +20,11 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 
-/// Divisor of the memory limit that gives the maximum size of a gateway's turn cache.
+/// A gateway's turn cache uses at most the memory limit divided by this number.
 const TURN_CACHE_DIVISOR: u64 = 8;
 
-/// Divisor of the memory limit that gives the maximum number of bytes buffered for callers and
-/// replicas that read slowly. The process, its connections and the turn cache need the rest.
+/// A gateway buffers at most the memory limit divided by this number for callers and replicas that
+/// read slowly. The process, its connections and the turn cache need the rest.
 const HELD_BYTES_DIVISOR: u64 = 4;
 
 /// Part of the stop timeout that is reserved for the process to exit after the requests in flight
@@ -45,8 +45,8 @@
 }
 
 impl Process {
-    /// Starts to watch the settings. Must be called before anything else starts: SIGHUP ends a
-    /// process without a handler.
+    /// Starts to watch the settings. Must be called before anything else starts, because SIGHUP
+    /// ends a process that has no handler for it.
     fn watch_settings(&self) -> Result<SettingsWatcher, Failure> {
         SettingsWatcher::new(self.file.clone(), self.file_modified_at).map_err(unavailable)
     }
