--- a/crates/program/src/account.rs
+++ b/crates/program/src/account.rs
@@ -11,7 +11,7 @@
     /// final, or if it certainly did not run.
     #[default]
     UnusedPart,
-    /// Charges every reservation in full.
+    /// Charges every reservation in full, as the Model Budget Policy, version 1, does.
     Never,
 }
 
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Class of an attempt's outcome. The set of classes is closed. The class alone determines whether
-/// the call may be attempted again.
+/// Class of an attempt's outcome. The set of classes is closed and follows the Model Budget Policy,
+/// version 1. The class alone determines whether the call may be attempted again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeClass {
