--- a/crates/admin-api/src/client.rs
+++ b/crates/admin-api/src/client.rs
@@ -54,7 +54,7 @@
         /// # Errors
         /// Returns an error if a member rejected the request, or if no leader was found.
         pub async fn $name(&self, request: $request) -> Result<$response, ClientError> {
-            let mut last_error = "none".to_owned();
+            let mut last_error = "nothing".to_owned();
             for _ in 0..MAX_ROUNDS {
                 for address in &self.addresses {
                     let result = match connect(*address).await {
@@ -113,7 +113,7 @@
         &self,
         request: v1::WatchRequest,
     ) -> Result<tonic::Streaming<v1::WatchResponse>, ClientError> {
-        let mut last_error = "none".to_owned();
+        let mut last_error = "nothing".to_owned();
         for address in &self.addresses {
             let result = match connect_for_stream(*address).await {
                 Ok(mut client) => client.watch(request).await,
