--- a/crates/control/src/node.rs
+++ b/crates/control/src/node.rs
@@ -498,7 +498,7 @@
         }
     }
 
-    /// Transfers leadership of every group to the voter that was heard from last. Voters on
+    /// Transfers leadership of every group to the voter with the latest contact. Voters on
     /// machines that are being taken out of service are only used if there is no other.
     fn transfer_all_leadership(&mut self) {
         let now = self.now;
--- a/crates/quota/tests/invariant.rs
+++ b/crates/quota/tests/invariant.rs
@@ -28,7 +28,7 @@
     slack: 0.0,
 };
 
-/// Time without a request of a store after which the leader replaces it.
+/// Time without a request of a store after which the leader replaces it in the view.
 const STORE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Maximum time from a store's request to the response.
